--- /dev/null
+++ b/hookwall/api/__init__.py
@@ -0,0 +1,1 @@
+"""The HTTP server and what users may ask."""
--- a/hookwall/user_api.py
+++ b/hookwall/api/job_service.py
@@ -8,18 +8,21 @@
 
 import msgspec
 
-from hookwall import keys, records, wire
-from hookwall.admission import why_impossible
-from hookwall.answers import NO_SUCH_JOB, TOO_LARGE, Answer, later
-from hookwall.confirmer import Confirmer
-from hookwall.job import DONE, OPEN, WITHDRAWN, Job
-from hookwall.jobs import JobTable
-from hookwall.records import Encoded, JobRecord, MalformedRecord, MissingParts, RecordTooLarge
-from hookwall.settings import Params
-from hookwall.store import Conflict, Refused, Store, Unknown
-from hookwall.wire import BadMessage, Catalog, JobSpec
-
-log = logging.getLogger("hookwall.user_api")
+from hookwall.api.responses import NO_SUCH_JOB, TOO_LARGE, Answer, later
+from hookwall.config.platform import Params
+from hookwall.jobs.job import DONE, OPEN, WITHDRAWN, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.protocol import job_messages
+from hookwall.protocol.cloud_messages import Catalog
+from hookwall.protocol.job_messages import JobSpec
+from hookwall.protocol.json_messages import BadMessage
+from hookwall.scheduling.feasibility import why_impossible
+from hookwall.storage import job_records, keys
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.storage.job_records import Encoded, JobRecord, MalformedRecord, MissingParts, RecordTooLarge
+from hookwall.storage.read_confirmation import Confirmer
+
+log = logging.getLogger(__name__)
 
 
 async def _always(ref: str, stamp: int) -> bool:
@@ -74,8 +77,8 @@
 
     def _encode(self, ref: str, record: JobRecord) -> Encoded:
         """A record in the form that all nodes may read now."""
-        encoded = records.encode(ref, record, self.store.value_limit if self.new_formats() else None)
-        if not encoded.parts and records.size(encoded.value) > self.params.state.value_kb * 1024 - 512:
+        encoded = job_records.encode(ref, record, self.store.value_limit if self.new_formats() else None)
+        if not encoded.parts and job_records.size(encoded.value) > self.params.state.value_kb * 1024 - 512:
             raise RecordTooLarge(ref)
         return encoded
 
@@ -85,7 +88,7 @@
         Parts of a job that has no record yet are never removed. Those that an existing record does not
         name may be, so the write is conditional on them as well.
         """
-        there = self.table.parts.texts if not stamp else records.part_keys(key[len(keys.JOBS) :], current)
+        there = self.table.parts.texts if not stamp else job_records.part_keys(key[len(keys.JOBS) :], current)
         new = {k: text for k, text in encoded.parts.items() if k not in there}
         conditions = [(key, stamp)]
         until = self.clock() + PARTS_S
@@ -133,8 +136,8 @@
             return later("a job that this one needs may have been cancelled")
         if phase == OPEN:
             phase = "running" if job.stored_on else "pending"
-            return 200, wire.job_answer(job.ref, phase, job.stored_done, len(job.stored_on)), None
-        return 200, wire.job_answer(job.ref, phase, job.tasks if phase == DONE else job.stored_done, 0), None
+            return 200, job_messages.job_answer(job.ref, phase, job.stored_done, len(job.stored_on)), None
+        return 200, job_messages.job_answer(job.ref, phase, job.tasks if phase == DONE else job.stored_done, 0), None
 
     async def _current(self, ref: str) -> Job | None:
         """The job as it is now. A cached version is confirmed first unless it is final."""
@@ -146,7 +149,7 @@
         return job if job is not None and job.stamp else None
 
     async def get(self, ref: str) -> Answer:
-        if not wire.REF.match(ref):
+        if not job_messages.REF.match(ref):
             return 404, NO_SUCH_JOB, None
         if not self.store.healthy() and not self._cached_final(ref):
             return later("state service")
@@ -163,7 +166,7 @@
     async def submit(self, body: bytes) -> Answer:
         """A new job, or one that was submitted before."""
         try:
-            spec = wire.decode_job(body)
+            spec = job_messages.decode_job(body)
         except BadMessage as e:
             return 400, msgspec.json.encode({"error": str(e)}), None
         if self._cached_final(spec.ref):
@@ -252,11 +255,11 @@
             # What is known of its needs may be old by now, so it is told what a poll would tell.
             status, body, headers = await self._state(self.table.jobs[spec.ref])
             return 201 if status == 200 else status, body, headers
-        return 201, wire.job_answer(spec.ref, "pending" if job.phase == OPEN else job.phase), None
+        return 201, job_messages.job_answer(spec.ref, "pending" if job.phase == OPEN else job.phase), None
 
     async def cancel(self, ref: str) -> Answer:
         """Cancel a job, unless it is over."""
-        if not wire.REF.match(ref):
+        if not job_messages.REF.match(ref):
             return 404, NO_SUCH_JOB, None
         if self._cached_final(ref):
             return await self._ended(ref, self.table.jobs[ref].stored_phase, self.table.jobs[ref].stamp)
@@ -285,7 +288,7 @@
     def _withdrawn(self, ref: str, value: dict[str, Any]) -> Encoded:
         """The record of a job that is cancelled now, from the one that is stored."""
         try:
-            record = records.decode(ref, value, self.table.parts.get)
+            record = job_records.decode(ref, value, self.table.parts.get)
         except (MissingParts, MalformedRecord):
             return Encoded({**value, "phase": WITHDRAWN})  # the rest stays as it is
         record.phase = WITHDRAWN
@@ -297,4 +300,4 @@
         """The answer to a cancellation of a job that has ended, now or before."""
         if phase == WITHDRAWN and not await self.confirmed(ref, stamp):
             return later("the cancellation is not known to the leader yet")
-        return 200, wire.job_answer(ref, phase), None
+        return 200, job_messages.job_answer(ref, phase), None
--- a/hookwall/server.py
+++ b/hookwall/api/server.py
@@ -16,11 +16,11 @@
 from aiohttp.http import HttpProcessingError, HttpRequestParser, RawRequestMessage
 from aiohttp.streams import StreamReader
 
-from hookwall import wire
-from hookwall.answers import LATER, Answer
-from hookwall.user_api import UserApi
+from hookwall.api.job_service import UserApi
+from hookwall.api.responses import LATER, Answer
+from hookwall.protocol import json_messages
 
-log = logging.getLogger("hookwall.server")
+log = logging.getLogger(__name__)
 
 MOST_AT_ONCE = 200
 # A machine that loses its power, or is deleted, says no more on its connection. Such connections stayed for an
@@ -239,10 +239,10 @@
 
 def _too_large(message: RawRequestMessage, payload: StreamReader) -> bool:
     """Whether a body is over the limit, by what it says or by what has come."""
-    if payload.total_bytes > wire.MAX_BODY:
+    if payload.total_bytes > json_messages.MAX_BODY:
         return True
     length = message.headers.get("Content-Length", "0")
-    return length.isdigit() and int(length) > wire.MAX_BODY
+    return length.isdigit() and int(length) > json_messages.MAX_BODY
 
 
 async def listen(door: Door, host: str, port: int) -> asyncio.Server:
--- a/hookwall/supply.py
+++ b/hookwall/autoscaling/capacity.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hookwall.fleet import Fleet
-from hookwall.machine import Machine, Phase
-from hookwall.machine_list import MachineList
-from hookwall.placement import Room
+from hookwall.autoscaling.inventory import MachineList
+from hookwall.scheduling.placement import Room
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import Machine, Phase
 
 OVERDUE_BOOTS = 2.5  # so many times its type's usual boot, a machine is no longer counted on
 
--- a/hookwall/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -7,10 +7,11 @@
 import aiohttp
 import msgspec
 
-from hookwall import wire
-from hookwall.client import NoAnswer, call, open_session
-from hookwall.pacing import Bucket
-from hookwall.wire import BadMessage, Catalog, MachineList, Rented
+from hookwall.protocol import cloud_messages, json_messages
+from hookwall.protocol.cloud_messages import Catalog, MachineList, Rented
+from hookwall.protocol.http_client import NoAnswer, call, open_session
+from hookwall.protocol.json_messages import BadMessage
+from hookwall.storage.rate_limit import Bucket
 
 Message = TypeVar("Message")
 
@@ -53,9 +54,9 @@
             raise Trouble(f"status {status}")
         return _as(body, Catalog)
 
-    async def machines(self) -> list[wire.Listed]:
+    async def machines(self) -> list[cloud_messages.Listed]:
         """The list, page after page; other requests go out in between."""
-        found: list[wire.Listed] = []
+        found: list[cloud_messages.Listed] = []
         after = ""
         while True:
             start = f"after={after}&" if after else ""
@@ -85,6 +86,6 @@
 
 def _as(body: object, kind: type[Message]) -> Message:
     try:
-        return wire.convert(body, kind)
+        return json_messages.convert(body, kind)
     except BadMessage as e:
         raise Trouble(f"malformed: {e}") from None
--- a/hookwall/demand.py
+++ b/hookwall/autoscaling/demand.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hookwall.fit import fit_of
-from hookwall.fleet import Fleet
-from hookwall.job import OPEN
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Params
+from hookwall.config.platform import Params
+from hookwall.jobs.job import OPEN
+from hookwall.scheduling.fit import fit_of
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.workers.fleet import Fleet
 
-log = logging.getLogger("hookwall.demand")
+log = logging.getLogger(__name__)
 
 SMOOTH_S = 60.0  # time constant of the smoothed arrivals
 SOLID_Z = 0.8  # margin of ordinary machines, in standard deviations of need while one boots
--- a/hookwall/machine_list.py
+++ b/hookwall/autoscaling/inventory.py
@@ -8,13 +8,13 @@
 import logging
 from collections.abc import Callable
 
-from hookwall import wire
-from hookwall.cloud_client import CloudClient, Trouble
-from hookwall.fleet import Fleet
-from hookwall.machine import Machine
-from hookwall.settings import Cloud
+from hookwall.autoscaling.cloud_client import CloudClient, Trouble
+from hookwall.config.platform import Cloud
+from hookwall.protocol import cloud_messages
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import Machine
 
-log = logging.getLogger("hookwall.machine_list")
+log = logging.getLogger(__name__)
 
 EVERY_S = 4.0
 FIRST_AGAIN_S = 0.5  # until a new leader has its first list
@@ -40,7 +40,7 @@
         self.term += 1
         self.listed_once, self.listed_at, self.asked_at = False, -1e9, -1e9
 
-    def take(self, listed: list[wire.Listed], asked_at: float) -> None:
+    def take(self, listed: list[cloud_messages.Listed], asked_at: float) -> None:
         """Take in a list that was asked for then. It may be older than the one before."""
         fleet, now = self.fleet, asked_at
         for item in listed:
--- a/hookwall/returning.py
+++ b/hookwall/autoscaling/scale_in.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from hookwall.demand import Demand
-from hookwall.fleet import Fleet
-from hookwall.machine import Machine, Phase
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Params
-from hookwall.supply import Supply
+from hookwall.autoscaling.capacity import Supply
+from hookwall.autoscaling.demand import Demand
+from hookwall.config.platform import Params
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import Machine, Phase
 
 KEEP_IDLE_S = 25.0
 
--- a/hookwall/renting.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -10,19 +10,19 @@
 import math
 from collections.abc import Awaitable, Callable
 
-from hookwall.cloud_client import CloudClient, NoCapacity, Trouble
-from hookwall.demand import Demand
-from hookwall.fleet import Fleet
-from hookwall.machine_list import MachineList
-from hookwall.placement import EPS, Ask, allowed, units
-from hookwall.returning import Returning
-from hookwall.round_state import needy
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Params
-from hookwall.supply import Hire, Pool, Supply
-from hookwall.wire import Catalog
+from hookwall.autoscaling.capacity import Hire, Pool, Supply
+from hookwall.autoscaling.cloud_client import CloudClient, NoCapacity, Trouble
+from hookwall.autoscaling.demand import Demand
+from hookwall.autoscaling.inventory import MachineList
+from hookwall.autoscaling.scale_in import Returning
+from hookwall.config.platform import Params
+from hookwall.protocol.cloud_messages import Catalog
+from hookwall.scheduling.placement import EPS, Ask, allowed, units
+from hookwall.scheduling.round_state import needy
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.workers.fleet import Fleet
 
-log = logging.getLogger("hookwall.renting")
+log = logging.getLogger(__name__)
 
 MOST_PER_HIRE = 50
 MOST_PER_DELETE = 100
--- a/hookwall/cli.py
+++ b/hookwall/cli.py
@@ -7,8 +7,8 @@
 import sys
 
 from hookwall import __version__
-from hookwall.operations import load as load_operations
-from hookwall.settings import BadSettings, load
+from hookwall.config.operations import load as load_operations
+from hookwall.config.platform import BadSettings, load
 
 GC_EVERY = 10_000  # new objects
 
@@ -51,7 +51,7 @@
     # Imported late: bad settings are told without waiting for the HTTP library.
     import uvloop
 
-    from hookwall.node import Node
+    from hookwall.node.node import Node
 
     async def main() -> None:
         await Node(settings, operations=operations).run()
--- /dev/null
+++ b/hookwall/config/__init__.py
@@ -0,0 +1,1 @@
+"""Settings: the platform's file, the operators' file, and what is assumed of clocks."""
--- a/hookwall/operations.py
+++ b/hookwall/config/operations.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from hookwall.settings import BadSettings, Params, read_toml
+from hookwall.config.platform import BadSettings, Params, read_toml
 
 DEFAULT_PERIOD_S = 300.0
 
--- a/hookwall/drains/command.py
+++ b/hookwall/drains/command.py
@@ -14,8 +14,10 @@
 
 import msgspec
 
-from hookwall import operations, settings
-from hookwall.cloud_client import CloudClient
+from hookwall.autoscaling.cloud_client import CloudClient
+from hookwall.config import operations
+from hookwall.config.platform import BadSettings, Settings
+from hookwall.config.platform import load as load_settings
 from hookwall.drains import records, report, request
 from hookwall.drains.arguments import drain_request
 from hookwall.drains.bound import Load, LoadedJob, SolverMissing, fewest_waves
@@ -24,8 +26,7 @@
 from hookwall.drains.records import DrainPhase, StepPhase
 from hookwall.drains.request import BadRequest, DrainRequest
 from hookwall.drains.snapshot import Snapshot
-from hookwall.settings import BadSettings, Settings
-from hookwall.store import Conflict, Refused, Store, TooLarge, Unknown
+from hookwall.storage.client import Conflict, Refused, Store, TooLarge, Unknown
 
 LOOK_S = 1.0  # between two looks of `status --wait`
 TRIES = 3  # of a write that met the leader's
@@ -265,14 +266,14 @@
     """Entry point."""
 
     async def main() -> ExitCode:
-        platform = settings.load(args.config)
-        own = operations.load(args.operations, platform.settings)
-        store = Store(platform.external.state, platform.settings.state, platform.settings.size, time.monotonic)
-        client = CloudClient(platform.external.cloud, platform.settings.cloud.rps, time.monotonic)
+        settings = load_settings(args.config)
+        own = operations.load(args.operations, settings.settings)
+        store = Store(settings.external.state, settings.settings.state, settings.settings.size, time.monotonic)
+        client = CloudClient(settings.external.cloud, settings.settings.cloud.rps, time.monotonic)
         await store.open()
         await client.open()
         try:
-            return await execute(DrainCommand(platform, own, store, client), args)
+            return await execute(DrainCommand(settings, own, store, client), args)
         finally:
             for session in (store.session, client.session):
                 if session is not None:
--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from hookwall import machine_names
+from hookwall.config.operations import DrainSettings
+from hookwall.config.platform import Params
 from hookwall.drains.disruptions import DisruptionWatch
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.drain_writes import DrainWrites
@@ -21,24 +22,16 @@
 from hookwall.drains.picture import Picture
 from hookwall.drains.plan_builder import PlanBuilder
 from hookwall.drains.planner import Occupant, Stop, Wait, WaitKind, explain
-from hookwall.drains.records import (
-    Afterwards,
-    AtDeadline,
-    DrainPhase,
-    Outcome,
-    StepPhase,
-    StepRecord,
-)
-from hookwall.fleet import Fleet
-from hookwall.leadership import Leadership
-from hookwall.machine import Phase
-from hookwall.operations import DrainSettings
-from hookwall.placement import Ask
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Params
-from hookwall.store import Conflict, Refused, Store, Unknown
+from hookwall.drains.records import Afterwards, AtDeadline, DrainPhase, Outcome, StepPhase, StepRecord
+from hookwall.leadership.state_machine import Leadership
+from hookwall.scheduling.placement import Ask
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.workers import name_codec
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import Phase
 
-log = logging.getLogger("hookwall.drains")
+log = logging.getLogger(__name__)
 
 AFTER_TROUBLE_S = 0.7
 STALL_S = 60.0  # so long without a step, a drain is stalled
@@ -115,7 +108,7 @@
         counts = dict(record.counts)
         counts[outcome.value] = counts.get(outcome.value, 0) + len(machines)
         remaining = set(self.table.machines[name]) - set(machines)
-        changed = msgspec.structs.replace(record, counts=counts, remaining=machine_names.encode(remaining))
+        changed = msgspec.structs.replace(record, counts=counts, remaining=name_codec.encode(remaining))
         await self.writes.leave(name, machines, changed)
         self._moved_at[name] = self.clock()
         log.info("drain %s: %d machines %s", name, len(machines), outcome.value)
--- a/hookwall/drains/disruptions.py
+++ b/hookwall/drains/disruptions.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable
 
 from hookwall.drains.ledger import Ledger
-from hookwall.fleet import Fleet
-from hookwall.job import OPEN, Active, Job
-from hookwall.jobs import JobTable
+from hookwall.jobs.job import OPEN, Active, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.workers.fleet import Fleet
 
 RUNS = ("running", "saving")
 ALL_TASKS = 1 << 60  # more than any job has
--- a/hookwall/drains/drain_slice.py
+++ b/hookwall/drains/drain_slice.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from hookwall import keys
-from hookwall.placement import Ask
+from hookwall.scheduling.placement import Ask
+from hookwall.storage import keys
 
 if TYPE_CHECKING:
     from hookwall.drains.controller import DrainController
--- a/hookwall/drains/drain_table.py
+++ b/hookwall/drains/drain_table.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from hookwall import keys
 from hookwall.drains.ledger import Ledger
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepPhase, StepRecord, decode
-from hookwall.records import MalformedRecord
+from hookwall.storage import keys
+from hookwall.storage.job_records import MalformedRecord
 
-log = logging.getLogger("hookwall.drains")
+log = logging.getLogger(__name__)
 
 Record = TypeVar("Record")
 
--- a/hookwall/drains/drain_writes.py
+++ b/hookwall/drains/drain_writes.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Sequence
 
-from hookwall import keys
 from hookwall.drains import records
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.ledger import Ledger
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
-from hookwall.leadership import Leadership
-from hookwall.store import Store
+from hookwall.leadership.state_machine import Leadership
+from hookwall.storage import keys
+from hookwall.storage.client import Store
 
 Condition = tuple[str, int]
 Put = tuple[str, object]
--- a/hookwall/drains/ledger.py
+++ b/hookwall/drains/ledger.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
+from hookwall.config.operations import Budget
 from hookwall.drains.records import Disruption, DisruptionPage
-from hookwall.operations import Budget
 
 ENTRY_BYTES = 72  # of JSON, for a job's id, a team's name and three numbers
 LEAST_PAGE_ENTRIES = 8
--- a/hookwall/drains/picture.py
+++ b/hookwall/drains/picture.py
@@ -6,13 +6,13 @@
 from hookwall.drains.ledger import Ledger, allowance
 from hookwall.drains.planner import Budgets, Candidate, Occupant, Wait, WaitKind
 from hookwall.drains.records import StepPhase, StepRecord
-from hookwall.fit import fit_of
-from hookwall.fleet import Fleet
-from hookwall.job import OPEN, Active, Job
-from hookwall.jobs import JobTable
-from hookwall.machine import Machine, Phase
-from hookwall.placement import Ask, Room
-from hookwall.scheduler import Scheduler
+from hookwall.jobs.job import OPEN, Active, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.scheduling.fit import fit_of
+from hookwall.scheduling.placement import Ask, Room
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import Machine, Phase
 
 
 class Picture:
--- a/hookwall/drains/plan_builder.py
+++ b/hookwall/drains/plan_builder.py
@@ -6,7 +6,7 @@
 from hookwall.drains.picture import Picture
 from hookwall.drains.planner import Candidate, Plan, Terms, plan
 from hookwall.drains.records import AtDeadline
-from hookwall.scheduler import Scheduler
+from hookwall.scheduling.scheduler import Scheduler
 
 SEARCH_EVERY_S = 5.0  # how often the next machines are looked for while none can be found
 
--- a/hookwall/drains/planner.py
+++ b/hookwall/drains/planner.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hookwall.placement import Ask, Room, place
+from hookwall.scheduling.placement import Ask, Room, place
 
 Taken = tuple[Room, Ask, int]  # room that so many tasks of a job would take
 
--- a/hookwall/drains/preview.py
+++ b/hookwall/drains/preview.py
@@ -9,7 +9,7 @@
 
 from hookwall.drains.planner import Budgets, Candidate, Plan, Terms, Wait, plan
 from hookwall.drains.snapshot import Snapshot
-from hookwall.placement import Room
+from hookwall.scheduling.placement import Room
 
 
 @dataclass(slots=True)
--- a/hookwall/drains/records.py
+++ b/hookwall/drains/records.py
@@ -15,8 +15,9 @@
 
 import msgspec
 
-from hookwall import keys, machine_names
-from hookwall.records import MalformedRecord
+from hookwall.storage import keys
+from hookwall.storage.job_records import MalformedRecord
+from hookwall.workers import name_codec
 
 VERSION = 1
 
@@ -87,7 +88,7 @@
 
     def machines(self) -> list[str]:
         """The machines that have not left the drain."""
-        return sorted(machine_names.decode(self.remaining))
+        return sorted(name_codec.decode(self.remaining))
 
     def active(self) -> bool:
         """Whether it goes on."""
--- a/hookwall/drains/request.py
+++ b/hookwall/drains/request.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from hookwall import machine_names
 from hookwall.drains.records import Afterwards, AtDeadline, DrainPhase, DrainRecord
+from hookwall.workers import name_codec
 
 NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}", re.ASCII)
 SHOWN = 8  # how many allowed values a message names
@@ -130,7 +130,7 @@
         asked_at=now,
         changed_at=now,
         total=len(machines),
-        remaining=machine_names.encode(machines),
+        remaining=name_codec.encode(machines),
         batch=request.batch,
         finish_s=request.finish_s,
         afterwards=request.afterwards,
--- a/hookwall/drains/snapshot.py
+++ b/hookwall/drains/snapshot.py
@@ -3,21 +3,23 @@
 import time
 from collections.abc import Sequence
 
-from hookwall import keys, wire
-from hookwall.cloud_client import CloudClient, Trouble
+from hookwall.autoscaling.cloud_client import CloudClient, Trouble
+from hookwall.config.operations import Operations
+from hookwall.config.platform import Settings
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.ledger import Ledger
 from hookwall.drains.picture import Picture
 from hookwall.drains.request import KnownMachine
-from hookwall.fleet import Fleet
-from hookwall.formats import Format, FormatGate
-from hookwall.jobs import JobTable
-from hookwall.machine import Phase
-from hookwall.operations import Operations
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Settings
-from hookwall.store import Store
-from hookwall.wire import BadMessage, Catalog
+from hookwall.jobs.job_table import JobTable
+from hookwall.protocol import cloud_messages, json_messages
+from hookwall.protocol.cloud_messages import Catalog
+from hookwall.protocol.json_messages import BadMessage
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.storage import keys
+from hookwall.storage.client import Store
+from hookwall.storage.storage_version import Format, FormatGate
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import Phase
 
 Found = Sequence[tuple[str, object, int]]
 
@@ -59,11 +61,11 @@
 
     def _take_catalog(self, value: object) -> None:
         try:
-            self.fleet.set_catalog(wire.convert(value, Catalog))
+            self.fleet.set_catalog(json_messages.convert(value, Catalog))
         except BadMessage:
             self.cloud_trouble = "the stored machine types are malformed"
 
-    def take_list(self, listed: Sequence[wire.Listed]) -> None:
+    def take_list(self, listed: Sequence[cloud_messages.Listed]) -> None:
         """The cloud's list: machines that run are taken to be heard."""
         for entry in listed:
             machine = self.fleet.machine(entry.name, entry.type, entry.zone, entry.spot)
--- a/hookwall/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -24,15 +24,15 @@
 import logging
 from collections.abc import Callable
 
-from hookwall import keys
-from hookwall.clocks import DRIFT
-from hookwall.leadership import Leadership
-from hookwall.messages import Kind, PeerMessage, ToldCancellations
-from hookwall.roles import Mode
-from hookwall.settings import Workers
-from hookwall.store import Conflict, Refused, Store, Unknown
-
-log = logging.getLogger("hookwall.cancellations")
+from hookwall.config.clock_bounds import DRIFT
+from hookwall.config.platform import Workers
+from hookwall.leadership.roles import Mode
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol.peer_messages import Kind, PeerMessage, ToldCancellations
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
+
+log = logging.getLogger(__name__)
 
 MARGIN_S = 1.0  # timers, and a worker that is late to kill its tasks
 SPREAD_S = 0.7  # how long peers have to say that they know
--- a/hookwall/job.py
+++ b/hookwall/jobs/job.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Iterable
 
-from hookwall.records import JobRecord, pack_numbers, unpack_numbers
-from hookwall.wire import JobSpec
+from hookwall.protocol.job_messages import JobSpec
+from hookwall.storage.job_records import JobRecord, pack_numbers, unpack_numbers
 
 OPEN, DONE, WITHDRAWN = "open", "done", "withdrawn"
 REST_S = 1.0  # how long ends of single tasks may wait for company in a write
--- a/hookwall/jobs.py
+++ b/hookwall/jobs/job_table.py
@@ -3,13 +3,14 @@
 import logging
 from collections.abc import Callable
 
-from hookwall import keys, records, wire
-from hookwall.dependencies import DependencyGraph, Outcome
-from hookwall.job import OPEN, WITHDRAWN, Active, Job
-from hookwall.part_table import PartTable
-from hookwall.records import MalformedRecord, MissingParts
+from hookwall.jobs.dependency_graph import DependencyGraph, Outcome
+from hookwall.jobs.job import OPEN, WITHDRAWN, Active, Job
+from hookwall.protocol import job_messages
+from hookwall.storage import job_records, keys
+from hookwall.storage.chunk_table import PartTable
+from hookwall.storage.job_records import MalformedRecord, MissingParts
 
-log = logging.getLogger("hookwall.jobs")
+log = logging.getLogger(__name__)
 
 
 class JobTable:
@@ -43,7 +44,7 @@
             return
         before = list(job.active.values())
         try:
-            job.take(records.decode(ref, value, self.parts.get), value, stamp, self.clock())
+            job.take(job_records.decode(ref, value, self.parts.get), value, stamp, self.clock())
         except MissingParts:
             job.unreadable = True
             self.parts.await_parts(ref, value, stamp)
@@ -76,7 +77,7 @@
         waiting = self.parts.incomplete.get(ref)
         if waiting is None:
             return []
-        return [key for key in records.part_keys(ref, waiting[0]) if self.parts.get(key) is None]
+        return [key for key in job_records.part_keys(ref, waiting[0]) if self.parts.get(key) is None]
 
     def withdraw(self, ref: str, stamp: int) -> None:
         """Somebody knows that this job's cancellation was stored: no start of it from now on, and its tasks stop.
@@ -161,7 +162,7 @@
         spec = job.spec
         if spec is not None:
             due_at = None if spec.due_s is None else job.at + spec.due_s
-            self.graph.describe(job.ref, wire.RANKS.index(spec.rank), spec.estimate_s, due_at)
+            self.graph.describe(job.ref, job_messages.RANKS.index(spec.rank), spec.estimate_s, due_at)
         if job.final():
             self.graph.settle(job.ref, Outcome(job.stored_phase), job.ended)
 
@@ -193,7 +194,7 @@
     def rank(self, job: Job) -> int:
         """The rank that a job is treated as having: its own, or that of a job that needs it."""
         assert job.spec is not None
-        return self.graph.rank(job.ref, wire.RANKS.index(job.spec.rank))
+        return self.graph.rank(job.ref, job_messages.RANKS.index(job.spec.rank))
 
 
 def _list_if(jobs: dict[str, Job], job: Job, belongs: bool) -> None:
--- a/hookwall/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -10,19 +10,19 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from hookwall import keys, records
-from hookwall.job import OPEN, Job, write_order
-from hookwall.jobs import JobTable
-from hookwall.keeper_conditions import KeeperConditions
-from hookwall.kept import Kept
-from hookwall.leadership import Leadership
-from hookwall.part_collector import PartCollector
-from hookwall.records import Encoded, RecordTooLarge
-from hookwall.roles import Role
-from hookwall.round_state import StartRoom
-from hookwall.store import CONDITIONS_PER_CHANGE, Conflict, Refused, Store, TooLarge, Unknown
-
-log = logging.getLogger("hookwall.job_writer")
+from hookwall.jobs.job import OPEN, Job, write_order
+from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.roles import Role
+from hookwall.leadership.state_machine import Leadership
+from hookwall.scheduling.round_state import StartRoom
+from hookwall.storage import job_records, keys
+from hookwall.storage.chunk_collector import PartCollector
+from hookwall.storage.client import CONDITIONS_PER_CHANGE, Conflict, Refused, Store, TooLarge, Unknown
+from hookwall.storage.job_records import Encoded, RecordTooLarge
+from hookwall.workers.delegated_leases import Kept
+from hookwall.workers.delegation_guard import KeeperConditions
+
+log = logging.getLogger(__name__)
 
 WRITE_GAP_S = 0.05
 IDLE_S = 0.5
@@ -104,7 +104,7 @@
 
     def start_room(self) -> StartRoom:
         """How many bytes the starts of one job may take in the plain form: more are not made at once."""
-        plain = records.plain_starts_bytes(self.store.limits.value_kb)
+        plain = job_records.plain_starts_bytes(self.store.limits.value_kb)
         if not self.new_formats():
             return StartRoom(plain, plain)
         few = max(1, min(FEW_PARTS, self.store.txn_ops // 2)) * self.store.value_limit / PACKED_SHARE
@@ -128,13 +128,13 @@
         """What is to be written of a job; None if no form of it fits."""
         limit = self.store.value_limit if self.new_formats() else None
         try:
-            encoded = records.encode(job.ref, job.record(), limit)
+            encoded = job_records.encode(job.ref, job.record(), limit)
         except RecordTooLarge:
             log.error("record of %s does not fit the state service", job.ref)
             return None
-        there = records.part_keys(job.ref, job.raw)
+        there = job_records.part_keys(job.ref, job.raw)
         new = {key: text for key, text in encoded.parts.items() if key not in there}
-        length = records.size(encoded.value) + ENTRY_BYTES + sum(len(text) + ENTRY_BYTES for text in new.values())
+        length = job_records.size(encoded.value) + ENTRY_BYTES + sum(len(text) + ENTRY_BYTES for text in new.values())
         starts = {a.task: (a.machine, a.attempt) for a in job.active.values()}
         return PendingWrite(job, encoded, new, length, starts, job.phase, job.n_done, job.fresh, job.dirty_at)
 
@@ -205,7 +205,7 @@
         """Whether the parts that are not written yet can go with the records."""
         if not parts:
             return True
-        length = sum(records.size(w.encoded.value) + ENTRY_BYTES for w in batch)
+        length = sum(job_records.size(w.encoded.value) + ENTRY_BYTES for w in batch)
         length += sum(len(text) + ENTRY_BYTES for text in parts.values())
         return len(parts) + len(batch) <= max(self.store.batch(), len(batch)) and length <= BATCH_BYTES
 
--- /dev/null
+++ b/hookwall/leadership/__init__.py
@@ -0,0 +1,1 @@
+"""Leader election between nodes: votes, the leader key, validity, leadership transfer."""
--- a/hookwall/campaign.py
+++ b/hookwall/leadership/election.py
@@ -5,16 +5,16 @@
 import random
 from typing import TYPE_CHECKING
 
-from hookwall import keys
-from hookwall.messages import Kind, PeerAnswer, PeerMessage
-from hookwall.peers import Peer
-from hookwall.roles import Mode, Role
-from hookwall.store import Conflict, Refused, Unknown
+from hookwall.leadership.peer_transport import Peer
+from hookwall.leadership.roles import Mode, Role
+from hookwall.protocol.peer_messages import Kind, PeerAnswer, PeerMessage
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Refused, Unknown
 
 if TYPE_CHECKING:
-    from hookwall.leadership import Leadership
+    from hookwall.leadership.state_machine import Leadership
 
-log = logging.getLogger("hookwall.campaign")
+log = logging.getLogger(__name__)
 
 LONG_HOLD_S = 60.0
 SHORT_HOLD_S = 8.0
--- a/hookwall/leader_key.py
+++ b/hookwall/leadership/leader_key.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from hookwall.roles import Mode
+from hookwall.leadership.roles import Mode
 
 
 class LeaderKey:
--- a/hookwall/handover.py
+++ b/hookwall/leadership/leadership_transfer.py
@@ -4,15 +4,15 @@
 import logging
 from typing import TYPE_CHECKING
 
-from hookwall.messages import Kind, PeerMessage
-from hookwall.promise import PROMISE_S
-from hookwall.roles import Mode
-from hookwall.store import Refused, Unknown
+from hookwall.leadership.roles import Mode
+from hookwall.leadership.vote_grant import PROMISE_S
+from hookwall.protocol.peer_messages import Kind, PeerMessage
+from hookwall.storage.client import Refused, Unknown
 
 if TYPE_CHECKING:
-    from hookwall.leadership import Leadership
+    from hookwall.leadership.state_machine import Leadership
 
-log = logging.getLogger("hookwall.handover")
+log = logging.getLogger(__name__)
 
 LONELY_S = 3.0  # so long without a majority, a leader gives way to those who may have one
 FIT_S = 0.25  # so recently the state service must have answered a node that is to take over
--- a/hookwall/peer_answers.py
+++ b/hookwall/leadership/peer_handler.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from hookwall import messages
-from hookwall.messages import Kind, PeerAnswer, PeerMessage
-from hookwall.roles import Role
+from hookwall.leadership.roles import Role
+from hookwall.protocol import peer_messages
+from hookwall.protocol.peer_messages import Kind, PeerAnswer, PeerMessage
 
 if TYPE_CHECKING:
-    from hookwall.leadership import Leadership
+    from hookwall.leadership.state_machine import Leadership
 
 RECENT_BEAT_S = 3.0  # reports that came longer ago don't show that workers reach this node
 
@@ -21,9 +21,9 @@
 
     def handle(self, raw: dict[str, Any]) -> dict[str, Any]:
         """Answer a peer."""
-        message = messages.decode_message(raw)
+        message = peer_messages.decode_message(raw)
         if message is None or message.node == self.lead.me:
-            return messages.encode(PeerAnswer())
+            return peer_messages.encode(PeerAnswer())
         if message.state_ok:
             self.lead.peer_state_ok[message.node] = self.lead.clock()
         elif message.state_ok is not None:
@@ -40,7 +40,7 @@
         answer.want = self.lead.want()
         about = self.lead.about()
         answer.format, answer.lowered = about.format, about.lowered
-        return messages.encode(answer)
+        return peer_messages.encode(answer)
 
     def _on_ping(self, message: PeerMessage) -> PeerAnswer:
         """A leader asks for support; a follower says that it is there."""
--- a/hookwall/heartbeat.py
+++ b/hookwall/leadership/peer_heartbeat.py
@@ -3,12 +3,12 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hookwall.messages import Kind, PeerAnswer, PeerMessage, ToldCancellations
-from hookwall.peers import Peer
-from hookwall.roles import Mode
+from hookwall.leadership.peer_transport import Peer
+from hookwall.leadership.roles import Mode
+from hookwall.protocol.peer_messages import Kind, PeerAnswer, PeerMessage, ToldCancellations
 
 if TYPE_CHECKING:
-    from hookwall.leadership import Leadership
+    from hookwall.leadership.state_machine import Leadership
 
 PING_S = 1.0
 PING_WAIT_S = 1.5  # for the answer of one peer
--- a/hookwall/peers.py
+++ b/hookwall/leadership/peer_transport.py
@@ -7,9 +7,9 @@
 
 import cbor2
 
-from hookwall.settings import Seed, address
+from hookwall.config.platform import Seed, address
 
-log = logging.getLogger("hookwall.peers")
+log = logging.getLogger(__name__)
 MAX_FRAME = 256 * 1024
 
 
--- a/hookwall/leadership.py
+++ b/hookwall/leadership/state_machine.py
@@ -21,21 +21,22 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from hookwall import keys, messages
-from hookwall.campaign import Campaign, hold_s
-from hookwall.clocks import DRIFT, SLACK_S
-from hookwall.handover import Handover
-from hookwall.heartbeat import Heartbeat
-from hookwall.leader_key import LeaderKey
-from hookwall.messages import About, PeerAnswer, PeerMessage, ToldCancellations
-from hookwall.peer_answers import PeerAnswers
-from hookwall.peers import Peer
-from hookwall.promise import PROMISE_S, Promise
-from hookwall.roles import Mode, Role
-from hookwall.store import KeyState, Refused, Store, Unknown
-from hookwall.voter import VoterFence
-
-log = logging.getLogger("hookwall.leadership")
+from hookwall.config.clock_bounds import DRIFT, SLACK_S
+from hookwall.leadership.election import Campaign, hold_s
+from hookwall.leadership.leader_key import LeaderKey
+from hookwall.leadership.leadership_transfer import Handover
+from hookwall.leadership.peer_handler import PeerAnswers
+from hookwall.leadership.peer_heartbeat import Heartbeat
+from hookwall.leadership.peer_transport import Peer
+from hookwall.leadership.roles import Mode, Role
+from hookwall.leadership.vote_fence import VoterFence
+from hookwall.leadership.vote_grant import PROMISE_S, Promise
+from hookwall.protocol import peer_messages
+from hookwall.protocol.peer_messages import About, PeerAnswer, PeerMessage, ToldCancellations
+from hookwall.storage import keys
+from hookwall.storage.client import KeyState, Refused, Store, Unknown
+
+log = logging.getLogger(__name__)
 
 RENEW_HOLD_S = {Mode.PROMISE: 5.0, Mode.HOLD: 2.0}
 
@@ -221,8 +222,8 @@
 
     async def ask(self, peer: Peer, message: PeerMessage, timeout: float = 1.0) -> PeerAnswer | None:
         """A peer's answer, or None."""
-        raw = await peer.call(messages.encode(message), timeout=timeout)
-        return None if raw is None else messages.decode_answer(raw)
+        raw = await peer.call(peer_messages.encode(message), timeout=timeout)
+        return None if raw is None else peer_messages.decode_answer(raw)
 
     def tell_all(self, message: PeerMessage) -> None:
         """Send a message to all peers, whatever they answer."""
--- a/hookwall/voter.py
+++ b/hookwall/leadership/vote_fence.py
@@ -15,10 +15,10 @@
 import random
 from collections.abc import Callable
 
-from hookwall import keys
-from hookwall.store import Conflict, KeyState, Refused, Store, Unknown
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, KeyState, Refused, Store, Unknown
 
-log = logging.getLogger("hookwall.voter")
+log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
 PROCESS_BITS = 48
--- a/hookwall/promise.py
+++ b/hookwall/leadership/vote_grant.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from hookwall.clocks import DRIFT, SLACK_S
+from hookwall.config.clock_bounds import DRIFT, SLACK_S
 
 PROMISE_S = 5.0
 VOTE_S = 1.5
--- /dev/null
+++ b/hookwall/node/__init__.py
@@ -0,0 +1,1 @@
+"""Composition of one controller node, and the loops that drive it."""
--- a/hookwall/node.py
+++ b/hookwall/node/node.py
@@ -11,36 +11,40 @@
 
 import msgspec
 
-from hookwall import keys, peers, server, wire
-from hookwall.beats import BeatAnswer, BeatHandler
-from hookwall.cancellations import Cancellations
-from hookwall.cloud_client import CloudClient
-from hookwall.confirmer import Confirmer
+from hookwall.api import server
+from hookwall.api.job_service import UserApi
+from hookwall.autoscaling.cloud_client import CloudClient
+from hookwall.autoscaling.scale_out import Renting
+from hookwall.config.operations import DrainSettings, Operations
+from hookwall.config.platform import Settings, address
 from hookwall.drains.drain_slice import DrainSlice
-from hookwall.fleet import Fleet
-from hookwall.formats import FormatGate
-from hookwall.job import Active, Job
-from hookwall.job_writer import JobWriter
-from hookwall.jobs import JobTable
-from hookwall.keeper import Keeper
-from hookwall.leadership import Leadership
-from hookwall.messages import About
-from hookwall.operations import DrainSettings, Operations
-from hookwall.peers import Peer
-from hookwall.renting import Renting
-from hookwall.roles import Role
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Settings, address
-from hookwall.store import Conflict, Refused, Store, Unknown
-from hookwall.user_api import UserApi
-from hookwall.voter import VoterFence
-from hookwall.watch import Watch
-from hookwall.wire import BadMessage, Catalog
+from hookwall.jobs.cancellations import Cancellations
+from hookwall.jobs.job import Active, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.job_writer import JobWriter
+from hookwall.leadership import peer_transport
+from hookwall.leadership.peer_transport import Peer
+from hookwall.leadership.roles import Role
+from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.vote_fence import VoterFence
+from hookwall.protocol import json_messages
+from hookwall.protocol.cloud_messages import Catalog
+from hookwall.protocol.json_messages import BadMessage
+from hookwall.protocol.peer_messages import About
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.storage.read_confirmation import Confirmer
+from hookwall.storage.storage_version import FormatGate
+from hookwall.storage.watch import Watch
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.heartbeat_router import BeatAnswer, BeatHandler
+from hookwall.workers.lease_delegate import Keeper
 
 if TYPE_CHECKING:
     from hookwall.drains.controller import DrainController
 
-log = logging.getLogger("hookwall.node")
+log = logging.getLogger(__name__)
 
 ROUND_EVERY_S = 0.5
 ROUND_GAP_S = 0.1
@@ -164,7 +168,7 @@
             self.drains.take(key, value, stamp)
         elif key == keys.CATALOG and not self.leadership.valid():
             try:
-                self._set_catalog(wire.convert(value, Catalog))
+                self._set_catalog(json_messages.convert(value, Catalog))
             except BadMessage as e:
                 log.error("stored catalog is malformed: %s", e)
 
@@ -318,7 +322,7 @@
     async def run(self) -> None:
         await self.store.open()
         await self.client.open()
-        await peers.listen(self.settings.peer_listen, self.leadership.handle)
+        await peer_transport.listen(self.settings.peer_listen, self.leadership.handle)
         host, port = address(self.settings.public_addr, "public_addr")
         params = self.settings.settings
         door = server.Door(
--- /dev/null
+++ b/hookwall/protocol/cloud_messages.py
@@ -0,0 +1,40 @@
+"""The cloud's answers: machine types, listed machines and provisioned ones, with the platform's words mapped."""
+
+import msgspec
+
+from hookwall.protocol.json_messages import Amount
+
+
+class MachineType(msgspec.Struct, frozen=True):
+    name: str = msgspec.field(name="label")
+    cpus: Amount = msgspec.field(name="cores")
+    gpus: Amount = msgspec.field(name="cards")
+    memory: Amount = msgspec.field(name="memGb")
+    cache_gb: Amount = msgspec.field(name="localGb", default=0.0)
+    fetch_gb_s: Amount = msgspec.field(name="pullGbPerS", default=1.0)
+    price: Amount = 0.0
+    spot_price: Amount = msgspec.field(name="spotPrice", default=0.0)
+    boot_s: Amount = msgspec.field(name="startupS", default=30.0)
+    zones: list[str] = msgspec.field(name="yards", default_factory=list)
+
+
+class Catalog(msgspec.Struct, frozen=True):
+    types: list[MachineType] = msgspec.field(name="hulls")
+
+
+class Listed(msgspec.Struct, frozen=True):
+    name: str = msgspec.field(name="ref")
+    type: str = msgspec.field(name="hull", default="")
+    zone: str = msgspec.field(name="yard", default="")
+    spot: bool = msgspec.field(name="loaners", default=False)
+    phase: str = "running"
+    age_s: float = msgspec.field(name="heldS", default=0.0)
+
+
+class MachineList(msgspec.Struct, frozen=True):
+    machines: list[Listed] = msgspec.field(name="hosts")
+    more: bool = False
+
+
+class Rented(msgspec.Struct, frozen=True):
+    machines: list[str] = msgspec.field(name="hosts")
--- /dev/null
+++ b/hookwall/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Placement, quotas, preemption, and the scheduling round."""
--- a/hookwall/admission.py
+++ b/hookwall/scheduling/feasibility.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Mapping
 
-from hookwall.settings import Team
-from hookwall.wire import Catalog, JobSpec
+from hookwall.config.platform import Team
+from hookwall.protocol.cloud_messages import Catalog
+from hookwall.protocol.job_messages import JobSpec
 
 ROUNDING = 1e-9
 
--- a/hookwall/fit.py
+++ b/hookwall/scheduling/fit.py
@@ -2,9 +2,10 @@
 
 from dataclasses import dataclass
 
-from hookwall.fleet import Fleet
-from hookwall.job import Job
-from hookwall.wire import Catalog, JobSpec, MachineType
+from hookwall.jobs.job import Job
+from hookwall.protocol.cloud_messages import Catalog, MachineType
+from hookwall.protocol.job_messages import JobSpec
+from hookwall.workers.fleet import Fleet
 
 ROUNDING = 1e-9
 WHOLE_SHARE = 0.5  # a task that takes more than this of a machine leaves no room for another like it
--- a/hookwall/image_affinity.py
+++ b/hookwall/scheduling/image_affinity.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from hookwall.fleet import Fleet
-from hookwall.job import Job
-from hookwall.placement import EPS, Ask, Room, allowed, units
-from hookwall.round_state import QueuedJob, RoundState
+from hookwall.jobs.job import Job
+from hookwall.scheduling.placement import EPS, Ask, Room, allowed, units
+from hookwall.scheduling.round_state import QueuedJob, RoundState
+from hookwall.workers.fleet import Fleet
 
 WARM_GAIN_S = 12.0  # a fetch longer than this is worth making room where the image is
 DECLINE = 0.35  # of the time of a fetch, a job leaves machines without its image to others
--- a/hookwall/preemption.py
+++ b/hookwall/scheduling/preemption.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from hookwall.fleet import Fleet
-from hookwall.job import OPEN, Active, Job
-from hookwall.placement import Ask, Room, allowed, units
-from hookwall.round_state import RoundState, StopOption, Usage
-from hookwall.settings import Team
+from hookwall.config.platform import Team
+from hookwall.jobs.job import OPEN, Active, Job
+from hookwall.scheduling.placement import Ask, Room, allowed, units
+from hookwall.scheduling.round_state import RoundState, StopOption, Usage
+from hookwall.workers.fleet import Fleet
 
 SETTLED_S = 30.0  # a start that lasts this long counts for its user
 STOCK_COST_S = 0.2  # for each GB of images that others would have to fetch again
--- a/hookwall/team_limits.py
+++ b/hookwall/scheduling/quotas.py
@@ -1,9 +1,9 @@
 """Teams' guarantees and limits: which jobs are within a guarantee, and how much more a limit admits."""
 
-from hookwall.job import OPEN, Job
-from hookwall.jobs import JobTable
-from hookwall.round_state import RoundState, Usage
-from hookwall.settings import Team
+from hookwall.config.platform import Team
+from hookwall.jobs.job import OPEN, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.scheduling.round_state import RoundState, Usage
 
 
 class TeamLimits:
--- a/hookwall/reservations.py
+++ b/hookwall/scheduling/reservations.py
@@ -5,14 +5,14 @@
 
 import math
 
-from hookwall.fit import fit_of
-from hookwall.fleet import Fleet
-from hookwall.image_affinity import ImageAffinity
-from hookwall.job import OPEN, Job
-from hookwall.jobs import JobTable
-from hookwall.placement import Ask, Room, units
-from hookwall.preemption import Preemption
-from hookwall.round_state import QueuedJob, RoundState
+from hookwall.jobs.job import OPEN, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.scheduling.fit import fit_of
+from hookwall.scheduling.image_affinity import ImageAffinity
+from hookwall.scheduling.placement import Ask, Room, units
+from hookwall.scheduling.preemption import Preemption
+from hookwall.scheduling.round_state import QueuedJob, RoundState
+from hookwall.workers.fleet import Fleet
 
 KEEP_Z = 0.8  # how many machines are kept for whole-machine jobs, in roots of their mean need
 SMOOTH_S = 90.0
--- a/hookwall/round_state.py
+++ b/hookwall/scheduling/round_state.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from hookwall.job import Active, Job
-from hookwall.placement import EPS, Ask, Room, allowed
+from hookwall.jobs.job import Active, Job
+from hookwall.scheduling.placement import EPS, Ask, Room, allowed
 
 MACHINE_BYTES = 40  # of a record, for each machine that it names
 START_BYTES = 14  # and for each start, with what it leaves in the ranges of tasks that are done
--- a/hookwall/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -10,20 +10,20 @@
 from collections.abc import Callable, Container
 from itertools import islice
 
-from hookwall.fit import fit_of
-from hookwall.fleet import Fleet
-from hookwall.image_affinity import STARVES_S, WARM_GAIN_S, ImageAffinity
-from hookwall.job import DONE, OPEN, Job
-from hookwall.jobs import JobTable
-from hookwall.placement import EPS, Ask, Room, place
-from hookwall.preemption import Preemption
-from hookwall.records import plain_starts_bytes
-from hookwall.reservations import Reservations
-from hookwall.round_state import QueuedJob, RoundState, StartRoom, Usage, most_starts
-from hookwall.settings import Params
-from hookwall.team_limits import TeamLimits
+from hookwall.config.platform import Params
+from hookwall.jobs.job import DONE, OPEN, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.scheduling.fit import fit_of
+from hookwall.scheduling.image_affinity import STARVES_S, WARM_GAIN_S, ImageAffinity
+from hookwall.scheduling.placement import EPS, Ask, Room, place
+from hookwall.scheduling.preemption import Preemption
+from hookwall.scheduling.quotas import TeamLimits
+from hookwall.scheduling.reservations import Reservations
+from hookwall.scheduling.round_state import QueuedJob, RoundState, StartRoom, Usage, most_starts
+from hookwall.storage.job_records import plain_starts_bytes
+from hookwall.workers.fleet import Fleet
 
-log = logging.getLogger("hookwall.scheduler")
+log = logging.getLogger(__name__)
 
 ROUND_CORE_S = 0.011  # of a core, for one round: 30 ms on a third of one
 MOST_ROUND_S = 0.12  # reports and health checks wait meanwhile
--- a/hookwall/part_collector.py
+++ b/hookwall/storage/chunk_collector.py
@@ -3,12 +3,12 @@
 import logging
 from collections.abc import Callable
 
-from hookwall import keys
-from hookwall.jobs import JobTable
-from hookwall.leadership import Leadership
-from hookwall.store import Conflict, Refused, Store, Unknown
+from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.state_machine import Leadership
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
 
-log = logging.getLogger("hookwall.job_writer")
+log = logging.getLogger(__name__)
 
 COLLECT_EVERY_S = 5.0
 
--- a/hookwall/part_table.py
+++ b/hookwall/storage/chunk_table.py
@@ -1,6 +1,6 @@
 """Parts of job records that do not fit one value of the state service (records.py)."""
 
-from hookwall import keys, records
+from hookwall.storage import job_records, keys
 
 
 class PartTable:
@@ -57,4 +57,4 @@
 
     def unused(self, ref: str, value: object) -> list[str]:
         """The parts of a job that its record does not name."""
-        return sorted(self.by_job.get(ref, set()) - set(records.part_keys(ref, value)))
+        return sorted(self.by_job.get(ref, set()) - set(job_records.part_keys(ref, value)))
--- a/hookwall/store.py
+++ b/hookwall/storage/client.py
@@ -13,13 +13,13 @@
 import aiohttp
 import msgspec
 
-from hookwall import keys
-from hookwall.client import NoAnswer, call, open_session
-from hookwall.records import value_limit
-from hookwall.service_pace import ServicePace
-from hookwall.settings import State
+from hookwall.config.platform import State
+from hookwall.protocol.http_client import NoAnswer, call, open_session
+from hookwall.storage import keys
+from hookwall.storage.job_records import value_limit
+from hookwall.storage.rate_shares import ServicePace
 
-log = logging.getLogger("hookwall.store")
+log = logging.getLogger(__name__)
 
 CONDITIONS_PER_CHANGE = 4  # a transaction may have so many conditions for each change that it may make
 NO_SUCH_LEASE = "no such lease"
--- a/hookwall/records.py
+++ b/hookwall/storage/job_records.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from hookwall import keys
-from hookwall.wire import JobSpec
+from hookwall.protocol.job_messages import JobSpec
+from hookwall.storage import keys
 
 LIMIT_SHARE = 0.9  # of a value's size limit: the service may count other white space than we write
 LIMIT_MARGIN = 64  # bytes; a cancellation changes the phase of a record in place
--- a/hookwall/service_pace.py
+++ b/hookwall/storage/rate_shares.py
@@ -4,10 +4,10 @@
 import math
 from collections.abc import Callable
 
-from hookwall.pacing import Bucket, Want
-from hookwall.settings import State
+from hookwall.config.platform import State
+from hookwall.storage.rate_limit import Bucket, Want
 
-log = logging.getLogger("hookwall.store")
+log = logging.getLogger(__name__)
 
 MOST_WAIT_S = 1.0
 FIRST_SHARE = 0.25  # of the limits, before a role is known
--- a/hookwall/confirmer.py
+++ b/hookwall/storage/read_confirmation.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from hookwall.store import CONDITIONS_PER_CHANGE, Conflict, Refused, Store, Unknown
+from hookwall.storage.client import CONDITIONS_PER_CHANGE, Conflict, Refused, Store, Unknown
 
 
 class Confirmer:
--- a/hookwall/formats.py
+++ b/hookwall/storage/storage_version.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from hookwall import keys
-from hookwall.store import Conflict, Refused, Store, Unknown
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
 
-log = logging.getLogger("hookwall.formats")
+log = logging.getLogger(__name__)
 
 RETRY_S = 0.5
 
--- a/hookwall/watch.py
+++ b/hookwall/storage/watch.py
@@ -5,9 +5,9 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from hookwall.store import Refused, Store, TooOld, Unknown
+from hookwall.storage.client import Refused, Store, TooOld, Unknown
 
-log = logging.getLogger("hookwall.watch")
+log = logging.getLogger(__name__)
 
 WATCH_S = 3.0  # a watch that is quiet for long says nothing about how current this node is
 LEADER_PAUSE_S, FOLLOWER_PAUSE_S = 0.1, 0.25  # frequent changes come in batches, which cost few requests
--- /dev/null
+++ b/hookwall/workers/__init__.py
@@ -0,0 +1,1 @@
+"""Machines and their workers: heartbeats, leases, lease delegation."""
--- a/hookwall/kept.py
+++ b/hookwall/workers/delegated_leases.py
@@ -3,9 +3,10 @@
 import logging
 from collections.abc import Callable
 
-from hookwall import machine_names, records
+from hookwall.storage import job_records
+from hookwall.workers import name_codec
 
-log = logging.getLogger("hookwall.kept")
+log = logging.getLogger(__name__)
 
 
 class Kept:
@@ -72,10 +73,10 @@
     names = value.get("machines")
     try:
         if isinstance(value.get("packed"), str):
-            names = records.decompress(value["packed"], list[str])
+            names = job_records.decompress(value["packed"], list[str])
         elif "numbered" in value:
-            names = machine_names.decode(value["numbered"])
-    except records.MalformedRecord as error:
+            names = name_codec.decode(value["numbered"])
+    except job_records.MalformedRecord as error:
         log.error("a keeper's key is malformed: %s", error)
         return None
     if not isinstance(names, list):
--- a/hookwall/keeper_conditions.py
+++ b/hookwall/workers/delegation_guard.py
@@ -4,11 +4,11 @@
 import logging
 from collections.abc import Callable
 
-from hookwall.jobs import JobTable
-from hookwall.kept import Kept
-from hookwall.store import Refused, Store, Unknown
+from hookwall.jobs.job_table import JobTable
+from hookwall.storage.client import Refused, Store, Unknown
+from hookwall.workers.delegated_leases import Kept
 
-log = logging.getLogger("hookwall.job_writer")
+log = logging.getLogger(__name__)
 
 WATCH_WAIT_S = 0.5  # for the watch to tell of what a write found changed
 WATCH_STEP_S = 0.02
--- a/hookwall/fleet.py
+++ b/hookwall/workers/fleet.py
@@ -14,18 +14,19 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from hookwall.hints import Hints
-from hookwall.job import Active, Job
-from hookwall.jobs import JobTable
-from hookwall.kept import Kept
-from hookwall.leases import Leases
-from hookwall.machine import USABLE, Machine, Names, Phase
-from hookwall.placement import NOWHERE, Room
-from hookwall.reports import ReportHandler
-from hookwall.settings import Params
-from hookwall.wire import Beat, Catalog, MachineType, Order
-
-log = logging.getLogger("hookwall.fleet")
+from hookwall.config.platform import Params
+from hookwall.jobs.job import Active, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.protocol.cloud_messages import Catalog, MachineType
+from hookwall.protocol.heartbeat_messages import Beat, Order
+from hookwall.scheduling.placement import NOWHERE, Room
+from hookwall.workers.delegated_leases import Kept
+from hookwall.workers.heartbeat_handler import ReportHandler
+from hookwall.workers.lease_expiry import Leases
+from hookwall.workers.machine import USABLE, Machine, Names, Phase
+from hookwall.workers.successor_hints import Hints
+
+log = logging.getLogger(__name__)
 
 
 class Fleet:
--- a/hookwall/reports.py
+++ b/hookwall/workers/heartbeat_handler.py
@@ -3,15 +3,15 @@
 import logging
 from typing import TYPE_CHECKING
 
-from hookwall import wire
-from hookwall.job import OPEN, WITHDRAWN, Active, Job
-from hookwall.machine import Machine, Phase
-from hookwall.wire import Beat, Order
+from hookwall.jobs.job import OPEN, WITHDRAWN, Active, Job
+from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.heartbeat_messages import Beat, Order
+from hookwall.workers.machine import Machine, Phase
 
 if TYPE_CHECKING:
-    from hookwall.fleet import Fleet
+    from hookwall.workers.fleet import Fleet
 
-log = logging.getLogger("hookwall.fleet")
+log = logging.getLogger(__name__)
 
 MOST_ORDERS = 300
 STOP_AGAIN_S = 1.5
@@ -57,7 +57,7 @@
         seen: set[tuple[str, int]] = set()
         unrecorded: set[tuple[str, int]] = set()
         for reported in beat.tasks:
-            parts = wire.split_task(reported.piece)
+            parts = heartbeat_messages.split_task(reported.piece)
             if parts is None:
                 continue
             if self._reported(machine, parts, reported, orders, unrecorded, now):
@@ -100,7 +100,7 @@
         self,
         machine: Machine,
         key: tuple[str, int],
-        reported: wire.TaskReport,
+        reported: heartbeat_messages.TaskReport,
         orders: list[Order],
         unrecorded: set[tuple[str, int]],
         now: float,
@@ -113,7 +113,7 @@
             return self._reported_exit(machine, key, reported, entry, orders)
         if entry is None:
             unrecorded.add(key)
-            orders.append(wire.stop(reported.piece, reported.attempt, 0.0))
+            orders.append(heartbeat_messages.stop(reported.piece, reported.attempt, 0.0))
             return True
         job, start = entry
         if reported.phase != start.phase:
@@ -125,17 +125,17 @@
                 start.running_since = now
             self.fleet.wake()
         if job.phase == WITHDRAWN:
-            orders.append(wire.stop(reported.piece, reported.attempt, 0.0))
+            orders.append(heartbeat_messages.stop(reported.piece, reported.attempt, 0.0))
         elif start.stop_grace is not None and now - start.stop_sent > STOP_AGAIN_S and _heeds_stop(start, reported):
             start.stop_sent = now
-            orders.append(wire.stop(reported.piece, reported.attempt, start.stop_grace))
+            orders.append(heartbeat_messages.stop(reported.piece, reported.attempt, start.stop_grace))
         return True
 
     def _reported_exit(
         self,
         machine: Machine,
         key: tuple[str, int],
-        reported: wire.TaskReport,
+        reported: heartbeat_messages.TaskReport,
         entry: tuple[Job, Active] | None,
         orders: list[Order],
     ) -> bool:
@@ -147,7 +147,7 @@
             return True
         # Only once the record no longer names this start: a leader that forgot it would
         # otherwise launch the same attempt again.
-        orders.append(wire.forget(reported.piece, reported.attempt))
+        orders.append(heartbeat_messages.forget(reported.piece, reported.attempt))
         return entry is not None
 
     def _absent(self, machine: Machine, job: Job, start: Active, current: bool, orders: list[Order]) -> None:
@@ -168,7 +168,7 @@
             self.fleet.drop(job, start, "vanished")
             return
         if job.may_launch(start):
-            orders.append(wire.launch(job.ref, start.task, start.attempt))
+            orders.append(heartbeat_messages.launch(job.ref, start.task, start.attempt))
 
     def _exited(self, machine: Machine, job: Job, start: Active, cause: str, saved: bool) -> None:
         if cause == "done":
@@ -219,6 +219,6 @@
             self.fleet.stop(job, start, spec.save_s + 0.5, "spot notice")
 
 
-def _heeds_stop(start: Active, reported: wire.TaskReport) -> bool:
+def _heeds_stop(start: Active, reported: heartbeat_messages.TaskReport) -> bool:
     """Whether a stop would change anything: a task that saves already only heeds one that gives it no more time."""
     return reported.phase != "saving" or start.stop_grace == 0.0
--- a/hookwall/beats.py
+++ b/hookwall/workers/heartbeat_router.py
@@ -5,14 +5,15 @@
 
 import msgspec
 
-from hookwall import wire
-from hookwall.cancellations import Cancellations
-from hookwall.fleet import Fleet
-from hookwall.keeper import Keeper
-from hookwall.leadership import Leadership
-from hookwall.wire import BadMessage, Beat
+from hookwall.jobs.cancellations import Cancellations
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.heartbeat_messages import Beat
+from hookwall.protocol.json_messages import BadMessage
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.lease_delegate import Keeper
 
-log = logging.getLogger("hookwall.beats")
+log = logging.getLogger(__name__)
 
 BeatAnswer = tuple[int, bytes]
 UNAVAILABLE: BeatAnswer = (503, b"{}")
@@ -36,7 +37,7 @@
     def take(self, body: bytes) -> BeatAnswer | Awaitable[BeatAnswer]:
         """A worker's report. A leader knows the answer at once; one that keeps a lease may have to store that first."""
         try:
-            beat = wire.decode_beat(body)
+            beat = heartbeat_messages.decode_beat(body)
         except BadMessage as error:
             log.info("malformed report: %s", error)
             return 400, b'{"error":"malformed"}'
@@ -55,7 +56,7 @@
         if orders is None:
             return UNAVAILABLE
         self.on_report()
-        return 200, msgspec.json.encode(wire.BeatAnswer(lead.token, orders))
+        return 200, msgspec.json.encode(heartbeat_messages.BeatAnswer(lead.token, orders))
 
     def _elsewhere(self, name: str | None) -> BeatAnswer:
         """Send a worker to the leader, if one is known."""
@@ -66,4 +67,4 @@
         orders = await self.keeper.keep(beat)
         if orders is None:
             return self._elsewhere(self.leadership.leader_name())
-        return 200, msgspec.json.encode(wire.BeatAnswer(self.keeper.token, orders))
+        return 200, msgspec.json.encode(heartbeat_messages.BeatAnswer(self.keeper.token, orders))
--- a/hookwall/keeper.py
+++ b/hookwall/workers/lease_delegate.py
@@ -13,15 +13,17 @@
 import logging
 from collections.abc import Callable
 
-from hookwall import keys, machine_names, records, wire
-from hookwall.clocks import DRIFT, SLACK_S
-from hookwall.jobs import JobTable
-from hookwall.leadership import Leadership
-from hookwall.roles import Mode, Role
-from hookwall.store import Conflict, Refused, Store, Unknown
-from hookwall.wire import Beat, Order
-
-log = logging.getLogger("hookwall.keeper")
+from hookwall.config.clock_bounds import DRIFT, SLACK_S
+from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.roles import Mode, Role
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.heartbeat_messages import Beat, Order
+from hookwall.storage import job_records, keys
+from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.workers import name_codec
+
+log = logging.getLogger(__name__)
 
 HOLD_S = 6.0
 RENEW_S = 1.5
@@ -113,9 +115,9 @@
             return None
         orders = []
         for t in b.tasks:
-            parts = wire.split_task(t.piece)
+            parts = heartbeat_messages.split_task(t.piece)
             if parts is not None and self.table.withdrawn(parts[0]) and t.phase != "exited":
-                orders.append(wire.stop(t.piece, t.attempt, 0.0))
+                orders.append(heartbeat_messages.stop(t.piece, t.attempt, 0.0))
         return orders
 
     async def _write(self, shrink: bool = False) -> None:
@@ -175,15 +177,15 @@
         """The first form that all nodes read and that is small enough, or None."""
         value: dict[str, object] = {"token": token, "machines": names}
         if not self.packs():
-            return value if records.size(value) <= self.store.plain_limit() else None
+            return value if job_records.size(value) <= self.store.plain_limit() else None
         limit = self.store.value_limit
-        if records.size(value) <= limit:
+        if job_records.size(value) <= limit:
             return value
         if self.numbers():
-            value = {"token": token, "numbered": machine_names.encode(names)}
+            value = {"token": token, "numbered": name_codec.encode(names)}
         else:
-            value = {"token": token, "packed": records.compress(names)}
-        return value if records.size(value) <= limit else None
+            value = {"token": token, "packed": job_records.compress(names)}
+        return value if job_records.size(value) <= limit else None
 
     async def _stop(self, why: str) -> None:
         """Answer no more, and only then say so."""
--- a/hookwall/leases.py
+++ b/hookwall/workers/lease_expiry.py
@@ -3,14 +3,14 @@
 import logging
 from typing import TYPE_CHECKING
 
-from hookwall.clocks import DRIFT
-from hookwall.job import WITHDRAWN
-from hookwall.machine import Machine
+from hookwall.config.clock_bounds import DRIFT
+from hookwall.jobs.job import WITHDRAWN
+from hookwall.workers.machine import Machine
 
 if TYPE_CHECKING:
-    from hookwall.fleet import Fleet
+    from hookwall.workers.fleet import Fleet
 
-log = logging.getLogger("hookwall.fleet")
+log = logging.getLogger(__name__)
 
 LEASE_MARGIN_S = 0.5
 
--- a/hookwall/machine.py
+++ b/hookwall/workers/machine.py
@@ -3,8 +3,8 @@
 from collections import OrderedDict
 from enum import Enum
 
-from hookwall.job import Active, Job
-from hookwall.placement import Room
+from hookwall.jobs.job import Active, Job
+from hookwall.scheduling.placement import Room
 
 
 class Names:
--- a/hookwall/machine_names.py
+++ b/hookwall/workers/name_codec.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from hookwall import records
-from hookwall.records import MalformedRecord
+from hookwall.storage import job_records
+from hookwall.storage.job_records import MalformedRecord
 
 NUMBERED = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL | re.ASCII)
 MOST_NAMES = 1_000_000
@@ -65,13 +65,13 @@
     for number in sorted(numbers):
         gaps.append(number - last)
         last = number
-    return records.compress_bytes(msgspec.msgpack.encode(gaps))
+    return job_records.compress_bytes(msgspec.msgpack.encode(gaps))
 
 
 def _unpack(text: str) -> list[int]:
     """The numbers that `_pack` was given."""
     try:
-        gaps = msgspec.msgpack.decode(records.decompress_bytes(text), type=list[int])
+        gaps = msgspec.msgpack.decode(job_records.decompress_bytes(text), type=list[int])
     except msgspec.DecodeError as error:
         raise MalformedRecord(str(error)) from None
     if len(gaps) > MOST_NAMES or any(gap < 1 for gap in gaps):
--- a/hookwall/hints.py
+++ b/hookwall/workers/successor_hints.py
@@ -3,7 +3,7 @@
 Never a matter of rules: a hint that is lost or old costs a fetch.
 """
 
-from hookwall.machine import Machine, Names, Phase
+from hookwall.workers.machine import Machine, Names, Phase
 
 MOST_IMAGES = 6000  # in one message, of 256 KiB at most
 
--- a/tests/test_server.py
+++ b/tests/api/test_server.py
@@ -7,10 +7,10 @@
 import pytest
 from conftest import CATALOG, description
 
-from hookwall.confirmer import Confirmer
-from hookwall.jobs import JobTable
-from hookwall.server import MOST_AT_ONCE, Door, listen
-from hookwall.user_api import UserApi
+from hookwall.api.job_service import UserApi
+from hookwall.api.server import MOST_AT_ONCE, Door, listen
+from hookwall.jobs.job_table import JobTable
+from hookwall.storage.read_confirmation import Confirmer
 
 
 def talk(params, state, clock, script):
--- a/tests/test_machine_list.py
+++ b/tests/autoscaling/test_machine_list.py
@@ -5,11 +5,11 @@
 import pytest
 from world import VirtualLoop
 
-from hookwall import wire
-from hookwall.cloud_client import Trouble
-from hookwall.machine_list import MachineList
+from hookwall.autoscaling.cloud_client import Trouble
+from hookwall.autoscaling.inventory import MachineList
+from hookwall.protocol import cloud_messages
 
-LISTED = [wire.Listed(name="vm-1", type="g4", zone="east", phase="running")]
+LISTED = [cloud_messages.Listed(name="vm-1", type="g4", zone="east", phase="running")]
 
 
 class Cloud:
--- a/tests/test_renting.py
+++ b/tests/autoscaling/test_renting.py
@@ -5,11 +5,11 @@
 import pytest
 from world import VirtualLoop
 
-from hookwall import wire
-from hookwall.cloud_client import NoCapacity, Trouble
-from hookwall.job import WITHDRAWN
-from hookwall.machine import Phase
-from hookwall.renting import SETTLE_S, Renting
+from hookwall.autoscaling.cloud_client import NoCapacity, Trouble
+from hookwall.autoscaling.scale_out import SETTLE_S, Renting
+from hookwall.jobs.job import WITHDRAWN
+from hookwall.protocol import cloud_messages, json_messages
+from hookwall.workers.machine import Phase
 
 
 class ScriptedCloud:
@@ -62,7 +62,7 @@
 
 
 def test_a_refused_pool_is_left_alone_for_a_while(cluster, renting):
-    from hookwall.renting import Hire
+    from hookwall.autoscaling.scale_out import Hire
 
     def refuse(count):
         raise NoCapacity
@@ -77,7 +77,7 @@
 
 
 def test_an_unanswered_hire_keeps_its_name_and_counts_as_coming(cluster, renting):
-    from hookwall.renting import Hire
+    from hookwall.autoscaling.scale_out import Hire
 
     def lose(count):
         raise Trouble("timeout")
@@ -91,7 +91,7 @@
 
 
 def test_unexpected_machines_are_taken_in(cluster, renting):
-    renting.lists.take([wire.Listed(name="vm-77", type="g4", zone="west", phase="running")], cluster.clock())
+    renting.lists.take([cloud_messages.Listed(name="vm-77", type="g4", zone="west", phase="running")], cluster.clock())
     assert cluster.fleet.machines["vm-77"].phase is Phase.BOOTING
     cluster.beat("vm-77", zone="west")
     job = cluster.submit(1)
@@ -205,7 +205,7 @@
     """It would count as one that is coming, and nothing would be rented in its place."""
     cluster.beat("vm-1")
     cluster.fleet.gone(cluster.fleet.machines["vm-1"], "deleted")
-    renting.lists.take([wire.Listed(name="vm-1", type="g4", zone="east", phase="running")], cluster.clock())
+    renting.lists.take([cloud_messages.Listed(name="vm-1", type="g4", zone="east", phase="running")], cluster.clock())
     assert "vm-1" not in cluster.fleet.machines
 
 
@@ -226,8 +226,8 @@
 def test_a_catalog_of_several_types_is_rented_from_and_returned_to(cluster, renting):
     """Need was once counted in GPUs, and a type without any divided by zero."""
     cpu = {"label": "c16", "cores": 16, "cards": 0, "memGb": 64, "price": 2.0, "spotPrice": 1.0, "yards": ["east"]}
-    types = [*wire.convert({"hulls": [cpu]}, wire.Catalog).types, *cluster.fleet.catalog.types]
-    cluster.fleet.set_catalog(wire.Catalog(types))
+    types = [*json_messages.convert({"hulls": [cpu]}, cloud_messages.Catalog).types, *cluster.fleet.catalog.types]
+    cluster.fleet.set_catalog(cloud_messages.Catalog(types))
     cluster.submit(1, cards=0.0, cores=12.0, pieces=2, spot=False)
     cluster.submit(2, cards=1.0, pieces=4)
     cluster.scheduler.round()
@@ -258,7 +258,7 @@
 
 
 def test_a_new_leader_does_not_count_on_machines_that_never_come_to_it(cluster, renting):
-    listed = [wire.Listed(name=f"vm-{i}", type="g4", zone="west", phase="running") for i in range(4)]
+    listed = [cloud_messages.Listed(name=f"vm-{i}", type="g4", zone="west", phase="running") for i in range(4)]
     cluster.fleet.reset(token=9)
     renting.reset()
     cluster.fleet.begin(cluster.clock())
--- a/tests/test_pipeline_meetings.py
+++ b/tests/cluster/test_pipeline_meetings.py
@@ -6,8 +6,8 @@
 from pipelines import becomes_done, becomes_withdrawn, chain
 from world import World, play
 
-from hookwall import keys
-from hookwall.settings import NextState, State
+from hookwall.config.platform import NextState, State
+from hookwall.storage import keys
 
 
 @pytest.mark.parametrize("old", [1, 2])
--- a/tests/test_pipelines.py
+++ b/tests/cluster/test_pipelines.py
@@ -6,8 +6,8 @@
 from pipelines import becomes_done, becomes_withdrawn, chain
 from world import World, play
 
-from hookwall import keys
-from hookwall.settings import NextState, State, Team
+from hookwall.config.platform import NextState, State, Team
+from hookwall.storage import keys
 
 SMALL = State(rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(write_rps=21.0, txn_ops=4))
 
--- a/tests/test_ran_twice.py
+++ b/tests/cluster/test_ran_twice.py
@@ -6,8 +6,8 @@
 from histories import Invariants
 from world import Worker, World, play
 
-from hookwall import keys
-from hookwall.promise import VOTE_S
+from hookwall.leadership.vote_grant import VOTE_S
+from hookwall.storage import keys
 
 
 def machine_of(world: World, ref: str) -> Worker:
--- a/tests/test_upgrade.py
+++ b/tests/cluster/test_upgrade.py
@@ -9,9 +9,9 @@
 import pytest
 from world import World, play
 
-from hookwall import keys, records
-from hookwall.formats import CURRENT
-from hookwall.settings import NextState, State
+from hookwall.config.platform import NextState, State
+from hookwall.storage import job_records, keys
+from hookwall.storage.storage_version import CURRENT
 
 LIMITS = State(
     rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=NextState(write_rps=30.0, value_kb=2.0, txn_ops=4)
@@ -203,7 +203,7 @@
             await asyncio.sleep(2.0)
         await all_new(w)
         values = [v for k, (v, _, _) in w.service.keys.items() if k.startswith(keys.JOBS)]
-        assert any(records.size(v) > 1500 for v in values)
+        assert any(job_records.size(v) > 1500 for v in values)
         w.service.lower()
         await w.cancel(w.followers()[0], refs[0])
         first = w.job(10, run_s=3.0)
--- a/tests/test_wire_settings.py
+++ b/tests/config/test_wire_settings.py
@@ -5,8 +5,9 @@
 import pytest
 from conftest import description
 
-from hookwall import settings, wire
 from hookwall.cli import main
+from hookwall.config import platform
+from hookwall.protocol import heartbeat_messages, job_messages, json_messages
 
 GOOD = """
 node_name = "n0"
@@ -45,7 +46,7 @@
 def test_settings_ignore_what_is_unknown(tmp_path):
     f = tmp_path / "s.toml"
     f.write_text(GOOD)
-    s = settings.load(str(f))
+    s = platform.load(str(f))
     assert s.settings.workers.lease_s == 12.0
 
 
@@ -74,7 +75,7 @@
 
 
 def test_a_submission_survives_the_round_trip_and_unknown_fields():
-    spec = wire.decode_job(json.dumps({**description(7), "extra": [1]}).encode())
+    spec = job_messages.decode_job(json.dumps({**description(7), "extra": [1]}).encode())
     assert (spec.ref, spec.gang, spec.gpus) == ("run-000007", False, 1.0)
 
 
@@ -87,25 +88,25 @@
     ],
 )  # fmt: skip
 def test_bad_fields_are_malformed(changes):
-    with pytest.raises(wire.BadMessage):
-        wire.decode_job(json.dumps({**description(), **changes}).encode())
+    with pytest.raises(json_messages.BadMessage):
+        job_messages.decode_job(json.dumps({**description(), **changes}).encode())
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"3", b"{", b"\xff\xfe", b'{"ref":"run-1"}', b"[" * 3000])
 def test_what_is_no_submission_is_malformed(body):
-    with pytest.raises(wire.BadMessage):
-        wire.decode_job(body)
+    with pytest.raises(json_messages.BadMessage):
+        job_messages.decode_job(body)
 
 
 @pytest.mark.parametrize("name", sorted(description().keys() - {"hulls", "yard", "dueS"}))
 def test_every_field_that_cannot_be_null_is_needed(name):
     d = description()
     del d[name]
-    with pytest.raises(wire.BadMessage):
-        wire.decode_job(json.dumps(d).encode())
+    with pytest.raises(json_messages.BadMessage):
+        job_messages.decode_job(json.dumps(d).encode())
 
 
 def test_task_names():
-    assert wire.split_task("run-000412/3") == ("run-000412", 3)
-    assert wire.split_task("run-000412") is None
-    assert wire.split_task("run-000412/x") is None
+    assert heartbeat_messages.split_task("run-000412/3") == ("run-000412", 3)
+    assert heartbeat_messages.split_task("run-000412") is None
+    assert heartbeat_messages.split_task("run-000412/x") is None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,13 +5,13 @@
 import pytest
 from known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary  # noqa: F401
 
-from hookwall import wire
-from hookwall.fleet import Fleet
-from hookwall.jobs import JobTable
-from hookwall.records import value_limit
-from hookwall.scheduler import Scheduler
-from hookwall.settings import Cloud, MachineLimits, Params, State, Team, Workers
-from hookwall.store import Conflict, KeyState, Refused, Unknown
+from hookwall.config.platform import Cloud, MachineLimits, Params, State, Team, Workers
+from hookwall.jobs.job_table import JobTable
+from hookwall.protocol import cloud_messages, heartbeat_messages, json_messages
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.storage.client import Conflict, KeyState, Refused, Unknown
+from hookwall.storage.job_records import value_limit
+from hookwall.workers.fleet import Fleet
 
 
 class Clock:
@@ -130,14 +130,14 @@
     return {**d, **changes}
 
 
-CATALOG = wire.convert(
+CATALOG = json_messages.convert(
     {
         "hulls": [
             {"label": "g4", "cores": 32, "cards": 4, "memGb": 256, "localGb": 20, "pullGbPerS": 0.5, "price": 10.0,
              "spotPrice": 4.0, "startupS": 25, "yards": ["east", "west"]},
         ]
     },
-    wire.Catalog,
+    cloud_messages.Catalog,
 )  # fmt: skip
 
 
@@ -180,9 +180,9 @@
             self.ticks[name] = 0
             self.beat(name, tasks, token, tenure, zone, spot)
         n = self.ticks[name] = self.ticks.get(name, 0) + 1 if tick is None else tick
-        b = wire.Beat(
+        b = heartbeat_messages.Beat(
             machine=name, tenure=tenure, tick=n, token=token, type="g4", zone=zone, spot=spot, notice_s=notice,
-            tasks=[wire.TaskReport(piece=p, attempt=a, phase=ph, cause=c) for p, a, ph, c in tasks],
+            tasks=[heartbeat_messages.TaskReport(piece=p, attempt=a, phase=ph, cause=c) for p, a, ph, c in tasks],
         )  # fmt: skip
         orders = self.fleet.report(b)
         return None if orders is None else [(o.verb, o.piece, o.attempt) for o in orders]
--- a/tests/drain_world.py
+++ b/tests/drain_world.py
@@ -6,13 +6,14 @@
 
 from world import Task, Worker, World, path
 
-from hookwall import cli, keys
-from hookwall.cloud_client import CloudClient
+from hookwall import cli
+from hookwall.autoscaling.cloud_client import CloudClient
+from hookwall.config.operations import Budget, DrainSettings, Operations
+from hookwall.config.platform import External, Seed, Settings, Team
 from hookwall.drains.command import DrainCommand, ExitCode, execute
 from hookwall.drains.records import DrainRecord, decode
-from hookwall.operations import Budget, DrainSettings, Operations
-from hookwall.settings import External, Seed, Settings, Team
-from hookwall.store import Store
+from hookwall.storage import keys
+from hookwall.storage.client import Store
 
 PERIOD_S = 20.0
 TEAMS = [Team("red"), Team("blue")]
--- a/tests/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -10,14 +10,14 @@
 from test_drains import BLUE, LONG_S, RED, WHOLE, drained, machine_of, running_jobs
 from world import play
 
-from hookwall import keys
+from hookwall.config.operations import Operations, check
+from hookwall.config.operations import load as load_operations
+from hookwall.config.platform import BadSettings
 from hookwall.drains.bound import Load, LoadedJob, fewest_waves
 from hookwall.drains.command import ExitCode
-from hookwall.operations import Operations, check
-from hookwall.operations import load as load_operations
-from hookwall.settings import BadSettings
+from hookwall.storage import keys
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -4,17 +4,17 @@
 
 import pytest
 from drain_world import TEAMS, operations
-from test_cost import leading, report
+from leading_node import leading, report
 from test_drain_ledger import PERIOD_S
 
-from hookwall import keys
 from hookwall.drains import records
 from hookwall.drains.records import Afterwards, DisruptionPage, DrainPhase, StepPhase, StepRecord
 from hookwall.drains.request import DrainRequest, Selection, aborted, new_record
-from hookwall.image_affinity import STARVES_S
-from hookwall.machine import Phase
-from hookwall.node import Node
-from hookwall.store import Conflict, Refused, Unknown
+from hookwall.node.node import Node
+from hookwall.scheduling.image_affinity import STARVES_S
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Refused, Unknown
+from hookwall.workers.machine import Phase
 
 MACHINES = 4
 FIRST, SECOND = "vm-000000", "vm-000001"
--- a/tests/test_drain_ledger.py
+++ b/tests/drains/test_drain_ledger.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from hookwall import machine_names
+from hookwall.config.operations import Budget
 from hookwall.drains import records
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.ledger import Ledger, allowance
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
-from hookwall.operations import Budget
-from hookwall.records import MalformedRecord
+from hookwall.storage.job_records import MalformedRecord
+from hookwall.workers import name_codec
 
-GOLDEN = json.loads((Path(__file__).parent / "golden" / "drains_1.json").read_text())
+GOLDEN = json.loads((Path(__file__).parent.parent / "golden" / "drains_1.json").read_text())
 PERIOD_S = 60.0
 
 
@@ -141,5 +141,5 @@
 
 def test_thousands_of_machines_fit_a_small_value():
     names = [f"vm-{n:06d}" for n in range(0, 8000, 2)]
-    record = records.decode({**GOLDEN["drain"], "remaining": machine_names.encode(names)}, DrainRecord)
+    record = records.decode({**GOLDEN["drain"], "remaining": name_codec.encode(names)}, DrainRecord)
     assert len(json.dumps(records.encode(record))) < 1843 and record.machines() == names
--- a/tests/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -7,9 +7,9 @@
 from loopback import LoopbackWorld, play_loopback
 from test_drains import BLUE, RED, WHOLE, machine_of
 
-from hookwall import keys
 from hookwall.drains.command import ExitCode
 from hookwall.drains.records import DrainRecord, decode
+from hookwall.storage import keys
 
 RUN_S = 600.0
 BUDGETS = {"red": 1, "blue": 1}
--- a/tests/test_drain_planner.py
+++ b/tests/drains/test_drain_planner.py
@@ -1,7 +1,7 @@
 """The planner of drains: a pure function of machines, budgets and room."""
 
 from hookwall.drains.planner import Budgets, Candidate, Occupant, Terms, WaitKind, plan
-from hookwall.placement import Ask, Room
+from hookwall.scheduling.placement import Ask, Room
 
 ONE = Terms(batch=1, finish_s=0.0)
 
--- a/tests/test_drains.py
+++ b/tests/drains/test_drains.py
@@ -6,8 +6,8 @@
 from drain_world import TEAMS, BudgetOracle, Operator, cordoned, operations
 from world import World, play
 
-from hookwall import keys
 from hookwall.drains.command import ExitCode
+from hookwall.storage import keys
 
 RED, BLUE = {"owner": "red"}, {"owner": "blue"}
 WHOLE = {"cards": 4.0, "cores": 8.0}  # a task that needs a machine's GPUs
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -25,8 +25,8 @@
 
 from world import Task, Worker, World, play
 
-from hookwall import keys, records
-from hookwall.records import MalformedRecord, MissingParts
+from hookwall.storage import job_records, keys
+from hookwall.storage.job_records import MalformedRecord, MissingParts
 
 MACHINES = 6
 JOBS = 5
@@ -78,10 +78,10 @@
         stored = self.world.service.keys
         value = stored.get(keys.JOBS + ref, ({}, 0, None))[0]
         try:
-            record = records.decode(ref, value, lambda key: stored.get(key, (None, 0, None))[0])
+            record = job_records.decode(ref, value, lambda key: stored.get(key, (None, 0, None))[0])
         except (MissingParts, MalformedRecord):
             return None
-        return {(m, s, a, task) for m, s, a, tasks in record.on for task in records.unpack_numbers(tasks)}
+        return {(m, s, a, task) for m, s, a, tasks in record.on for task in job_records.unpack_numbers(tasks)}
 
     def check_launch(self, worker: Worker, piece: str, attempt: int) -> None:
         """A worker executes a launch for the first time."""
--- a/tests/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from hookwall import cancellations as cn
-from hookwall import keys
-from hookwall.cancellations import Cancellations
-from hookwall.leadership import Leadership
-from hookwall.messages import ToldCancellations
-from hookwall.promise import PROMISE_S
-from hookwall.roles import Mode, Role
+from hookwall.jobs import cancellations as cn
+from hookwall.jobs.cancellations import Cancellations
+from hookwall.leadership.roles import Mode, Role
+from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.vote_grant import PROMISE_S
+from hookwall.protocol.peer_messages import ToldCancellations
+from hookwall.storage import keys
 
 
 class Peers:
--- a/tests/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hookwall.dependencies import DependencyGraph, Outcome
+from hookwall.jobs.dependency_graph import DependencyGraph, Outcome
 
 
 def chain(*edges: tuple[str, list[str]]) -> DependencyGraph:
--- a/tests/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -8,17 +8,17 @@
 import pytest
 from conftest import description
 
-from hookwall import keys
-from hookwall.job import Active
-from hookwall.job_writer import JobWriter
-from hookwall.jobs import JobTable
-from hookwall.kept import Kept
-from hookwall.records import JobRecord, encode, size, value_limit
-from hookwall.roles import Role
-from hookwall.round_state import MACHINE_BYTES, START_BYTES
-from hookwall.settings import State
-from hookwall.store import Conflict, Unknown
-from hookwall.wire import JobSpec
+from hookwall.config.platform import State
+from hookwall.jobs.job import Active
+from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.job_writer import JobWriter
+from hookwall.leadership.roles import Role
+from hookwall.protocol.job_messages import JobSpec
+from hookwall.scheduling.round_state import MACHINE_BYTES, START_BYTES
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict, Unknown
+from hookwall.storage.job_records import JobRecord, encode, size, value_limit
+from hookwall.workers.delegated_leases import Kept
 
 KEY = keys.JOBS + "run-000001"
 
--- a/tests/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -7,14 +7,14 @@
 import pytest
 from conftest import CATALOG, description
 
-from hookwall import keys
-from hookwall.confirmer import Confirmer
-from hookwall.job import write_order
-from hookwall.jobs import JobTable
-from hookwall.records import JobRecord, encode, pack_numbers, plain, unpack_numbers
-from hookwall.store import Conflict
-from hookwall.user_api import UserApi
-from hookwall.wire import JobSpec
+from hookwall.api.job_service import UserApi
+from hookwall.jobs.job import write_order
+from hookwall.jobs.job_table import JobTable
+from hookwall.protocol.job_messages import JobSpec
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict
+from hookwall.storage.job_records import JobRecord, encode, pack_numbers, plain, unpack_numbers
+from hookwall.storage.read_confirmation import Confirmer
 
 
 class Nodes:
--- a/tests/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from hookwall import keys
-from hookwall.campaign import ALONE_S, SHORT_HOLD_S
-from hookwall.handover import LONELY_S
-from hookwall.leadership import Leadership
-from hookwall.promise import PROMISE_S, VOTE_S, Promise
-from hookwall.roles import Mode, Role
-from hookwall.store import KeyState, Refused
+from hookwall.leadership.election import ALONE_S, SHORT_HOLD_S
+from hookwall.leadership.leadership_transfer import LONELY_S
+from hookwall.leadership.roles import Mode, Role
+from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.vote_grant import PROMISE_S, VOTE_S, Promise
+from hookwall.storage import keys
+from hookwall.storage.client import KeyState, Refused
 
 
 @pytest.fixture
--- a/tests/test_voter.py
+++ b/tests/leadership/test_voter.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from hookwall import keys
-from hookwall.leadership import Leadership
-from hookwall.promise import PROMISE_S
-from hookwall.roles import Role
-from hookwall.store import Unknown
-from hookwall.voter import VoterFence
+from hookwall.leadership.roles import Role
+from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.vote_fence import VoterFence
+from hookwall.leadership.vote_grant import PROMISE_S
+from hookwall.storage import keys
+from hookwall.storage.client import Unknown
 
 MY_KEY = keys.VOTER + "n0"
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,9 +20,9 @@
 from aiohttp import web
 from world import World
 
-from hookwall import keys
-from hookwall.client import NoAnswer
-from hookwall.settings import Workers
+from hookwall.config.platform import Workers
+from hookwall.protocol.http_client import NoAnswer
+from hookwall.storage import keys
 
 ROOT = Path(__file__).parent.parent
 OPERATOR = "operator"
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -6,11 +6,11 @@
 import pytest
 from conftest import description
 
-from hookwall import keys
-from hookwall.node import Node
-from hookwall.promise import PROMISE_S
-from hookwall.roles import Mode, Role
-from hookwall.settings import External, Seed, Settings
+from hookwall.config.platform import External, Seed, Settings
+from hookwall.leadership.roles import Mode, Role
+from hookwall.leadership.vote_grant import PROMISE_S
+from hookwall.node.node import Node
+from hookwall.storage import keys
 
 
 @pytest.fixture
--- a/tests/test_start.py
+++ b/tests/node/test_start.py
@@ -7,7 +7,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def test_a_start_uses_what_the_build_compiled(tmp_path):
--- a/tests/pipeline_histories.py
+++ b/tests/pipeline_histories.py
@@ -19,8 +19,8 @@
 from histories import History, Invariants, broken_in, play_range
 from world import World
 
-from hookwall.formats import Format
-from hookwall.settings import NextState, State
+from hookwall.config.platform import NextState, State
+from hookwall.storage.storage_version import Format
 
 MACHINES = 8
 FORMATS = [0, 0, 1, 2, 2]  # that the nodes begin with; 0: the current program
--- a/tests/production.py
+++ b/tests/production.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from hookwall import keys
-from hookwall.formats import Format, FormatGate
-from hookwall.messages import About
-from hookwall.node import Node
+from hookwall.node.node import Node
+from hookwall.protocol.peer_messages import About
+from hookwall.storage import keys
+from hookwall.storage.storage_version import Format, FormatGate
 
 SPEC_FIELDS = {
     "ref": str, "hookset": str, "owner": str, "shape": str, "rank": str, "pieces": int, "cores": float,
--- a/tests/test_messages.py
+++ b/tests/protocol/test_messages.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from hookwall.leadership import Leadership
-from hookwall.messages import About, Kind, PeerAnswer, PeerMessage, decode_answer, decode_message, encode
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol.peer_messages import About, Kind, PeerAnswer, PeerMessage, decode_answer, decode_message, encode
 
 PING = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3, "format": 2, "lowered": False}
 
--- a/tests/test_fit.py
+++ b/tests/scheduling/test_fit.py
@@ -4,7 +4,7 @@
 import pytest
 from conftest import CATALOG
 
-from hookwall.fit import fit_of
+from hookwall.scheduling.fit import fit_of
 
 
 @pytest.mark.parametrize(
--- a/tests/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hookwall.placement import Ask, Room, _tie, idle, place, units
+from hookwall.scheduling.placement import Ask, Room, _tie, idle, place, units
 
 
 def room(i, gpus, zone=0, spot=False, cpus=100.0, memory=1000.0, warm=(), type_=0, price=1.0):
--- a/tests/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from hookwall import scheduler as sched
-from hookwall.records import plain
-from hookwall.round_state import MACHINE_BYTES, START_BYTES, StartRoom
-from hookwall.settings import MachineLimits
+from hookwall.config.platform import MachineLimits
+from hookwall.scheduling import scheduler as sched
+from hookwall.scheduling.round_state import MACHINE_BYTES, START_BYTES, StartRoom
+from hookwall.storage.job_records import plain
 
 
 def up(cluster, *names, **kw):
--- a/tests/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -8,15 +8,16 @@
 from conftest import description
 from production import misread
 
-from hookwall import keys, records, wire
-from hookwall.formats import CURRENT, FormatGate
-from hookwall.jobs import JobTable
-from hookwall.kept import Kept, _machines
-from hookwall.leadership import Leadership
-from hookwall.messages import About, ToldCancellations, decode_answer
-from hookwall.roles import Mode
-
-SAMPLES = Path(__file__).parent / "golden"
+from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.roles import Mode
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol import cloud_messages, job_messages, json_messages
+from hookwall.protocol.peer_messages import About, ToldCancellations, decode_answer
+from hookwall.storage import job_records, keys
+from hookwall.storage.storage_version import CURRENT, FormatGate
+from hookwall.workers.delegated_leases import Kept, _machines
+
+SAMPLES = Path(__file__).parent.parent / "golden"
 GOLDEN = json.loads((SAMPLES / "format_1.json").read_text(encoding="utf-8"))
 GOLDEN_2 = json.loads((SAMPLES / "format_2.json").read_text(encoding="utf-8"))
 
@@ -38,14 +39,14 @@
     value = GOLDEN["jobs"][name]
     assert misread(value) == []
     ref = "run-000003"
-    record = records.decode(ref, value, lambda key: None)
-    assert stored(records.encode(ref, record, None).value) == value
+    record = job_records.decode(ref, value, lambda key: None)
+    assert stored(job_records.encode(ref, record, None).value) == value
     table = JobTable(clock)
     table.apply(keys.JOBS + ref, value, 7)
     job = table.jobs[ref]
     assert (job.stamp, job.stored_phase, job.tasks, job.next_attempt) == (7, value["phase"], value["n"], value["next"])
     if job.spec is not None:
-        assert stored(records.encode(ref, job.record(), None).value) == value
+        assert stored(job_records.encode(ref, job.record(), None).value) == value
 
 
 def test_what_is_under_way_is_known_from_a_record_of_production(clock):
@@ -63,12 +64,12 @@
     for task in range(job.tasks):
         job.mark_done(task)
     job.phase, job.ended = "done", 1_700_000_100.0
-    assert records.encode(job.ref, job.record(), None).value == GOLDEN["jobs"]["done"]
+    assert job_records.encode(job.ref, job.record(), None).value == GOLDEN["jobs"]["done"]
     # What the description of its decoder calls lost is what the new formats add.
-    assert misread(records.encode(job.ref, job.record(), 4096).value) == ["unknown field ended"]
-    spec = msgspec.convert(description(2, awaits=["run-000001"]), wire.JobSpec)
-    needs = records.JobRecord(tasks=1, spec=spec, at=1.0, done="")
-    assert misread(records.plain(needs)) == ["unknown field spec.awaits"]
+    assert misread(job_records.encode(job.ref, job.record(), 4096).value) == ["unknown field ended"]
+    spec = msgspec.convert(description(2, awaits=["run-000001"]), job_messages.JobSpec)
+    needs = job_records.JobRecord(tasks=1, spec=spec, at=1.0, done="")
+    assert misread(job_records.plain(needs)) == ["unknown field spec.awaits"]
 
 
 def test_the_keys_of_leader_keepers_and_catalog_are_read(clock, state):
@@ -78,7 +79,7 @@
     kept = Kept(clock)
     kept.take(keys.KEEP + "n0", GOLDEN["keep"], 3)
     assert kept.kept("vm-000231") and kept.kept("vm-000300")
-    catalog = wire.convert(GOLDEN["catalog"], wire.Catalog)
+    catalog = json_messages.convert(GOLDEN["catalog"], cloud_messages.Catalog)
     assert msgspec.to_builtins(catalog) == GOLDEN["catalog"]
     assert GOLDEN["hire"] == "hw-41-3"
 
@@ -115,7 +116,7 @@
 
 def test_a_keepers_key_names_machines_in_either_form():
     names = [f"vm-{n:06d}" for n in range(300)]
-    assert _machines({"token": 5, "packed": records.compress(names)}) == frozenset(names)
+    assert _machines({"token": 5, "packed": job_records.compress(names)}) == frozenset(names)
     assert _machines({"token": 5, "packed": "nonsense"}) is None, "any machine may be kept"
 
 
@@ -133,12 +134,14 @@
 def test_a_record_of_format_2_is_read_and_written_back_with_the_same_content(name, clock):
     value = GOLDEN_2["jobs"][name]
     ref = "run-000006"  # the one whose record is in parts
-    record = records.decode(ref, value, GOLDEN_2["parts"].get)
+    record = job_records.decode(ref, value, GOLDEN_2["parts"].get)
     if "packed" not in value:
-        assert stored(records.encode(ref, record, 4096).value) == value
-    again = records.encode(ref, record, records.value_limit(1.0))
-    assert records.decode(ref, stored(again.value), again.parts.get) == record
-    assert set(records.part_keys(ref, again.value)) == set(records.part_keys(ref, value)), "parts are written once"
+        assert stored(job_records.encode(ref, record, 4096).value) == value
+    again = job_records.encode(ref, record, job_records.value_limit(1.0))
+    assert job_records.decode(ref, stored(again.value), again.parts.get) == record
+    assert set(job_records.part_keys(ref, again.value)) == set(job_records.part_keys(ref, value)), (
+        "parts are written once"
+    )
     table = JobTable(clock)
     for key, text in GOLDEN_2["parts"].items():
         table.take_part(key, text, 5)
@@ -166,7 +169,9 @@
     gate = FormatGate("n0", [], state)
     gate.saw(keys.FORMAT + "n0", GOLDEN_2["marker"], 3)
     assert gate.pipelines() and not gate.numbered()
-    assert msgspec.to_builtins(wire.convert(GOLDEN_2["catalog"], wire.Catalog)) == GOLDEN_2["catalog"]
+    assert (
+        msgspec.to_builtins(json_messages.convert(GOLDEN_2["catalog"], cloud_messages.Catalog)) == GOLDEN_2["catalog"]
+    )
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN_2["messages"]))
--- a/tests/test_formats.py
+++ b/tests/storage/test_formats.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hookwall import keys
-from hookwall.formats import CURRENT, Format, FormatGate
+from hookwall.storage import keys
+from hookwall.storage.storage_version import CURRENT, Format, FormatGate
 
 
 @pytest.fixture
--- a/tests/test_store.py
+++ b/tests/storage/test_store.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from hookwall import store as st
-from hookwall.client import NoAnswer
-from hookwall.pacing import Bucket
-from hookwall.settings import NextState, State
-from hookwall.store import Refused, Store, TooLarge, Unknown
+from hookwall.config.platform import NextState, State
+from hookwall.protocol.http_client import NoAnswer
+from hookwall.storage import client as st
+from hookwall.storage.client import Refused, Store, TooLarge, Unknown
+from hookwall.storage.rate_limit import Bucket
 
 
 def test_a_refused_request_costs_nothing(clock):
--- a/tests/test_fleet.py
+++ b/tests/workers/test_fleet.py
@@ -3,10 +3,10 @@
 import cbor2
 import pytest
 
-from hookwall.fleet import Fleet
-from hookwall.job import write_order
-from hookwall.peers import MAX_FRAME, frame
-from hookwall.records import plain
+from hookwall.jobs.job import write_order
+from hookwall.leadership.peer_transport import MAX_FRAME, frame
+from hookwall.storage.job_records import plain
+from hookwall.workers.fleet import Fleet
 
 
 def started(cluster, n=1, machine="vm-1", **changes):
--- a/tests/test_keeper.py
+++ b/tests/workers/test_keeper.py
@@ -5,14 +5,15 @@
 
 import pytest
 
-from hookwall import keeper as kp
-from hookwall import keys, wire
-from hookwall.jobs import JobTable
-from hookwall.keeper import Keeper
-from hookwall.kept import Kept, _machines
-from hookwall.leadership import Leadership
-from hookwall.records import plain, size, value_limit
-from hookwall.store import Conflict
+from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol import heartbeat_messages
+from hookwall.storage import keys
+from hookwall.storage.client import Conflict
+from hookwall.storage.job_records import plain, size, value_limit
+from hookwall.workers import lease_delegate as kp
+from hookwall.workers.delegated_leases import Kept, _machines
+from hookwall.workers.lease_delegate import Keeper
 
 
 @pytest.fixture
@@ -29,12 +30,12 @@
 
 
 def beat(token=7, tasks=(("run-000001/0", 1, "running"),), machine="vm-1"):
-    return wire.Beat(
+    return heartbeat_messages.Beat(
         machine=machine,
         tenure=1,
         tick=3,
         token=token,
-        tasks=[wire.TaskReport(piece=p, attempt=a, phase=ph) for p, a, ph in tasks],
+        tasks=[heartbeat_messages.TaskReport(piece=p, attempt=a, phase=ph) for p, a, ph in tasks],
     )
 
 
--- a/tests/test_machine_names.py
+++ b/tests/workers/test_machine_names.py
@@ -4,30 +4,31 @@
 
 import pytest
 
-from hookwall import machine_names, records
-from hookwall.records import MalformedRecord
+from hookwall.storage import job_records
+from hookwall.storage.job_records import MalformedRecord
+from hookwall.workers import name_codec
 
-KEY_LIMIT = records.value_limit(2.0)  # of a state service that has lowered its limits
+KEY_LIMIT = job_records.value_limit(2.0)  # of a state service that has lowered its limits
 
 
 @pytest.mark.parametrize("numbers", [range(4000), range(8000)])
 def test_two_thousand_machines_fit_the_smallest_value(numbers):
     names = [f"vm-{n:06d}" for n in random.Random(5).sample(numbers, 2000)]
-    value = machine_names.encode(names)
-    assert sorted(machine_names.decode(value)) == sorted(names)
-    assert records.size({"token": 10**9, "numbered": value}) <= KEY_LIMIT
+    value = name_codec.encode(names)
+    assert sorted(name_codec.decode(value)) == sorted(names)
+    assert job_records.size({"token": 10**9, "numbered": value}) <= KEY_LIMIT
 
 
 def test_names_of_any_kind_are_kept():
     names = ["vm-000001", "vm-1", "vm-01", "", "gpu", "rack-7/vm-3", "é-5", "7", "vm-" + "9" * 40]
-    assert sorted(machine_names.decode(machine_names.encode(names))) == sorted(names)
+    assert sorted(name_codec.decode(name_codec.encode(names))) == sorted(names)
 
 
 def test_what_is_no_list_of_names_is_refused():
-    good = machine_names.encode(["vm-1", "vm-7"])
-    backwards = records.compress_bytes(b"\x92\x05\x00")
+    good = name_codec.encode(["vm-1", "vm-7"])
+    backwards = job_records.compress_bytes(b"\x92\x05\x00")
     bad = [None, [], {}, {"groups": [], "others": 1}, {**good, "groups": [["vm-", 1]]}]
-    bad += [{**good, "groups": [["vm-", 1, text]]} for text in ("nonsense", records.compress("text"), backwards)]
+    bad += [{**good, "groups": [["vm-", 1, text]]} for text in ("nonsense", job_records.compress("text"), backwards)]
     for value in bad:
         with pytest.raises(MalformedRecord):
-            machine_names.decode(value)
+            name_codec.decode(value)
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,10 +18,10 @@
 from conftest import description
 from production import OLD_NODES
 
-from hookwall.client import NoAnswer
-from hookwall.node import Node
-from hookwall.operations import Operations
-from hookwall.settings import Cloud, External, Params, Seed, Settings, State, Team, Workers
+from hookwall.config.operations import Operations
+from hookwall.config.platform import Cloud, External, Params, Seed, Settings, State, Team, Workers
+from hookwall.node.node import Node
+from hookwall.protocol.http_client import NoAnswer
 
 STEP_S = 0.1
 RUNS_IN: contextvars.ContextVar[str] = contextvars.ContextVar("the node that a task belongs to")
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -25,14 +25,14 @@
 import msgspec  # noqa: E402
 from drain_world import PERIOD_S, TEAMS, BudgetOracle, Operator, cordoned, operations  # noqa: E402
 from hdrh.histogram import HdrHistogram  # noqa: E402
-from test_cost import leading  # noqa: E402
+from leading_node import leading  # noqa: E402
 from world import WORKERS, World, play  # noqa: E402
 
-from hookwall import machine_names  # noqa: E402
+from hookwall.config.operations import Budget, DrainSettings  # noqa: E402
+from hookwall.config.platform import Cloud, MachineLimits, Params, State  # noqa: E402
 from hookwall.drains import records, request  # noqa: E402
 from hookwall.drains.request import DrainRequest, Selection  # noqa: E402
-from hookwall.operations import Budget, DrainSettings  # noqa: E402
-from hookwall.settings import Cloud, MachineLimits, Params, State  # noqa: E402
+from hookwall.workers import name_codec  # noqa: E402
 
 RUN_S = 900.0
 WARM_UP_S = 30.0
@@ -175,7 +175,7 @@
     result["look_ms"] = timed(lambda: drains.plans.build("measured"))
     result["round_with_cordons_ms"] = timed(node.scheduler.round)
     result["record_bytes"] = len(json.dumps(records.encode(record)))
-    result["sparse_record_bytes"] = len(json.dumps(machine_names.encode(names[::2])))
+    result["sparse_record_bytes"] = len(json.dumps(name_codec.encode(names[::2])))
     return result
 
 
--- a/tools/fleet_load.py
+++ b/tools/fleet_load.py
@@ -32,7 +32,7 @@
 
 from world import StateService  # noqa: E402
 
-from hookwall.settings import State  # noqa: E402
+from hookwall.config.platform import State  # noqa: E402
 
 CONTROLLERS = 3
 REPORT_S = 2.5
