--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -5,15 +5,17 @@
 
 import aiohttp
 import pytest
-from conftest import CATALOG, description
+from aiohttp import ClientSession
+from conftest import CATALOG, Clock, FakeState, description
 
 from hookwall.api.job_service import UserApi
 from hookwall.api.server import MOST_AT_ONCE, Door, listen
+from hookwall.config.platform import Params
 from hookwall.jobs.job_table import JobTable
 from hookwall.storage.read_confirmation import Confirmer
 
 
-def talk(params, state, clock, script):
+def talk(params, state: FakeState, clock: Clock, script):
     async def main():
         table = JobTable(clock)
         confirmer = Confirmer(state, None)
@@ -53,28 +55,28 @@
         ("GET", "/elsewhere", None, 404),
     ],
 )
-def test_what_is_answered_at_the_door(params, state, clock, method, path, body, status):
-    async def script(session, base, door):
+def test_what_is_answered_at_the_door(params: Params, state: FakeState, clock: Clock, method, path, body, status):
+    async def script(session: ClientSession, base, door: Door):
         async with session.request(method, base + path, data=body) as answer:
             return answer.status
 
     assert talk(params, state, clock, script) == status
 
 
-def test_a_body_without_a_length_is_cut_off_at_the_limit(params, state, clock):
+def test_a_body_without_a_length_is_cut_off_at_the_limit(params: Params, state: FakeState, clock: Clock):
     async def endless():
         for _ in range(40):
             yield b"x" * 4096
 
-    async def script(session, base, door):
+    async def script(session: ClientSession, base, door: Door):
         async with session.post(base + "/v1/jobs", data=endless()) as answer:
             return answer.status
 
     assert talk(params, state, clock, script) == 413
 
 
-def test_a_job_over_http(params, state, clock):
-    async def script(session, base, door):
+def test_a_job_over_http(params: Params, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: Door):
         seen = []
         for method, path, body in (
             ("POST", "/v1/jobs", description(1)),
@@ -92,8 +94,8 @@
     ]  # fmt: skip
 
 
-def test_overload_is_told_at_once_with_when_to_come_back(params, state, clock):
-    async def script(session, base, door):
+def test_overload_is_told_at_once_with_when_to_come_back(params: Params, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: Door):
         door.at_once = MOST_AT_ONCE
         async with session.get(base + "/v1/jobs/run-000001") as answer:
             return answer.status, answer.headers.get("Retry-After")
@@ -101,8 +103,8 @@
     assert talk(params, state, clock, script) == (429, "1")
 
 
-def test_a_surprise_in_a_handler_does_not_end_the_node(params, state, clock):
-    async def script(session, base, door):
+def test_a_surprise_in_a_handler_does_not_end_the_node(params: Params, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: Door):
         async def broken(ref):
             raise RuntimeError("surprise")
 
@@ -115,9 +117,9 @@
     assert talk(params, state, clock, script) == (503, 200)
 
 
-def test_a_connection_on_which_nothing_is_asked_any_more_is_closed(params, state, clock):
+def test_a_connection_on_which_nothing_is_asked_any_more_is_closed(params: Params, state: FakeState, clock: Clock):
     # Machines that are gone say nothing; their connections stayed, and sockets are limited.
-    async def script(session, base, door):
+    async def script(session: ClientSession, base, door: Door):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -135,9 +137,9 @@
     assert talk(params, state, clock, script) == (b"200", 0, b"")
 
 
-def test_at_the_limit_of_sockets_the_longest_idle_go_first(params, state, clock):
+def test_at_the_limit_of_sockets_the_longest_idle_go_first(params: Params, state: FakeState, clock: Clock):
     # Workers leave connections behind; those of the nodes' own, and new ones, must go on being had.
-    async def script(session, base, door):
+    async def script(session: ClientSession, base, door: Door):
         host, port = base.removeprefix("http://").split(":")
         door.most = 2
         opened = []
@@ -161,10 +163,10 @@
     assert door.most + door.backlog + 72 + 4 < 1563 and door.most > 860
 
 
-def test_a_body_that_does_not_come_gives_its_place_back(params, state, clock):
+def test_a_body_that_does_not_come_gives_its_place_back(params: Params, state: FakeState, clock: Clock):
     # Behind a cut the rest of a request never comes; 200 of them would have kept all users out. Now such a
     # request takes no place at all before it has come whole.
-    async def script(session, base, door):
+    async def script(session: ClientSession, base, door: Door):
         door.body_s = 0.2
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -179,9 +181,9 @@
     assert talk(params, state, clock, script) == (0, b"408", 0)
 
 
-def test_requests_on_one_connection_are_answered_in_their_order(params, state, clock):
+def test_requests_on_one_connection_are_answered_in_their_order(params: Params, state: FakeState, clock: Clock):
     # Nobody should send a second one before the first is answered; whoever does gets no answer to the other.
-    async def script(session, base, door):
+    async def script(session: ClientSession, base, door: Door):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         slow = b"GET /v1/jobs/run-000009 HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -197,8 +199,8 @@
 @pytest.mark.parametrize(
     "raw", [b"nonsense\r\n\r\n", b"GET / HTTP/1.1\r\nbad header\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"]
 )
-def test_what_is_not_http_is_refused_and_ends_no_one_else(params, state, clock, raw):
-    async def script(session, base, door):
+def test_what_is_not_http_is_refused_and_ends_no_one_else(params: Params, state: FakeState, clock: Clock, raw):
+    async def script(session: ClientSession, base, door: Door):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(raw)
@@ -211,8 +213,8 @@
     assert talk(params, state, clock, script) == (b"400", 200)
 
 
-def test_a_report_is_answered_without_a_task(params, state, clock):
-    async def script(session, base, door):
+def test_a_report_is_answered_without_a_task(params: Params, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: Door):
         made: list[object] = []
         loop = asyncio.get_running_loop()
         door.beat = lambda body: made.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
--- a/tests/autoscaling/test_machine_list.py
+++ b/tests/autoscaling/test_machine_list.py
@@ -3,10 +3,12 @@
 import asyncio
 
 import pytest
+from conftest import Cluster
 from world import VirtualLoop
 
 from hookwall.autoscaling.cloud_client import Trouble
 from hookwall.autoscaling.inventory import MachineList
+from hookwall.config.platform import Params
 from hookwall.protocol import cloud_messages
 
 LISTED = [cloud_messages.Listed(name="vm-1", type="g4", zone="east", phase="running")]
@@ -31,7 +33,7 @@
 
 
 @pytest.fixture
-def play(cluster, params):
+def play(cluster: Cluster, params: Params):
     """Runs a scenario beside the loop of a list, on one fake clock."""
     loop = VirtualLoop()
 
@@ -50,8 +52,8 @@
     loop.close()
 
 
-def test_a_list_counts_from_when_it_was_asked_for(play, cluster):
-    async def scenario(lists):
+def test_a_list_counts_from_when_it_was_asked_for(play, cluster: Cluster):
+    async def scenario(lists: MachineList):
         while not lists.listed_once:
             await asyncio.sleep(0.1)
         assert lists.clock() - lists.listed_at >= lists.client.takes_s
@@ -60,8 +62,8 @@
     play(scenario)
 
 
-def test_a_list_that_an_earlier_leadership_asked_for_is_not_taken(play, cluster):
-    async def scenario(lists):
+def test_a_list_that_an_earlier_leadership_asked_for_is_not_taken(play, cluster: Cluster):
+    async def scenario(lists: MachineList):
         while not lists.client.asked:
             await asyncio.sleep(0.1)
         lists.reset()
@@ -72,10 +74,10 @@
     play(scenario)
 
 
-def test_a_list_is_neither_asked_for_nor_taken_without_validity(play, cluster):
+def test_a_list_is_neither_asked_for_nor_taken_without_validity(play, cluster: Cluster):
     valid = [True]
 
-    async def scenario(lists):
+    async def scenario(lists: MachineList):
         while not lists.client.asked:
             await asyncio.sleep(0.1)
         valid[0] = False
@@ -86,7 +88,7 @@
 
 
 def test_a_list_that_fails_is_asked_for_again_soon(play):
-    async def scenario(lists):
+    async def scenario(lists: MachineList):
         lists.client.fails = True
         await asyncio.sleep(10.0)
         assert lists.client.asked >= 4 and not lists.listed_once
--- a/tests/autoscaling/test_renting.py
+++ b/tests/autoscaling/test_renting.py
@@ -3,10 +3,12 @@
 import asyncio
 
 import pytest
+from conftest import Clock, Cluster
 from world import VirtualLoop
 
 from hookwall.autoscaling.cloud_client import NoCapacity, Trouble
 from hookwall.autoscaling.scale_out import SETTLE_S, Renting
+from hookwall.config.platform import Params
 from hookwall.jobs.job import WITHDRAWN
 from hookwall.protocol import cloud_messages, json_messages
 from hookwall.workers.machine import Phase
@@ -23,13 +25,13 @@
 
 
 @pytest.fixture
-def renting(cluster, params, clock):
+def renting(cluster: Cluster, params: Params, clock: Clock) -> Renting:
     r = Renting(params, cluster.fleet, cluster.scheduler, ScriptedCloud(), clock)
     r.reset()
     return r
 
 
-def idle_beyond_need(cluster, renting):
+def idle_beyond_need(cluster: Cluster, renting):
     """One machine that nobody has needed for long."""
     cluster.beat("vm-1")
     cluster.clock.tick(100.0)
@@ -38,7 +40,7 @@
     renting.returning.trim(cluster.clock())
 
 
-def test_waiting_jobs_are_packed_into_what_is_rented(cluster, renting):
+def test_waiting_jobs_are_packed_into_what_is_rented(cluster: Cluster, renting: Renting):
     cluster.submit(1, pieces=7)
     cluster.submit(2, shape="ensemble", cards=4.0)
     cluster.scheduler.round()
@@ -46,13 +48,13 @@
     assert sum(plan.values()) == 3 and not any(spot for _, _, spot in plan)
 
 
-def test_cheap_machines_for_those_that_may_use_them(cluster, renting):
+def test_cheap_machines_for_those_that_may_use_them(cluster: Cluster, renting: Renting):
     cluster.submit(1, pieces=4, loaners=True)
     cluster.scheduler.round()
     assert [spot for _, _, spot in renting.wanted(cluster.clock())] == [True]
 
 
-def test_machines_on_their_way_are_counted(cluster, renting):
+def test_machines_on_their_way_are_counted(cluster: Cluster, renting: Renting):
     cluster.submit(1, pieces=4)
     cluster.scheduler.round()
     cluster.fleet.machine("vm-5", "g4", "east", False)
@@ -61,7 +63,7 @@
     assert sum(renting.wanted(cluster.clock()).values()) == 1, "one that does not come up is not waited for"
 
 
-def test_a_refused_pool_is_left_alone_for_a_while(cluster, renting):
+def test_a_refused_pool_is_left_alone_for_a_while(cluster: Cluster, renting: Renting):
     from hookwall.autoscaling.scale_out import Hire
 
     def refuse(count):
@@ -76,7 +78,7 @@
     assert (0, 0, False) in renting.pools(cluster.clock())
 
 
-def test_an_unanswered_hire_keeps_its_name_and_counts_as_coming(cluster, renting):
+def test_an_unanswered_hire_keeps_its_name_and_counts_as_coming(cluster: Cluster, renting: Renting):
     from hookwall.autoscaling.scale_out import Hire
 
     def lose(count):
@@ -90,7 +92,7 @@
     assert renting.supply.hires == [hire] and len(renting.supply.coming(cluster.clock())) == 2
 
 
-def test_unexpected_machines_are_taken_in(cluster, renting):
+def test_unexpected_machines_are_taken_in(cluster: Cluster, renting: Renting):
     renting.lists.take([cloud_messages.Listed(name="vm-77", type="g4", zone="west", phase="running")], cluster.clock())
     assert cluster.fleet.machines["vm-77"].phase is Phase.BOOTING
     cluster.beat("vm-77", zone="west")
@@ -99,7 +101,7 @@
     assert job.active[0].machine == "vm-77"
 
 
-def test_an_idle_machine_is_returned_and_gets_no_more_work(cluster, renting):
+def test_an_idle_machine_is_returned_and_gets_no_more_work(cluster: Cluster, renting: Renting):
     idle_beyond_need(cluster, renting)
     (m,) = renting.returning.to_return(cluster.clock())
     assert m.phase is Phase.LEAVING
@@ -108,7 +110,7 @@
     assert not job.active
 
 
-def test_a_drained_machine_is_used_again_when_jobs_wait(cluster, renting):
+def test_a_drained_machine_is_used_again_when_jobs_wait(cluster: Cluster, renting: Renting):
     idle_beyond_need(cluster, renting)
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -118,7 +120,7 @@
     assert job.active
 
 
-def test_cheap_machines_do_not_stand_idle_for_work_that_can_not_use_them(cluster, renting):
+def test_cheap_machines_do_not_stand_idle_for_work_that_can_not_use_them(cluster: Cluster, renting: Renting):
     # In a queue of urgent gangs, need in all was what they lacked too, and half of the cheap machines idled.
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
@@ -140,7 +142,7 @@
     assert {m.phase for m in cluster.fleet.machines.values()} == {Phase.UP}
 
 
-def test_a_margin_stands_ready_while_jobs_arrive_and_goes_when_they_stop(cluster, renting):
+def test_a_margin_stands_ready_while_jobs_arrive_and_goes_when_they_stop(cluster: Cluster, renting: Renting):
     renting.demand.unmeasured = False
     for n in range(1, 5):
         cluster.beat(f"vm-{n}")
@@ -156,7 +158,7 @@
     assert renting.demand.targets.solid == pytest.approx(4.0, abs=0.25)
 
 
-def test_a_silent_cheap_machine_is_deleted_before_its_lease_is_over(cluster, renting):
+def test_a_silent_cheap_machine_is_deleted_before_its_lease_is_over(cluster: Cluster, renting: Renting):
     cluster.clock.tick(60.0)
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
@@ -173,7 +175,7 @@
     assert len(job.active) == 8
 
 
-def test_machines_of_a_zone_that_is_cut_off_are_not_deleted_at_once(cluster, renting):
+def test_machines_of_a_zone_that_is_cut_off_are_not_deleted_at_once(cluster: Cluster, renting: Renting):
     for n in range(1, 5):
         cluster.beat(f"vm-{n}", zone="west")
     cluster.beat("vm-9", zone="east")
@@ -186,7 +188,7 @@
     assert len(renting.returning.to_return(cluster.clock())) == 5
 
 
-def test_a_machine_with_tasks_is_kept(cluster, renting):
+def test_a_machine_with_tasks_is_kept(cluster: Cluster, renting: Renting):
     cluster.beat("vm-1")
     cluster.submit(1)
     cluster.scheduler.round()
@@ -195,13 +197,13 @@
     assert renting.returning.to_return(cluster.clock()) == []
 
 
-def test_a_machine_that_never_comes_up_is_deleted(cluster, renting):
+def test_a_machine_that_never_comes_up_is_deleted(cluster: Cluster, renting: Renting):
     cluster.fleet.machine("vm-5", "g4", "east", False)
     cluster.clock.tick(25.0 * 5 + 1)
     assert [m.name for m in renting.returning.to_return(cluster.clock())] == ["vm-5"]
 
 
-def test_a_late_list_does_not_bring_a_deleted_machine_back(cluster, renting):
+def test_a_late_list_does_not_bring_a_deleted_machine_back(cluster: Cluster, renting: Renting):
     """It would count as one that is coming, and nothing would be rented in its place."""
     cluster.beat("vm-1")
     cluster.fleet.gone(cluster.fleet.machines["vm-1"], "deleted")
@@ -209,7 +211,7 @@
     assert "vm-1" not in cluster.fleet.machines
 
 
-def test_the_first_silent_machines_of_a_cut_zone_are_not_deleted_either(cluster, renting):
+def test_the_first_silent_machines_of_a_cut_zone_are_not_deleted_either(cluster: Cluster, renting: Renting):
     """Reports are spread over two seconds, and cheap machines are given up after six."""
     cluster.clock.tick(60.0)
     for n in range(8):
@@ -223,7 +225,7 @@
     assert any(m.silent for m in cluster.fleet.machines.values())
 
 
-def test_a_catalog_of_several_types_is_rented_from_and_returned_to(cluster, renting):
+def test_a_catalog_of_several_types_is_rented_from_and_returned_to(cluster: Cluster, renting: Renting):
     """Need was once counted in GPUs, and a type without any divided by zero."""
     cpu = {"label": "c16", "cores": 16, "cards": 0, "memGb": 64, "price": 2.0, "spotPrice": 1.0, "yards": ["east"]}
     types = [*json_messages.convert({"hulls": [cpu]}, cloud_messages.Catalog).types, *cluster.fleet.catalog.types]
@@ -239,7 +241,7 @@
     renting.returning.trim(cluster.clock())
 
 
-def test_machines_that_only_records_name_do_not_stand_ready_once_lists_lack_them(cluster, renting):
+def test_machines_that_only_records_name_do_not_stand_ready_once_lists_lack_them(cluster: Cluster, renting: Renting):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -257,7 +259,7 @@
     assert [m.name for m in renting.returning.to_return(cluster.clock())] == ["vm-1"]
 
 
-def test_a_new_leader_does_not_count_on_machines_that_never_come_to_it(cluster, renting):
+def test_a_new_leader_does_not_count_on_machines_that_never_come_to_it(cluster: Cluster, renting: Renting):
     listed = [cloud_messages.Listed(name=f"vm-{i}", type="g4", zone="west", phase="running") for i in range(4)]
     cluster.fleet.reset(token=9)
     renting.reset()
@@ -274,14 +276,14 @@
     assert renting.returning.to_return(cluster.clock()) == []
 
 
-def test_a_plan_asks_each_pool_for_one_full_call_and_spills_into_no_dearer_one(cluster, renting):
+def test_a_plan_asks_each_pool_for_one_full_call_and_spills_into_no_dearer_one(cluster: Cluster, renting: Renting):
     cluster.submit(1, pieces=4 * 120, loaners=True)
     cluster.scheduler.round()
     plan = renting.wanted(cluster.clock())
     assert {pool[2] for pool in plan} == {True} and sum(plan.values()) == 100
 
 
-def test_need_that_falls_since_nothing_can_be_stored_is_not_believed(cluster, renting):
+def test_need_that_falls_since_nothing_can_be_stored_is_not_believed(cluster: Cluster, renting: Renting):
     job = cluster.submit(1, shape="ensemble", cards=4.0, pieces=3)
     cluster.scheduler.round()
     renting.demand.measure(cluster.clock())
@@ -298,7 +300,9 @@
     assert renting.demand.targets.solid < 3.0
 
 
-def test_a_machine_whose_lease_ended_with_cancelled_tasks_is_deleted_before_they_could_go_on(cluster, renting):
+def test_a_machine_whose_lease_ended_with_cancelled_tasks_is_deleted_before_they_could_go_on(
+    cluster: Cluster, renting: Renting
+):
     """One that hangs has its tasks until it goes on, and an ordinary one is given the time to come back."""
     for name in ("vm-1", "vm-2"):
         cluster.beat(name)
@@ -317,7 +321,7 @@
     assert renting.returning.to_return(cluster.clock()) == []
 
 
-def test_a_rental_does_not_wait_for_a_machine_list_of_many_pages(cluster, renting):
+def test_a_rental_does_not_wait_for_a_machine_list_of_many_pages(cluster: Cluster, renting: Renting):
     """At 4,000 machines a list took 3.5 of each 4 s, and what was to be rented waited for its end."""
     cloud, loop = renting.client, VirtualLoop()
     cloud.page_size, cloud.listings = 500, 0
--- a/tests/config/test_wire_settings.py
+++ b/tests/config/test_wire_settings.py
@@ -1,9 +1,11 @@
 """The door: what is malformed is refused, and nothing that arrives crashes a handler."""
 
 import json
+from pathlib import Path
 
 import pytest
 from conftest import description
+from pytest import CaptureFixture, MonkeyPatch
 
 from hookwall.cli import main
 from hookwall.config import platform
@@ -43,7 +45,7 @@
 """
 
 
-def test_settings_ignore_what_is_unknown(tmp_path):
+def test_settings_ignore_what_is_unknown(tmp_path: Path):
     f = tmp_path / "s.toml"
     f.write_text(GOOD)
     s = platform.load(str(f))
@@ -60,7 +62,7 @@
         ("size = 2", "size = = 2", "--config"),
     ],
 )
-def test_bad_settings_end_with_one_line_that_names_the_field(tmp_path, capsys, old, new, field):
+def test_bad_settings_end_with_one_line_that_names_the_field(tmp_path: Path, capsys: CaptureFixture, old, new, field):
     f = tmp_path / "s.toml"
     f.write_text(GOOD.replace(old, new))
     assert main(["serve", "--config", str(f)]) == 2
@@ -68,7 +70,7 @@
     assert field in err and err.count("\n") == 1
 
 
-def test_bad_log_level_is_refused(tmp_path, capsys, monkeypatch):
+def test_bad_log_level_is_refused(tmp_path: Path, capsys: CaptureFixture, monkeypatch: MonkeyPatch):
     monkeypatch.setenv("LOG_LEVEL", "loud")
     assert main(["serve", "--config", str(tmp_path / "none")]) == 2
     assert "LOG_LEVEL" in capsys.readouterr().err
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,6 +6,7 @@
 from known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary  # noqa: F401
 
 from hookwall.config.platform import Cloud, MachineLimits, Params, State, Team, Workers
+from hookwall.jobs.job import Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.protocol import cloud_messages, heartbeat_messages, json_messages
 from hookwall.scheduling.scheduler import Scheduler
@@ -63,7 +64,7 @@
         self._enter(f"get {key}")
         return self.keys.get(key)
 
-    async def read(self, key):
+    async def read(self, key) -> KeyState:
         got = await self.get(key)
         return KeyState(None, 0, self.epoch) if got is None else KeyState(*got, got[1])
 
@@ -97,12 +98,12 @@
 
 
 @pytest.fixture
-def clock():
+def clock() -> Clock:
     return Clock()
 
 
 @pytest.fixture
-def params():
+def params() -> Params:
     return Params(
         size=3,
         zones=["east", "west"],
@@ -115,7 +116,7 @@
 
 
 @pytest.fixture
-def state(params):
+def state(params: Params) -> FakeState:
     return FakeState(params.state)
 
 
@@ -144,7 +145,7 @@
 class Cluster:
     """A leader's slices without its loops; `store` plays the writer."""
 
-    def __init__(self, params, clock) -> None:
+    def __init__(self, params: Params, clock: Clock) -> None:
         self.clock = clock
         self.table = JobTable(clock)
         self.fleet = Fleet(params, self.table, clock)
@@ -156,7 +157,7 @@
         self.stamp = 10
         self.ticks: dict[str, int] = {}
 
-    def submit(self, n=1, **changes):
+    def submit(self, n=1, **changes) -> Job:
         d = description(n, **changes)
         record = {"phase": "open", "n": d["pieces"], "next": 1, "on": [], "spec": d, "at": float(n), "done": ""}
         self.stamp += 1
@@ -189,5 +190,5 @@
 
 
 @pytest.fixture
-def cluster(params, clock):
+def cluster(params: Params, clock: Clock) -> Cluster:
     return Cluster(params, clock)
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -7,12 +7,13 @@
 
 import pytest
 from drain_world import TEAMS, Operator, cordoned, drain_phases, operations
+from pytest import CaptureFixture
 from test_drains import BLUE, LONG_S, RED, WHOLE, drained, machine_of, running_jobs
-from world import play
+from world import World, play
 
 from hookwall.config.operations import Operations, check
 from hookwall.config.operations import load as load_operations
-from hookwall.config.platform import BadSettings
+from hookwall.config.platform import BadSettings, Params
 from hookwall.drains.bound import Load, LoadedJob, fewest_waves
 from hookwall.drains.command import ExitCode
 from hookwall.storage import keys
@@ -35,8 +36,8 @@
         (["--share", "1.5"], "--share: must be a number above 0 and up to 1"),
     ],
 )
-def test_bad_input_is_named_and_changes_nothing(words, says, capsys):
-    async def scenario(w, operator):
+def test_bad_input_is_named_and_changes_nothing(words, says, capsys: CaptureFixture):
+    async def scenario(w: World, operator):
         for action in (["plan"], ["start", "kernel"]):
             code, value = await operator(*action, *words)
             assert (code, value) == (ExitCode.BAD_INPUT, None)
@@ -46,8 +47,8 @@
     drained(scenario)
 
 
-def test_bad_names_and_words_that_no_number_is(capsys):
-    async def scenario(w, operator):
+def test_bad_names_and_words_that_no_number_is(capsys: CaptureFixture):
+    async def scenario(w: World, operator):
         for name in ("Kernel", "a/b", "x" * 65, ""):
             assert (await operator("start", name, "--zone", "east"))[0] == ExitCode.BAD_INPUT
             assert "NAME: up to 64 of" in capsys.readouterr().err
@@ -59,8 +60,8 @@
     drained(scenario)
 
 
-def test_teams_without_a_budget_are_only_disrupted_where_that_is_said(capsys):
-    async def scenario(w, operator):
+def test_teams_without_a_budget_are_only_disrupted_where_that_is_said(capsys: CaptureFixture):
+    async def scenario(w: World, operator):
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.BAD_INPUT
         assert "no disruption budget for blue" in capsys.readouterr().err
         (ref,) = await running_jobs(w, BLUE, **WHOLE)
@@ -71,8 +72,8 @@
     drained(scenario, budgets={"red": 1})
 
 
-def test_the_same_drain_again_is_answered_with_its_state_and_another_is_refused(capsys):
-    async def scenario(w, operator):
+def test_the_same_drain_again_is_answered_with_its_state_and_another_is_refused(capsys: CaptureFixture):
+    async def scenario(w: World, operator):
         await running_jobs(w, RED, **WHOLE)
         await operator.start("kernel", "--zone", "east")
         before = w.service.keys[keys.DRAIN + "kernel"]
@@ -86,7 +87,7 @@
 
 
 def test_failures_of_the_service_are_told_apart():
-    async def scenario(w, operator):
+    async def scenario(w: World, operator):
         assert (await operator("status", "none"))[0] == ExitCode.NOT_FOUND
         assert (await operator("abort", "none"))[0] == ExitCode.NOT_FOUND
         await running_jobs(w, RED, **WHOLE)
@@ -113,7 +114,7 @@
 
 
 def test_a_preview_names_the_jobs_of_each_wave_and_changes_nothing():
-    async def scenario(w, operator):
+    async def scenario(w: World, operator):
         w.cloud.room = 2
         refs = await running_jobs(w, RED, RED, BLUE, **WHOLE)
         await asyncio.sleep(10.0)
@@ -132,7 +133,7 @@
 
 
 def test_a_preview_says_what_can_t_be_drained_and_why():
-    async def scenario(w, operator):
+    async def scenario(w: World, operator):
         refs = await running_jobs(w, RED, RED, BLUE, BLUE, **WHOLE)
         code, told = await operator("plan", "--zone", "east")
         assert code == ExitCode.OK and not told["waves"] and len(told["left"]) == 2
@@ -143,7 +144,7 @@
 
 
 def test_status_waits_for_the_end_for_as_long_as_it_was_told():
-    async def scenario(w, operator):
+    async def scenario(w: World, operator):
         (ref,) = await running_jobs(w, RED, run_s=LONG_S, **WHOLE)
         await operator.start("kernel", "--machine", machine_of(w, ref), "--finish", "30")
         began = w.now()
@@ -156,7 +157,7 @@
 
 
 def test_a_share_takes_the_machines_with_the_fewest_tasks():
-    async def scenario(w):
+    async def scenario(w: World):
         operator = Operator(w)
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
         busy = {machine_of(w, ref) for ref in refs}
@@ -220,24 +221,24 @@
         ("[drain", "not TOML"),
     ],
 )
-def test_a_bad_operators_file_is_refused_by_name(tmp_path, params, text, says):
+def test_a_bad_operators_file_is_refused_by_name(tmp_path: Path, params: Params, text, says):
     with pytest.raises(BadSettings, match="(?s).*" + says.replace("'", ".")):
         read(tmp_path, text, params)
 
 
-def test_unknown_settings_are_ignored_and_without_a_file_all_is_off(tmp_path, params):
+def test_unknown_settings_are_ignored_and_without_a_file_all_is_off(tmp_path: Path, params: Params):
     own = read(tmp_path, "colour = 1\n[drain]\nenabled = true\nlater = 2\n", params)
     assert own.drain.enabled and not load_operations(None, params).drain.enabled
     with pytest.raises(BadSettings, match="cannot read"):
         load_operations(str(tmp_path / "none.toml"), params)
 
 
-def test_the_deployed_file_holds_for_any_teams(params):
+def test_the_deployed_file_holds_for_any_teams(params: Params):
     own = load_operations(str(ROOT / "deploy" / "operations.toml"), params)
     assert own.drain.enabled and check(own, params) == own
 
 
-def test_the_program_refuses_a_bad_file_with_status_2(tmp_path):
+def test_the_program_refuses_a_bad_file_with_status_2(tmp_path: Path):
     bad = tmp_path / "operations.toml"
     bad.write_text("[drain]\nenabled = 3\n")
     config = tmp_path / "settings.toml"
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -3,10 +3,12 @@
 import asyncio
 
 import pytest
+from conftest import Clock, FakeState
 from drain_world import TEAMS, operations
 from leading_node import leading, report
 from test_drain_ledger import PERIOD_S
 
+from hookwall.config.platform import Params
 from hookwall.drains import records
 from hookwall.drains.records import Afterwards, DisruptionPage, DrainPhase, StepPhase, StepRecord
 from hookwall.drains.request import DrainRequest, Selection, aborted, new_record
@@ -24,7 +26,7 @@
 class Leader:
     """A leader with a job on each of some machines, free machines beside them, and a state service."""
 
-    def __init__(self, params, clock, state) -> None:
+    def __init__(self, params, clock: Clock, state: FakeState) -> None:
         self.clock, self.state = clock, state
         state.epoch = 20
         state.keys[keys.LEADER] = ({}, 5)
@@ -103,12 +105,12 @@
 
 
 @pytest.fixture
-def leader(params, clock, state):
+def leader(params: Params, clock: Clock, state: FakeState) -> Leader:
     assert [team.name for team in TEAMS] == ["red", "blue"]
     return Leader(params, clock, state)
 
 
-def test_the_ledger_is_stored_before_the_step_and_the_step_before_the_stop(leader):
+def test_the_ledger_is_stored_before_the_step_and_the_step_before_the_stop(leader: Leader):
     leader.asks(FIRST)
     seen: list[tuple[bool, bool]] = []
     leader.tick()
@@ -122,7 +124,7 @@
     assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted == 1
 
 
-def test_a_new_leader_knows_what_was_spent(leader, params, clock, state):
+def test_a_new_leader_knows_what_was_spent(leader: Leader, params: Params, clock: Clock, state: FakeState):
     leader.asks(FIRST, SECOND)
     for _ in range(3):
         leader.tick()
@@ -138,7 +140,7 @@
     assert len(leader.stopping()) == 1
 
 
-def test_a_leader_that_was_replaced_changes_nothing(leader, state):
+def test_a_leader_that_was_replaced_changes_nothing(leader: Leader, state: FakeState):
     leader.asks(FIRST)
     leader.tick()
     state.keys[keys.LEADER] = ({}, 6)
@@ -149,7 +151,7 @@
 
 
 @pytest.mark.parametrize("at_step", [1, 2])
-def test_an_abort_in_between_comes_before_the_step(leader, at_step):
+def test_an_abort_in_between_comes_before_the_step(leader: Leader, at_step):
     """The operator's write reaches the service just before the leader's, and the leader has not heard of it."""
     leader.asks(FIRST)
     if at_step == 2:
@@ -170,7 +172,7 @@
     assert leader.node.drains.controller.table.drains["kernel"].record.phase is DrainPhase.ABORTED
 
 
-def test_a_step_that_somebody_else_has_changed_is_not_overwritten(leader):
+def test_a_step_that_somebody_else_has_changed_is_not_overwritten(leader: Leader):
     leader.asks(FIRST)
     other = StepRecord(drain="other", phase=StepPhase.CORDONED, since=1.0, changed_at=1.0)
 
@@ -184,7 +186,7 @@
     assert leader.step(FIRST) == other
 
 
-def test_a_stop_that_can_t_be_stored_is_tried_again_without_being_counted_twice(leader, state):
+def test_a_stop_that_can_t_be_stored_is_tried_again_without_being_counted_twice(leader: Leader, state: FakeState):
     leader.asks(FIRST)
     leader.tick()
 
@@ -200,7 +202,7 @@
     assert leader.used() == 1 and leader.stopping() == {"run-000000"}
 
 
-def test_a_page_that_was_written_without_an_answer_is_written_again(leader, state):
+def test_a_page_that_was_written_without_an_answer_is_written_again(leader: Leader, state: FakeState):
     leader.asks(FIRST)
     leader.tick()
     page = keys.DISRUPTED + "0"
@@ -215,7 +217,7 @@
     assert leader.stopping() == {"run-000000"} and leader.used() == 1
 
 
-def test_a_disruption_by_other_causes_is_stored_soon(leader):
+def test_a_disruption_by_other_causes_is_stored_soon(leader: Leader):
     leader.node.fleet.stop(leader.node.table.jobs["run-000002"], *_starts(leader, "run-000002"), 1.0, "room")
     leader.tick(3.0)
     assert [key for key in leader.written if key.startswith(keys.DISRUPTED)] == [keys.DISRUPTED + "0"]
@@ -227,7 +229,7 @@
     return list(leader.node.table.jobs[ref].active.values())
 
 
-def test_a_cordoned_machine_gets_no_work_from_the_next_round_on(leader):
+def test_a_cordoned_machine_gets_no_work_from_the_next_round_on(leader: Leader):
     """A free machine is to be drained, and another job comes before it is returned."""
     fleet, free = leader.node.fleet, f"vm-{MACHINES:06d}"
     assert fleet.usable(fleet.machines[free], leader.clock())
@@ -238,7 +240,7 @@
     assert standing == 2 * MACHINES - 1, "a replacement is rented where need says so"
 
 
-def test_a_start_that_is_stored_but_not_launched_is_not_launched_on_a_cordoned_machine(leader):
+def test_a_start_that_is_stored_but_not_launched_is_not_launched_on_a_cordoned_machine(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
     job = node.table.jobs["run-000002"]
     (start,) = _starts(leader, job.ref)
@@ -251,7 +253,7 @@
     assert b"launch" not in answer and not job.active, "it is placed elsewhere"
 
 
-def test_a_machine_that_is_held_is_not_let_go_as_beyond_need(leader):
+def test_a_machine_that_is_held_is_not_let_go_as_beyond_need(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
     leader.asks(free, afterwards=Afterwards.HOLD)
     for _ in range(2):
@@ -265,7 +267,7 @@
     assert others, "idle machines beside it are beyond need"
 
 
-def test_a_machine_of_another_drain_is_named_and_left_to_it(leader):
+def test_a_machine_of_another_drain_is_named_and_left_to_it(leader: Leader):
     leader.put(keys.CORDON + FIRST, records.encode(StepRecord(
         drain="other", phase=StepPhase.CORDONED, since=leader.clock(), changed_at=1.0)))  # fmt: skip
     leader.put(keys.DRAIN + "other", records.encode(new_record(
@@ -277,7 +279,7 @@
     assert leader.node.drains.controller.table.drains["kernel"].record.reason == f"{FIRST} is being drained by other"
 
 
-def test_a_job_that_was_moved_leaves_its_room_to_nobody(leader):
+def test_a_job_that_was_moved_leaves_its_room_to_nobody(leader: Leader):
     """What is kept for gangs to come was found for it; it waited a minute beside it."""
     scheduler = leader.node.scheduler
     leader.asks(FIRST)
@@ -293,7 +295,7 @@
     assert not scheduler._starves(other, leader.clock())
 
 
-def test_a_machine_with_tasks_is_not_empty_and_not_returned(leader):
+def test_a_machine_with_tasks_is_not_empty_and_not_returned(leader: Leader):
     leader.asks(FIRST, finish_s=600.0)
     for _ in range(4):
         leader.tick()
--- a/tests/drains/test_drain_ledger.py
+++ b/tests/drains/test_drain_ledger.py
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture
-def ledger():
+def ledger() -> Ledger:
     return Ledger([Budget("red", jobs=2, period_s=PERIOD_S)], value_limit=2048, margin_s=0.5)
 
 
@@ -38,7 +38,7 @@
     assert allowance(budget, running) == allowed
 
 
-def test_a_disruption_counts_until_its_period_is_over_and_the_job_runs_as_before(ledger):
+def test_a_disruption_counts_until_its_period_is_over_and_the_job_runs_as_before(ledger: Ledger):
     ledger.spend("run-000001", "red", ran=3, now=100.0)
     ledger.follow(lambda ref: 2, 100.0 + 2 * PERIOD_S)
     assert ledger.used("red") == 1, "it has not recovered"
@@ -48,13 +48,13 @@
     assert ledger.used("red") == 0, "it had recovered before"
 
 
-def test_a_job_that_is_over_has_recovered(ledger):
+def test_a_job_that_is_over_has_recovered(ledger: Ledger):
     ledger.spend("run-000001", "red", ran=3, now=100.0)
     ledger.follow(lambda ref: None, 100.0)
     assert ledger.open_entry("run-000001") is None and ledger.used("red") == 1
 
 
-def test_a_job_counts_once_until_it_recovers_and_once_more_after(ledger):
+def test_a_job_counts_once_until_it_recovers_and_once_more_after(ledger: Ledger):
     ledger.spend("run-000001", "red", ran=3, now=100.0)
     ledger.spend("run-000001", "red", ran=1, now=110.0)
     assert ledger.used("red") == 1 and ledger.open_entry("run-000001").ran == 3
@@ -65,7 +65,7 @@
     assert ledger.used("blue") == 0, "nobody asks about a team without a budget"
 
 
-def test_more_entries_than_a_value_holds_go_on_further_pages(ledger):
+def test_more_entries_than_a_value_holds_go_on_further_pages(ledger: Ledger):
     for n in range(100):
         ledger.spend(f"run-{n:06d}", "red", ran=1, now=100.0)
     assert len(ledger.pages) == 4
@@ -77,7 +77,7 @@
     assert not ledger.pages
 
 
-def test_a_new_leader_counts_the_period_of_what_has_not_recovered_from_its_beginning(ledger):
+def test_a_new_leader_counts_the_period_of_what_has_not_recovered_from_its_beginning(ledger: Ledger):
     """Its predecessor saw the loss after the stop was stored, and could not store that (drain_histories, seed 1000)."""
     ledger.spend("run-000001", "red", ran=1, now=100.0)
     ledger.spend("run-000002", "red", ran=1, now=100.0)
@@ -89,7 +89,7 @@
     assert ledger.used("red") == 0
 
 
-def test_what_changes_while_a_page_is_written_is_written_again(ledger):
+def test_what_changes_while_a_page_is_written_is_written_again(ledger: Ledger):
     ledger.spend("run-000001", "red", ran=1, now=100.0)
     ledger.pages[0].dirty = False
     ledger.spend("run-000002", "red", ran=1, now=100.0)
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -5,6 +5,7 @@
 import drain_world
 from drain_world import TEAMS, BudgetOracle, cordoned, operations
 from loopback import LoopbackWorld, play_loopback
+from pytest import MonkeyPatch
 from test_drains import BLUE, RED, WHOLE, machine_of
 
 from hookwall.drains.command import ExitCode
@@ -15,7 +16,7 @@
 BUDGETS = {"red": 1, "blue": 1}
 
 
-def test_no_team_loses_more_running_jobs_than_its_budget_while_controllers_are_killed(monkeypatch):
+def test_no_team_loses_more_running_jobs_than_its_budget_while_controllers_are_killed(monkeypatch: MonkeyPatch):
     """Half of the machines are replaced; the leader is killed while the first is emptied, and the next one later."""
     monkeypatch.setattr(drain_world, "PERIOD_S", 4.0)
 
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -3,7 +3,10 @@
 import asyncio
 
 import pytest
+from conftest import Clock, FakeState
+from pytest import MonkeyPatch
 
+from hookwall.config.platform import Params
 from hookwall.jobs import cancellations as cn
 from hookwall.jobs.cancellations import Cancellations
 from hookwall.leadership.roles import Mode, Role
@@ -34,12 +37,12 @@
 
 
 @pytest.fixture
-def peers():
+def peers() -> Peers:
     return Peers()
 
 
 @pytest.fixture
-def node(params, state, clock, peers):
+def node(params: Params, state: FakeState, clock: Clock, peers: Peers) -> Cancellations:
     async def load():
         return None
 
@@ -53,13 +56,13 @@
     return c
 
 
-def leads(node, clock):
+def leads(node: Cancellations, clock: Clock):
     lead = node.lead
     lead.role, lead.mode, lead.hold_until, lead.acks = Role.LEADER, Mode.PROMISE, clock() + 60, {"n1": clock()}
     lead.promise.holder, lead.promise.until = lead.me, clock() + 60
 
 
-def test_no_lease_is_renewed_on_knowledge_that_is_too_old(node, clock, params):
+def test_no_lease_is_renewed_on_knowledge_that_is_too_old(node: Cancellations, clock: Clock, params: Params):
     w = params.workers
     node.read(clock())
     clock.tick(w.cancel_s - w.lease_s * 1.002 - cn.MARGIN_S - 0.1)
@@ -73,7 +76,7 @@
     assert not node.may_renew()
 
 
-def test_a_majority_of_complete_promises_keeps_a_leader_current_without_the_service(node, clock):
+def test_a_majority_of_complete_promises_keeps_a_leader_current_without_the_service(node: Cancellations, clock: Clock):
     leads(node, clock)
     node.read(clock() - 100.0)
     node.on_reply("n1", clock(), ToldCancellations([], False))
@@ -87,7 +90,7 @@
     assert not node.may_renew()
 
 
-def test_a_promise_names_what_the_leader_has_not_shown_to_know(node):
+def test_a_promise_names_what_the_leader_has_not_shown_to_know(node: Cancellations):
     node.complete = True
     node.learn("run-000001", 33)
     node.learn("run-000002", 35)
@@ -99,7 +102,7 @@
     assert node.reply(None).jobs == [("run-000002", 35)]
 
 
-def test_more_than_a_message_holds_is_not_complete(node, monkeypatch):
+def test_more_than_a_message_holds_is_not_complete(node: Cancellations, monkeypatch: MonkeyPatch):
     monkeypatch.setattr(cn, "MOST_TOLD", 2)
     node.complete = True
     for n in range(3):
@@ -107,7 +110,7 @@
     assert node.reply(None).complete is False
 
 
-def test_a_leader_says_its_position_only_while_it_is_valid(node, clock):
+def test_a_leader_says_its_position_only_while_it_is_valid(node: Cancellations, clock: Clock):
     assert node.say() is None
     leads(node, clock)
     assert node.say() == 50
@@ -124,13 +127,13 @@
         ({"ok": True, "knows": True, "leads": True}, {"ok": False}, True),
     ],
 )
-def test_a_user_is_told_once_the_leader_or_a_majority_knows(node, peers, one, two, told):
+def test_a_user_is_told_once_the_leader_or_a_majority_knows(node: Cancellations, peers: Peers, one, two, told):
     peers.answers.update(n1=one, n2=two)
     assert asyncio.run(node.confirmed("run-000001", 33)) is told
     assert [m["jobs"] for m in peers.heard] == [[["run-000001", 33]]] * 2
 
 
-def test_what_an_earlier_leader_read_needs_no_telling(node, peers):
+def test_what_an_earlier_leader_read_needs_no_telling(node: Cancellations, peers: Peers):
     node.reply(19)
     assert asyncio.run(node.confirmed("run-000001", 19)) is True and peers.heard == []
     # A newer leader key proves nothing: it may name a candidate that gave up, written late.
@@ -138,7 +141,7 @@
     assert asyncio.run(node.confirmed("run-000001", 21)) is False
 
 
-def test_under_a_leader_by_hold_an_unchanged_key_is_enough(node, state):
+def test_under_a_leader_by_hold_an_unchanged_key_is_enough(node: Cancellations, state: FakeState):
     node.lead.saw_key({"node": "n1", "mode": "hold"}, 25)
     assert asyncio.run(node.confirmed("run-000001", 33)) is False, "the key is another"
     state.keys[keys.LEADER] = ({"node": "n1", "mode": "hold"}, 25)
@@ -148,5 +151,5 @@
 
 
 @pytest.mark.parametrize("jobs", [None, 3, [[1, 2]], [["run-000001"]], ["run-000001", 33]])
-def test_nonsense_from_a_peer_is_survived(node, jobs):
+def test_nonsense_from_a_peer_is_survived(node: Cancellations, jobs):
     assert node.on_told(jobs) is False and node.withdrawn == {}
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from conftest import description
+from conftest import Clock, FakeState, description
 
 from hookwall.config.platform import State
 from hookwall.jobs.job import Active
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture
-def writer(state, clock):
+def writer(state: FakeState, clock: Clock) -> JobWriter:
     """A leader's writer that knows a job in parts, and a part that its record does not name."""
     state.spare = lambda: True
     spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
@@ -41,18 +41,18 @@
     return JobWriter(table, state, SimpleNamespace(token=5), Kept(clock), [], clock)
 
 
-def parts(state) -> list[str]:
+def parts(state: FakeState) -> list[str]:
     return [key for key in state.keys if key.startswith(keys.PARTS)]
 
 
-def test_a_part_that_the_record_does_not_name_is_removed_and_no_other(writer, state):
+def test_a_part_that_the_record_does_not_name_is_removed_and_no_other(writer: JobWriter, state: FakeState):
     before = len(parts(state))
     asyncio.run(writer.collector.collect())
     assert len(parts(state)) == before - 1 and f"{keys.PARTS}run-000001/x" not in state.keys
 
 
 @pytest.mark.parametrize("changed", [KEY, keys.LEADER])
-def test_parts_stay_if_the_record_or_the_leader_has_changed(writer, state, changed):
+def test_parts_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, state: FakeState, changed):
     """Carried out late, the removal could take a part that a newer record names again."""
     state.keys[changed] = (state.keys[changed][0], 10)
     before = parts(state)
@@ -60,7 +60,7 @@
     assert parts(state) == before and "run-000001" in writer.table.parts.stale
 
 
-def test_parts_of_a_job_that_has_no_record_yet_stay(writer, state):
+def test_parts_of_a_job_that_has_no_record_yet_stay(writer: JobWriter, state: FakeState):
     writer.table.jobs["run-000001"].stamp = 0
     before = parts(state)
     asyncio.run(writer.collector.collect())
@@ -73,7 +73,7 @@
 
 
 @pytest.fixture
-def leads(state, clock):
+def leads(state: FakeState, clock: Clock) -> JobWriter:
     """A leader's writer whose job runs on vm-1, as stored, and has just been moved to vm-2."""
     state.spare = lambda: True
     state.epoch = 9
@@ -96,16 +96,18 @@
     job.dirty = job.fresh = True
 
 
-def machines(writer) -> list[str]:
+def machines(writer: JobWriter) -> list[str]:
     return [a.machine for a in writer.table.jobs["run-000002"].active.values()]
 
 
-def write(writer) -> None:
+def write(writer: JobWriter) -> None:
     asyncio.run(writer._write(list(writer.table.open.values())))
 
 
 @pytest.mark.parametrize("mode", ["lost", "down"])
-def test_a_decision_that_became_void_while_it_was_written_is_not_written_again(leads, state, mode):
+def test_a_decision_that_became_void_while_it_was_written_is_not_written_again(
+    leads: JobWriter, state: FakeState, mode
+):
     """Its write was lost. Meanwhile a keeper's key was seen, so the next one would have been stored."""
     commit = state.commit
 
@@ -118,7 +120,7 @@
     assert machines(leads) == ["vm-1"] and not leads.table.jobs["run-000002"].dirty
 
 
-def test_a_decision_that_was_stored_stays_although_it_became_void_meanwhile(leads, state):
+def test_a_decision_that_was_stored_stays_although_it_became_void_meanwhile(leads: JobWriter, state: FakeState):
     commit = state.commit
 
     async def meanwhile(*args, **options):
@@ -134,7 +136,7 @@
     assert machines(leads) == ["vm-2"] and leads.table.jobs["run-000002"].dirty, "void only what was under way"
 
 
-def test_a_read_of_a_keeper_s_key_does_not_show_who_was_kept_before(leads, state, clock):
+def test_a_read_of_a_keeper_s_key_does_not_show_who_was_kept_before(leads: JobWriter, state: FakeState, clock: Clock):
     """The key named vm-1, was gone and now names vm-9: only the watch tells of the first."""
     state.keys[KEEPER] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
@@ -144,7 +146,7 @@
     assert leads.keepers.kept.kept("vm-9") and leads.keepers.kept.heard("vm-1") == clock()
 
 
-def test_where_the_watch_has_told_of_all_leases_count_as_before(leads, state, clock):
+def test_where_the_watch_has_told_of_all_leases_count_as_before(leads: JobWriter, state: FakeState, clock: Clock):
     state.keys[KEEPER] = ({"machines": ["vm-9"]}, 9)
     leads.keepers.kept.take(KEEPER, {"machines": ["vm-9"]}, 8)
     leads.keepers.watched = lambda: 9
@@ -162,7 +164,9 @@
     raise Conflict([KEEPER], 9)
 
 
-def test_a_record_seen_while_a_write_was_under_way_is_taken_although_the_leadership_ended(leads, state):
+def test_a_record_seen_while_a_write_was_under_way_is_taken_although_the_leadership_ended(
+    leads: JobWriter, state: FakeState
+):
     """It was left aside for good, so this node knew an older record until the next change."""
     job = leads.table.jobs["run-000002"]
 
@@ -176,7 +180,7 @@
     assert job.stamp == 12 and job.parked is None and job.final()
 
 
-def test_a_leader_reads_a_record_with_missing_parts_again_by_itself(leads, state):
+def test_a_leader_reads_a_record_with_missing_parts_again_by_itself(leads: JobWriter, state: FakeState):
     """Nothing of the job is started before, so it must not wait for somebody to ask."""
     read = []
     leads.lead.valid = lambda: not read
@@ -196,7 +200,7 @@
     assert read == [keys.JOBS + "run-000002"]
 
 
-def test_a_record_that_stays_unreadable_holds_up_no_other(writer):
+def test_a_record_that_stays_unreadable_holds_up_no_other(writer: JobWriter):
     """The first in the list was always the one that was read again."""
     asked: list[str] = []
 
@@ -216,7 +220,7 @@
     assert asked == [f"{keys.JOBS}run-{n:06d}" for n in (1, 2, 3, 1)]
 
 
-def on_many_machines(state, clock, value_kb, txn_ops):
+def on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
     """A leader's writer, and a job that is on as many machines as it may use, but no more than a large fleet has."""
     limits = State(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
     state.limits, state.txn_ops, state.value_limit = limits, txn_ops, value_limit(value_kb)
@@ -245,7 +249,9 @@
     ("value_kb", "txn_ops", "least"),
     [(32.0, 24, 4000), (16.0, 12, 4000), (2.0, 24, 1000), (2.0, 12, 1000), (2.0, 4, 750)],
 )
-def test_a_job_on_as_many_machines_as_it_may_use_is_stored_within_all_limits(state, clock, value_kb, txn_ops, least):
+def test_a_job_on_as_many_machines_as_it_may_use_is_stored_within_all_limits(
+    state: FakeState, clock: Clock, value_kb, txn_ops, least
+):
     """An array was held to 215 machines at a time, and its parts were sent in transactions that were too large."""
     sent: list[tuple[int, int, int]] = []
     write = state.commit
@@ -264,7 +270,7 @@
         assert conditions <= 4 * txn_ops and puts <= txn_ops and length < 62 * 1024
 
 
-def test_a_record_is_not_stored_if_a_part_that_went_before_it_is_gone(state, clock):
+def test_a_record_is_not_stored_if_a_part_that_went_before_it_is_gone(state: FakeState, clock: Clock):
     """Another leader removed it, as no record named it yet: the record could not be read any more."""
     writer, job = on_many_machines(state, clock, 2.0, 4)
     writes: list[list[str]] = []
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -3,6 +3,7 @@
 import asyncio
 
 import pytest
+from conftest import Clock, FakeState
 
 from hookwall.leadership.election import ALONE_S, SHORT_HOLD_S
 from hookwall.leadership.leadership_transfer import LONELY_S
@@ -14,20 +15,20 @@
 
 
 @pytest.fixture
-def promise(clock):
+def promise(clock: Clock) -> Promise:
     p = Promise("n0", clock)
     clock.tick(PROMISE_S * 2)
     return p
 
 
-def test_a_promise_binds_until_it_ends(promise, clock):
+def test_a_promise_binds_until_it_ends(promise: Promise, clock: Clock):
     assert promise.renew("n1", 7)
     assert not promise.vote("n2") and not promise.renew("n2", 8)
     clock.tick(PROMISE_S + 0.01)
     assert promise.vote("n2")
 
 
-def test_an_older_token_is_never_supported_again(promise, clock):
+def test_an_older_token_is_never_supported_again(promise: Promise, clock: Clock):
     assert promise.renew("n1", 7)
     clock.tick(PROMISE_S + 0.01)
     assert promise.renew("n2", 8)
@@ -35,7 +36,7 @@
     assert not promise.renew("n1", 7)
 
 
-def test_a_restarted_node_contradicts_nothing_it_may_have_promised(clock):
+def test_a_restarted_node_contradicts_nothing_it_may_have_promised(clock: Clock):
     p = Promise("n0", clock)
     p.seen_key = ("n1", 7)
     assert not p.vote("n2"), "it may have promised n1 just before it restarted"
@@ -50,14 +51,14 @@
     assert p.vote("n2")
 
 
-def test_without_a_leader_key_a_fresh_node_may_vote_at_once(clock):
+def test_without_a_leader_key_a_fresh_node_may_vote_at_once(clock: Clock):
     p = Promise("n0", clock)
     assert not p.vote("n1"), "the key has not been read yet"
     p.seen_key = ("", 0)
     assert p.vote("n1")
 
 
-def test_a_late_release_does_not_undo_a_newer_promise(promise):
+def test_a_late_release_does_not_undo_a_newer_promise(promise: Promise):
     promise.renew("n1", 7)
     promise.renew("n1", 9)
     promise.release("n1", 7)
@@ -75,7 +76,7 @@
         return self.answer(message)
 
 
-def make(state, clock, answers):
+def make(state: FakeState, clock: Clock, answers) -> Leadership:
     async def load():
         return None
 
@@ -98,13 +99,13 @@
     return None
 
 
-def test_a_candidate_needs_a_majority(state, clock):
+def test_a_candidate_needs_a_majority(state: FakeState, clock: Clock):
     lead = make(state, clock, [no, silent])
     asyncio.run(lead.campaign.run())
     assert lead.role is Role.FOLLOWER and keys.LEADER not in state.keys
 
 
-def test_the_token_is_the_stamp_of_the_leader_key(state, clock):
+def test_the_token_is_the_stamp_of_the_leader_key(state: FakeState, clock: Clock):
     state.epoch = 40
     lead = make(state, clock, [yes, silent])
     asyncio.run(lead.campaign.run())
@@ -112,13 +113,13 @@
     assert lead.token == state.keys[keys.LEADER][1] == 41
 
 
-def test_a_peer_that_stands_still_does_not_hold_up_a_take_over(state, clock):
+def test_a_peer_that_stands_still_does_not_hold_up_a_take_over(state: FakeState, clock: Clock):
     # The old leader itself: its vote and its promise were waited for, 0.7 and 1.5 s.
     class StandsStill(ScriptedPeer):
         async def call(self, message, timeout=1.0):
             await asyncio.sleep(timeout)
 
-    async def take_over():
+    async def take_over() -> Leadership:
         lead = make(state, clock, [yes])
         lead.peers.insert(0, StandsStill("n2", None))
         async with asyncio.timeout(0.5):
@@ -130,7 +131,7 @@
     assert lead.role is Role.LEADER and lead.valid()
 
 
-def test_a_leader_without_a_majority_falls_silent_before_the_promises_end(state, clock):
+def test_a_leader_without_a_majority_falls_silent_before_the_promises_end(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, silent])
     asyncio.run(lead.campaign.run())
     clock.tick(PROMISE_S * 0.98)
@@ -139,7 +140,7 @@
     assert not lead.valid()
 
 
-def test_validity_counts_from_sending(state, clock):
+def test_validity_counts_from_sending(state: FakeState, clock: Clock):
     def slow(message):
         clock.tick(2.0)
         return yes(message)
@@ -152,14 +153,14 @@
     assert lead.acks["n1"] == before
 
 
-def test_a_leader_whose_key_was_replaced_steps_down(state, clock):
+def test_a_leader_whose_key_was_replaced_steps_down(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, yes])
     asyncio.run(lead.campaign.run())
     lead.saw_key({"node": "n2"}, lead.token + 5)
     assert lead.role is Role.FOLLOWER and not lead.valid()
 
 
-def test_a_lost_race_for_the_key_is_no_leadership(state, clock):
+def test_a_lost_race_for_the_key_is_no_leadership(state: FakeState, clock: Clock):
     def racer(message):
         if message["t"] == "vote":
             state.epoch += 1
@@ -171,7 +172,7 @@
     assert lead.role is Role.FOLLOWER
 
 
-def test_a_restarted_node_replaces_its_earlier_self_at_once(state, clock):
+def test_a_restarted_node_replaces_its_earlier_self_at_once(state: FakeState, clock: Clock):
     state.epoch = 3
     state.keys[keys.LEADER] = ({"node": "n0"}, 3)
     lead = make(state, clock, [yes, yes])
@@ -182,7 +183,7 @@
     assert not lead.campaign.may_begin()
 
 
-def test_nodes_that_do_not_reach_each_other_are_led_by_the_hold_alone(state, clock):
+def test_nodes_that_do_not_reach_each_other_are_led_by_the_hold_alone(state: FakeState, clock: Clock):
     """A packet filter between the nodes left everything else working, and nobody led for a whole day."""
     lead = make(state, clock, [silent, silent])
     asyncio.run(lead.campaign.run())
@@ -194,14 +195,14 @@
     assert not lead.valid()
 
 
-def test_a_peer_that_answers_prevents_leading_alone(state, clock):
+def test_a_peer_that_answers_prevents_leading_alone(state: FakeState, clock: Clock):
     lead = make(state, clock, [no, silent])
     clock.tick(60.0)
     asyncio.run(lead.campaign.run())
     assert lead.role is Role.FOLLOWER
 
 
-def test_a_leader_by_hold_is_not_replaced_before_its_key_is_gone(state, clock):
+def test_a_leader_by_hold_is_not_replaced_before_its_key_is_gone(state: FakeState, clock: Clock):
     state.epoch = 9
     state.keys[keys.LEADER] = ({"node": "n2", "mode": "hold"}, 9)
     lead = make(state, clock, [yes, yes])
@@ -214,7 +215,7 @@
     assert lead.role is Role.FOLLOWER and state.keys[keys.LEADER][1] == 9
 
 
-def test_a_leader_without_majority_removes_its_key(state, clock):
+def test_a_leader_without_majority_removes_its_key(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, silent])
     asyncio.run(lead.campaign.run())
     clock.tick(LONELY_S + 0.5)
@@ -222,7 +223,7 @@
     assert lead.role is Role.FOLLOWER and keys.LEADER not in state.keys
 
 
-def test_in_an_outage_nobody_resigns_to_a_peer_that_is_as_badly_off(state, clock):
+def test_in_an_outage_nobody_resigns_to_a_peer_that_is_as_badly_off(state: FakeState, clock: Clock):
     def deaf(message):
         return {"ok": True, "sok": False, "top": 0}
 
@@ -239,21 +240,21 @@
     assert lead.valid()
 
 
-def test_a_leader_refuses_to_vote(state, clock):
+def test_a_leader_refuses_to_vote(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, yes])
     asyncio.run(lead.campaign.run())
     assert not lead.handle({"t": "vote", "n": "n1"})["ok"]
 
 
 @pytest.mark.parametrize("message", [{}, {"t": "ping"}, {"t": "ping", "n": 3}, {"t": "release", "n": "n1", "tok": "x"}])
-def test_nonsense_from_a_peer_is_survived(state, clock, message):
+def test_nonsense_from_a_peer_is_survived(state: FakeState, clock: Clock, message):
     assert "ok" in make(state, clock, [yes, yes]).handle(message)
 
 
 # -- what a node may conclude from the leader key ----------------------------------------------------
 
 
-def test_a_late_answer_that_the_key_is_absent_does_not_undo_a_newer_key(state, clock):
+def test_a_late_answer_that_the_key_is_absent_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
     """A read from before the key was written is answered after the watch has told of the key."""
     lead = make(state, clock, [yes, yes])
     lead.saw_key({"node": "n1"}, 12)
@@ -265,7 +266,7 @@
     assert lead.key.stamp == 0, "nor does a late answer undo that the key is gone"
 
 
-def test_a_probe_that_is_answered_late_does_not_undo_a_newer_key(state, clock):
+def test_a_probe_that_is_answered_late_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, yes])
     state.epoch = 11
 
@@ -289,7 +290,7 @@
 # -- votes and promises while a key is replaced -------------------------------------------------------
 
 
-def test_who_voted_to_replace_a_key_never_supports_its_leader_again(promise, clock):
+def test_who_voted_to_replace_a_key_never_supports_its_leader_again(promise: Promise, clock: Clock):
     """The candidate's write may be carried out after any time; the vote itself ends after VOTE_S."""
     promise.renew("n1", 7)
     clock.tick(PROMISE_S + 0.01)
@@ -299,7 +300,7 @@
     assert promise.renew("n2", 8)
 
 
-def test_a_candidate_that_wrote_nothing_lets_the_former_leader_be_supported(promise, clock):
+def test_a_candidate_that_wrote_nothing_lets_the_former_leader_be_supported(promise: Promise, clock: Clock):
     promise.vote("n2", replaces=7, campaign=21)
     clock.tick(VOTE_S + 0.01)
     promise.vote("n0", replaces=7, campaign=1)
@@ -312,7 +313,7 @@
     assert promise.renew("n1", 7)
 
 
-def test_that_nothing_was_written_is_not_believed_of_a_later_campaign(promise, clock):
+def test_that_nothing_was_written_is_not_believed_of_a_later_campaign(promise: Promise, clock: Clock):
     """The first campaign failed for certain and said so, late; the write of the second may still be carried out."""
     promise.vote("n2", replaces=7, campaign=21)
     clock.tick(VOTE_S + 0.01)
@@ -322,12 +323,12 @@
     assert not promise.renew("n1", 7)
 
 
-def unwritten(lead) -> list[object]:
+def unwritten(lead: Leadership) -> list[object]:
     return [m["unwritten"] for p in lead.peers for m in p.calls if "unwritten" in m]
 
 
 @pytest.mark.parametrize("mode", ["lost", "ghost"])
-def test_a_write_without_an_answer_leaves_the_former_leader_without_support(state, clock, mode):
+def test_a_write_without_an_answer_leaves_the_former_leader_without_support(state: FakeState, clock: Clock, mode):
     state.epoch = 7
     state.keys[keys.LEADER] = ({"node": "n1"}, 7)
     lead = make(state, clock, [yes, silent])
@@ -366,7 +367,7 @@
 
 
 @pytest.mark.parametrize("answers", [[no, silent], [yes, silent]])
-def test_a_candidate_that_fails_for_certain_says_so(state, clock, answers):
+def test_a_candidate_that_fails_for_certain_says_so(state: FakeState, clock: Clock, answers):
     """Too few votes, or a write that was refused."""
     state.epoch = 7
     state.keys[keys.LEADER] = ({"node": "n1"}, 7)
@@ -387,7 +388,7 @@
     assert lead.promise.renew("n1", 7)
 
 
-def test_a_leader_that_a_voter_never_supports_again_takes_a_new_token(state, clock):
+def test_a_leader_that_a_voter_never_supports_again_takes_a_new_token(state: FakeState, clock: Clock):
     """The voter would count it as unheard for as long as it led with that token."""
     lead = make(state, clock, [yes, yes])
     asyncio.run(lead.campaign.run())
@@ -403,7 +404,7 @@
     assert lead.role is Role.LEADER and lead.token > before
 
 
-def test_a_leader_whose_own_promise_is_with_another_node_is_not_valid(state, clock):
+def test_a_leader_whose_own_promise_is_with_another_node_is_not_valid(state: FakeState, clock: Clock):
     """Its vote for itself had ended while the key was written; for up to a second two nodes were valid."""
     lead = make(state, clock, [yes, silent])
     asyncio.run(lead.campaign.run())
@@ -412,14 +413,14 @@
     assert not lead.valid()
 
 
-def test_a_leader_whose_own_promise_has_ended_is_not_valid(state, clock):
+def test_a_leader_whose_own_promise_has_ended_is_not_valid(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, silent])
     asyncio.run(lead.campaign.run())
     lead.promise.until = clock()
     assert not lead.valid()
 
 
-def test_a_key_from_a_late_write_of_one_s_own_does_not_prove_that_nobody_leads(state, clock):
+def test_a_key_from_a_late_write_of_one_s_own_does_not_prove_that_nobody_leads(state: FakeState, clock: Clock):
     """The former leader may have its promises again; a node cut off from its peers took over at once."""
     lead = make(state, clock, [silent, silent])
     state.epoch = 9
@@ -435,14 +436,14 @@
     assert lead.role is Role.LEADER and lead.mode is Mode.HOLD
 
 
-def test_a_restarted_voter_does_not_take_a_late_key_for_that_of_an_earlier_process(clock):
+def test_a_restarted_voter_does_not_take_a_late_key_for_that_of_an_earlier_process(clock: Clock):
     promise = Promise("n2", clock)
     promise.seen_key = ("n0", 9)
     assert not promise.vote("n0", replaces=9, dead=False)
     assert promise.vote("n0", replaces=9)
 
 
-def test_a_restarted_voter_hears_that_a_key_proves_nothing(state, clock):
+def test_a_restarted_voter_hears_that_a_key_proves_nothing(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, yes])
     lead.promise.started = clock()
     lead.saw_key({"node": "n1"}, 9)
@@ -450,7 +451,7 @@
     assert lead.handle({"t": "vote", "n": "n1"})["ok"], "older programs don't say"
 
 
-def test_a_vote_is_asked_with_what_it_replaces(state, clock):
+def test_a_vote_is_asked_with_what_it_replaces(state: FakeState, clock: Clock):
     lead = make(state, clock, [yes, yes])
     clock.tick(PROMISE_S * 2)
     assert lead.handle({"t": "vote", "n": "n1", "replaces": 7, "campaign": 31})["ok"]
@@ -463,7 +464,7 @@
     assert lead.handle({"t": "ping", "n": "n2", "tok": 7})["ok"]
 
 
-def test_a_leader_that_was_not_valid_for_a_while_says_so(state, clock):
+def test_a_leader_that_was_not_valid_for_a_while_says_so(state: FakeState, clock: Clock):
     """Another node may have answered workers meanwhile, so their leases count from when it is valid again."""
     lead, lapses = make(state, clock, [yes, silent]), []
     asyncio.run(lead.campaign.run())
@@ -478,7 +479,7 @@
     assert lead.valid() and lapses == [clock()]
 
 
-def test_a_renewed_hold_or_own_promise_after_a_lapse_says_so_too(state, clock):
+def test_a_renewed_hold_or_own_promise_after_a_lapse_says_so_too(state: FakeState, clock: Clock):
     lead, lapses = make(state, clock, [yes, silent]), []
     asyncio.run(lead.campaign.run())
     lead.on_lapse = lambda: lapses.append(clock())
--- a/tests/leadership/test_voter.py
+++ b/tests/leadership/test_voter.py
@@ -3,6 +3,7 @@
 import asyncio
 
 import pytest
+from conftest import Clock, FakeState
 
 from hookwall.leadership.roles import Role
 from hookwall.leadership.state_machine import Leadership
@@ -26,7 +27,7 @@
 
 
 @pytest.fixture
-def lead(state, clock):
+def lead(state: FakeState, clock: Clock) -> Leadership:
     """A node whose process began long ago, and has not written its key."""
 
     async def load():
@@ -52,14 +53,14 @@
     running.cancel()
 
 
-def test_nobody_is_supported_before_the_key_is_written(lead):
+def test_nobody_is_supported_before_the_key_is_written(lead: Leadership):
     vote, ping = {"t": "vote", "n": "n1", "campaign": 1}, {"t": "ping", "n": "n1", "tok": 4}
     assert not lead.handle(vote)["ok"] and not lead.handle(ping)["ok"] and not lead.campaign.may_begin()
     asyncio.run(put_up(lead.fence))
     assert lead.campaign.may_begin() and lead.handle(vote)["ok"]
 
 
-def test_a_node_that_the_service_refuses_votes_and_supports_all_the_same(lead, state):
+def test_a_node_that_the_service_refuses_votes_and_supports_all_the_same(lead: Leadership, state: FakeState):
     """Nobody could lead if nodes restarted in an outage."""
     state.mode = "down"
     asyncio.run(put_up(lead.fence))
@@ -69,14 +70,14 @@
     assert lead.handle({"t": "ping", "n": "n1", "tok": 4})["ok"]
 
 
-def test_a_vote_names_the_stamp_of_the_voter_s_key(lead, state):
+def test_a_vote_names_the_stamp_of_the_voter_s_key(lead: Leadership, state: FakeState):
     asyncio.run(put_up(lead.fence))
     answer = lead.handle({"t": "vote", "n": "n1", "campaign": 1})
     assert answer["ok"] and answer["fence"] == state.keys[MY_KEY][1] > 0
 
 
 @pytest.mark.parametrize("restarted", [None, "n0", "n1", "n2"])
-def test_the_leader_key_is_written_only_if_no_voter_has_restarted(lead, state, restarted):
+def test_the_leader_key_is_written_only_if_no_voter_has_restarted(lead: Leadership, state: FakeState, restarted):
     """n2 runs an older program and names no key; n1's and the candidate's own are conditions."""
 
     async def campaign():
@@ -91,7 +92,7 @@
     assert (keys.LEADER in state.keys) == (restarted in (None, "n2"))
 
 
-def test_the_leader_key_is_read_after_the_fence_and_before_anybody_is_supported(lead, state):
+def test_the_leader_key_is_read_after_the_fence_and_before_anybody_is_supported(lead: Leadership, state: FakeState):
     """A forgotten vote's write may have happened just before: its key is the one that counts."""
     write = state.commit
 
@@ -108,7 +109,7 @@
     assert lead.handle({"t": "ping", "n": "n2", "tok": lead.key.stamp})["ok"]
 
 
-def test_a_leader_whose_key_is_gone_behind_the_fence_is_not_supported_again(lead, state):
+def test_a_leader_whose_key_is_gone_behind_the_fence_is_not_supported_again(lead: Leadership, state: FakeState):
     """A forgotten vote's write may have replaced its key, and be gone again."""
     state.epoch = 40
     asyncio.run(put_up(lead.fence))
@@ -116,7 +117,7 @@
     assert lead.handle({"t": "ping", "n": "n1", "tok": 42})["ok"]
 
 
-def test_the_key_is_written_on_the_condition_of_what_was_read(lead, state):
+def test_the_key_is_written_on_the_condition_of_what_was_read(lead: Leadership, state: FakeState):
     """A write of an earlier process that is carried out late must not replace the key of this one, or the reverse."""
     state.keys[MY_KEY] = ({"process": 7}, 2)
     seen: list[list] = []
@@ -131,7 +132,7 @@
     assert seen == [[(MY_KEY, 2)]] and state.keys[MY_KEY][0] == {"process": lead.fence.process}
 
 
-def test_a_write_without_an_answer_is_known_by_its_process_number(lead, state):
+def test_a_write_without_an_answer_is_known_by_its_process_number(lead: Leadership, state: FakeState):
     async def scenario():
         state.mode = "ghost"
         with pytest.raises(Unknown):
--- a/tests/leading_node.py
+++ b/tests/leading_node.py
@@ -1,9 +1,9 @@
 """A node that leads a fleet with one running job a machine, and the heartbeats of its workers."""
 
 import msgspec
-from conftest import description
+from conftest import Clock, description
 
-from hookwall.config.platform import External, Seed, Settings
+from hookwall.config.platform import External, Params, Seed, Settings
 from hookwall.leadership.roles import Mode, Role
 from hookwall.leadership.vote_grant import PROMISE_S
 from hookwall.node.node import Node
@@ -18,7 +18,7 @@
     )  # fmt: skip
 
 
-def leading(params, clock, machines: int) -> Node:
+def leading(params: Params, clock: Clock, machines: int) -> Node:
     """A leader with a job running on each machine of a fleet."""
     seeds = [Seed(f"n{i}", f"127.0.0.1:{7000 + i}") for i in (1, 2)]
     services = External("127.0.0.1:1", "127.0.0.1:2")
--- a/tests/node/test_cost.py
+++ b/tests/node/test_cost.py
@@ -4,8 +4,10 @@
 from collections.abc import Callable
 
 import pytest
+from conftest import Clock
 from leading_node import leading, report
 
+from hookwall.config.platform import Params
 from hookwall.leadership.peer_transport import MAX_FRAME, frame
 from hookwall.node.node import Node
 
@@ -29,7 +31,7 @@
 
 
 @pytest.fixture
-def fleets(params, clock):
+def fleets(params: Params, clock: Clock):
     return [leading(params, clock, machines) for machines in FLEETS]
 
 
@@ -62,7 +64,7 @@
     assert 0 < large <= small
 
 
-def test_the_machine_list_takes_half_of_the_cloud_s_requests_at_most(fleets, params):
+def test_the_machine_list_takes_half_of_the_cloud_s_requests_at_most(fleets, params: Params):
     for node in fleets:
         lists = node.renting.lists
         pages = -(-len(node.fleet.machines) // lists.client.page_size)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -4,9 +4,9 @@
 
 import msgspec
 import pytest
-from conftest import description
+from conftest import Clock, description
 
-from hookwall.config.platform import External, Seed, Settings
+from hookwall.config.platform import External, Params, Seed, Settings
 from hookwall.leadership.roles import Mode, Role
 from hookwall.leadership.vote_grant import PROMISE_S
 from hookwall.node.node import Node
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-def node(params, clock):
+def node(params: Params, clock: Clock) -> Node:
     seeds = [Seed(f"n{i}", f"127.0.0.1:{7000 + i}") for i in (1, 2)]
     # The clock from the start: set afterwards, the machine's own uptime decided whether a node had just started,
     # and a test of that failed on machines that were up for less than the fake clock's first 1,000 s.
@@ -28,7 +28,7 @@
     )
 
 
-def leads(node, clock, token=5):
+def leads(node: Node, clock: Clock, token=5):
     lead = node.leadership
     lead.role, lead.mode, lead.token, lead.hold_until = Role.LEADER, Mode.PROMISE, token, clock() + 60.0
     lead.acks = {"n1": clock()}
@@ -37,7 +37,7 @@
     node.cancellations.read(clock())  # it has read the records
 
 
-def test_a_leader_that_lost_state_service_and_peers_sends_its_workers_away(node, clock):
+def test_a_leader_that_lost_state_service_and_peers_sends_its_workers_away(node: Node, clock: Clock):
     leads(node, clock)
     status, body = asyncio.run(node.beat(report(1)))
     assert status == 200 and msgspec.json.decode(body)["mandate"] == 5
@@ -49,7 +49,7 @@
     assert node.fleet.machines["vm-1"].answered == clock() - PROMISE_S
 
 
-def test_a_late_copy_is_not_answered_as_a_renewal(node, clock):
+def test_a_late_copy_is_not_answered_as_a_renewal(node: Node, clock: Clock):
     leads(node, clock)
     assert asyncio.run(node.beat(report(3, token=5)))[0] == 200
     clock.tick(2.0)
@@ -57,7 +57,7 @@
     assert node.fleet.machines["vm-1"].answered == clock() - 2.0
 
 
-def test_a_follower_names_the_leader_it_supports(node):
+def test_a_follower_names_the_leader_it_supports(node: Node):
     assert node.leadership.promise.renew("n1", 7) is False, "just started, it may have promised otherwise"
     node.leadership.saw_key({"node": "n1"}, 7)
     assert node.leadership.promise.renew("n1", 7)
@@ -65,7 +65,7 @@
     assert status == 421 and msgspec.json.decode(body) == {"overseer": "n1"}
 
 
-def test_a_leader_that_missed_changes_counts_every_lease_as_kept_until_now(node, clock):
+def test_a_leader_that_missed_changes_counts_every_lease_as_kept_until_now(node: Node, clock: Clock):
     """The service keeps the last 10,000 changes: a keeper's key may have come and gone among those before."""
     leads(node, clock)
     clock.tick(100.0)
@@ -83,7 +83,7 @@
     assert job.active[0].machine == "vm-1" and not job.dirty, "what was decided meanwhile is void"
 
 
-def test_leases_count_from_when_a_leader_is_valid_without_interruption(node, clock):
+def test_leases_count_from_when_a_leader_is_valid_without_interruption(node: Node, clock: Clock):
     leads(node, clock)
     assert asyncio.run(node.beat(report(1)))[0] == 200
     began = node.fleet.began
--- a/tests/node/test_start.py
+++ b/tests/node/test_start.py
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def test_a_start_uses_what_the_build_compiled(tmp_path):
+def test_a_start_uses_what_the_build_compiled(tmp_path: Path):
     # A deployed node can't write beside its sources, and each start compiled them anew.
     shutil.copytree(ROOT / "hookwall", tmp_path / "hookwall", ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(ROOT / "run.py", tmp_path)
--- a/tests/production.py
+++ b/tests/production.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import msgspec
+from conftest import Clock
 
 from hookwall.node.node import Node
 from hookwall.protocol.peer_messages import About
@@ -58,7 +59,7 @@
 class Format1Node(Node):
     """A node that writes and says only what programs of format 1 do, and reports what they would misread."""
 
-    def __init__(self, settings, clock, wall, broken: list[str]) -> None:
+    def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         limits = settings.settings
         limits = msgspec.structs.replace(limits, state=msgspec.structs.replace(limits.state, next=None))
         super().__init__(msgspec.structs.replace(settings, settings=limits), clock, wall)
@@ -94,7 +95,7 @@
 class Format2Node(Node):
     """A node that writes and says only what programs of format 2 do, and reports what they would misread."""
 
-    def __init__(self, settings, clock, wall, broken: list[str]) -> None:
+    def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
         self.broken = broken
         self.leadership.fence = None
@@ -116,7 +117,7 @@
 class Format3Node(Node):
     """A node that writes and says only what programs of format 3 do: drains and cordons mean nothing to it."""
 
-    def __init__(self, settings, clock, wall, broken: list[str]) -> None:
+    def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
         self.formats.current = Format.NUMBERED
         self.formats.heard_of = {settings.node_name: int(Format.NUMBERED)}
--- a/tests/protocol/test_messages.py
+++ b/tests/protocol/test_messages.py
@@ -1,6 +1,7 @@
 """Messages between nodes: what can't be read counts as missing, and what says nothing is not sent."""
 
 import pytest
+from conftest import Clock, FakeState
 
 from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol.peer_messages import About, Kind, PeerAnswer, PeerMessage, decode_answer, decode_message, encode
@@ -28,7 +29,7 @@
     assert decode_message({**PING, **change}) is None and decode_message({}) is None
 
 
-def test_a_kind_that_only_newer_programs_know_is_refused_but_tells_how_this_node_is(clock, state):
+def test_a_kind_that_only_newer_programs_know_is_refused_but_tells_how_this_node_is(clock: Clock, state: FakeState):
     state.last_ok = clock()
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
     lead.about = lambda: About(4, False)
--- a/tests/scheduling/test_fit.py
+++ b/tests/scheduling/test_fit.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from conftest import CATALOG
+from conftest import CATALOG, Cluster
 
 from hookwall.scheduling.fit import fit_of
 
@@ -19,12 +19,12 @@
         ({"cards": 5.0}, 0.0, True),
     ],
 )
-def test_what_a_task_takes_of_a_machine(cluster, needs, weight, whole):
+def test_what_a_task_takes_of_a_machine(cluster: Cluster, needs, weight, whole):
     fit = fit_of(cluster.submit(1, **needs), cluster.fleet)
     assert (fit.weight, fit.whole, fit.wait_s) == (weight, whole, 25.0 + 5.0 / 0.5)
 
 
-def test_a_new_catalog_is_taken_into_account(cluster):
+def test_a_new_catalog_is_taken_into_account(cluster: Cluster):
     job = cluster.submit(1, cards=1.0)
     assert fit_of(job, cluster.fleet).weight == 0.25
     larger = msgspec.structs.replace(CATALOG.types[0], gpus=8.0, cpus=64.0, memory=512.0, boot_s=40.0)
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -7,11 +7,11 @@
 from hookwall.scheduling.placement import Ask, Room, _tie, idle, place, units
 
 
-def room(i, gpus, zone=0, spot=False, cpus=100.0, memory=1000.0, warm=(), type_=0, price=1.0):
+def room(i, gpus, zone=0, spot=False, cpus=100.0, memory=1000.0, warm=(), type_=0, price=1.0) -> Room:
     return Room(i, type_, zone, spot, cpus, float(gpus), memory, price, 0.0, frozenset(warm))
 
 
-def ask(count, gang=True, gpus=1.0, **more):
+def ask(count, gang=True, gpus=1.0, **more) -> Ask:
     return Ask(count, more.pop("total", count), gang, more.pop("cpus", 1.0), gpus, 1.0, **more)
 
 
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -2,19 +2,21 @@
 
 import msgspec
 import pytest
+from conftest import Cluster
+from pytest import MonkeyPatch
 
-from hookwall.config.platform import MachineLimits
+from hookwall.config.platform import MachineLimits, Params
 from hookwall.scheduling import scheduler as sched
 from hookwall.scheduling.round_state import MACHINE_BYTES, START_BYTES, StartRoom
 from hookwall.storage.job_records import plain
 
 
-def up(cluster, *names, **kw):
+def up(cluster: Cluster, *names, **kw):
     for n in names:
         cluster.beat(n, **kw)
 
 
-def test_rank_then_arrival(cluster):
+def test_rank_then_arrival(cluster: Cluster):
     up(cluster, "vm-1")
     late = cluster.submit(3, pieces=4, rank="urgent")
     early = cluster.submit(1, pieces=4)
@@ -22,7 +24,7 @@
     assert len(late.active) == 4 and not early.active
 
 
-def test_a_teams_limit_counts_tasks_that_may_still_run(cluster):
+def test_a_teams_limit_counts_tasks_that_may_still_run(cluster: Cluster):
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4", "vm-5")
     a = cluster.submit(1, owner="red", pieces=12)
     b = cluster.submit(2, owner="red", pieces=12)
@@ -33,7 +35,7 @@
     assert len(a.active) + len(b.active) == 16
 
 
-def test_urgent_work_stops_lower_work_in_order_and_gets_its_place(cluster):
+def test_urgent_work_stops_lower_work_in_order_and_gets_its_place(cluster: Cluster):
     up(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.round()
@@ -50,7 +52,7 @@
     assert len(high.active) == 1 and not other.active and not low.active
 
 
-def test_equal_rank_is_not_stopped_without_a_guarantee(cluster):
+def test_equal_rank_is_not_stopped_without_a_guarantee(cluster: Cluster):
     up(cluster, "vm-1")
     first = cluster.submit(1, pieces=4)
     cluster.scheduler.round()
@@ -59,7 +61,7 @@
     assert all(a.stop_grace is None for a in first.active.values())
 
 
-def test_a_guarantee_takes_back_only_what_was_borrowed(cluster):
+def test_a_guarantee_takes_back_only_what_was_borrowed(cluster: Cluster):
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     blue = cluster.submit(1, owner="blue", pieces=12)
     grey = cluster.submit(2, owner="grey", pieces=4)
@@ -71,7 +73,7 @@
     assert red.ref in cluster.scheduler.waiting
 
 
-def test_a_waiting_gang_is_not_starved_by_later_small_jobs(cluster):
+def test_a_waiting_gang_is_not_starved_by_later_small_jobs(cluster: Cluster):
     up(cluster, "vm-1")
     small = cluster.submit(1, pieces=2)
     cluster.scheduler.round()
@@ -85,7 +87,7 @@
     assert not later.active and not gang.active and len(small.active) == 2
 
 
-def test_a_round_out_of_time_goes_on_where_it_stopped(cluster, monkeypatch):
+def test_a_round_out_of_time_goes_on_where_it_stopped(cluster: Cluster, monkeypatch: MonkeyPatch):
     up(cluster, *[f"vm-{i}" for i in range(8)])
     jobs = [cluster.submit(n, pieces=1) for n in range(1, 21)]
     real = sched.place
@@ -108,13 +110,13 @@
 @pytest.mark.parametrize(
     ("share", "budget_s"), [(0.36, 0.0306), (0.18, 0.0611), (0.13, 0.0846), (0.01, 0.12), (1.0, 0.011)]
 )
-def test_a_round_s_time_follows_the_share_of_a_core(cluster, params, share, budget_s):
+def test_a_round_s_time_follows_the_share_of_a_core(cluster: Cluster, params: Params, share, budget_s):
     params = msgspec.structs.replace(params, machine_limits=MachineLimits(core_share=share))
     scheduler = sched.Scheduler(params, cluster.table, cluster.fleet, cluster.clock)
     assert scheduler.budget_s == pytest.approx(budget_s, rel=0.01)
 
 
-def test_a_broken_gang_is_stopped_and_starts_whole_again(cluster):
+def test_a_broken_gang_is_stopped_and_starts_whole_again(cluster: Cluster):
     up(cluster, "vm-1")
     up(cluster, "vm-2")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0)
@@ -134,7 +136,7 @@
     assert {a.attempt for a in gang.active.values()} == {2} and len(gang.active) == 2
 
 
-def test_some_machines_are_kept_for_gangs_that_need_one_whole(cluster):
+def test_some_machines_are_kept_for_gangs_that_need_one_whole(cluster: Cluster):
     """Small tasks of the same rank refill each GPU that is freed: a gang waited for minutes under load."""
     up(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
@@ -149,7 +151,7 @@
     assert used == {gang.active[0].machine}
 
 
-def test_urgent_work_makes_room_where_its_image_is_rather_than_fetch_elsewhere(cluster):
+def test_urgent_work_makes_room_where_its_image_is_rather_than_fetch_elsewhere(cluster: Cluster):
     up(cluster, "vm-1", "vm-2")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.round()
@@ -166,7 +168,7 @@
     assert urgent.active[0].machine == warm
 
 
-def test_a_gang_keeps_the_zone_that_was_chosen_for_it(cluster):
+def test_a_gang_keeps_the_zone_that_was_chosen_for_it(cluster: Cluster):
     for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
         cluster.beat(name, zone=zone)
     fillers = [cluster.submit(n, pieces=1, cards=c, yard=z) for n, c, z in ((1, 2.0, "east"), (2, 2.0, "west"))]
@@ -187,7 +189,7 @@
     assert {a.machine[0] for a in later.active.values()} == {"w"}
 
 
-def test_a_cold_machine_held_for_a_job_is_taken_once_it_is_free(cluster):
+def test_a_cold_machine_held_for_a_job_is_taken_once_it_is_free(cluster: Cluster):
     """It was left empty for twelve seconds, as if the machine that had the image were on its way."""
     up(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
@@ -201,7 +203,7 @@
     assert urgent.active
 
 
-def test_in_a_queue_a_machine_goes_to_the_job_whose_image_it_has(cluster):
+def test_in_a_queue_a_machine_goes_to_the_job_whose_image_it_has(cluster: Cluster):
     up(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     running = cluster.submit(1, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
@@ -222,7 +224,7 @@
     assert first.active
 
 
-def queue_of_pairs(cluster):
+def queue_of_pairs(cluster: Cluster):
     """Two machines with an image that the second of two waiting gangs of two needs, and the first does not."""
     up(cluster, "vm-1", "vm-2")
     pair = {"shape": "ensemble", "pieces": 2, "cards": 4.0, "sizeGb": 10.0}
@@ -238,7 +240,7 @@
     return first, second
 
 
-def test_in_a_queue_gangs_of_several_leave_machines_to_the_gang_whose_image_they_have(cluster):
+def test_in_a_queue_gangs_of_several_leave_machines_to_the_gang_whose_image_they_have(cluster: Cluster):
     first, second = queue_of_pairs(cluster)
     cluster.scheduler.round()
     assert len(second.active) == 2 and not first.active
@@ -251,7 +253,7 @@
     assert len(first.active) == 2
 
 
-def test_a_gang_that_would_miss_the_last_start_its_class_is_promised_leaves_nothing(cluster):
+def test_a_gang_that_would_miss_the_last_start_its_class_is_promised_leaves_nothing(cluster: Cluster):
     cluster.scheduler.last_start["k"] = 60.0
     first, second = queue_of_pairs(cluster)
     cluster.clock.tick(45.0)  # and it has waited for 43 s, under whatever leader
@@ -262,7 +264,7 @@
     assert len(first.active) == 2 and not second.active
 
 
-def test_gangs_of_a_queue_reserve_each_machine_once(cluster):
+def test_gangs_of_a_queue_reserve_each_machine_once(cluster: Cluster):
     # What is still to be reserved is kept for a round, and must not name a machine twice.
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     cluster.submit(1, pieces=16)
@@ -277,7 +279,7 @@
     assert sorted(p.held.values()) == [gangs[0].ref] * 2 + [gangs[1].ref] * 2
 
 
-def test_in_a_queue_arrays_leave_freed_gpus_to_those_whose_image_is_there(cluster):
+def test_in_a_queue_arrays_leave_freed_gpus_to_those_whose_image_is_there(cluster: Cluster):
     up(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     full = cluster.submit(1, pieces=4, bundle="img-8")
@@ -298,7 +300,7 @@
     assert len(first.active) == 1, "but not for ever"
 
 
-def test_what_is_free_already_is_kept_for_a_gang_that_makes_room_for_the_rest(cluster):
+def test_what_is_free_already_is_kept_for_a_gang_that_makes_room_for_the_rest(cluster: Cluster):
     cluster.beat("vm-1")
     low = cluster.submit(1, rank="low", pieces=4)
     cluster.scheduler.round()
@@ -316,7 +318,7 @@
     assert {a.machine for a in gang.active.values()} == {"vm-1", "vm-2"}
 
 
-def test_arrays_leave_the_emptiest_machines_to_a_gang_that_waits(cluster):
+def test_arrays_leave_the_emptiest_machines_to_a_gang_that_waits(cluster: Cluster):
     """Older arrays refilled each GPU that was freed, and gangs of whole machines waited for minutes."""
     up(cluster, "vm-1", "vm-2")
     old = cluster.submit(1, pieces=20, loaners=True)
@@ -333,7 +335,7 @@
     assert gang.active[0].machine == "vm-1"
 
 
-def test_an_array_that_gets_nothing_for_long_takes_what_gangs_await(cluster):
+def test_an_array_that_gets_nothing_for_long_takes_what_gangs_await(cluster: Cluster):
     up(cluster, "vm-1")
     old = cluster.submit(1, pieces=20, loaners=True)
     cluster.scheduler.round()
@@ -352,7 +354,7 @@
     assert len(old.active) == 4, "the gang lacks a second machine, and the array starved"
 
 
-def test_a_job_that_starves_takes_machines_that_are_kept_for_gangs_to_come(cluster):
+def test_a_job_that_starves_takes_machines_that_are_kept_for_gangs_to_come(cluster: Cluster):
     """Nobody has a guarantee here, so an array waited for as long as gangs might come, beside idle machines."""
     up(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
@@ -371,7 +373,7 @@
     assert len(array.active) == 4
 
 
-def test_what_is_reserved_in_vain_for_long_goes_to_a_job_that_starves(cluster):
+def test_what_is_reserved_in_vain_for_long_goes_to_a_job_that_starves(cluster: Cluster):
     """A gang waits for a second machine; the first stood idle for it, whoever else could have used it."""
     up(cluster, "vm-1")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0, rank="urgent")
@@ -390,7 +392,7 @@
     assert waited > 50.0 and not gang.active
 
 
-def test_a_gang_that_starves_leaves_nothing_to_equals_whatever_the_fetch_takes(cluster):
+def test_a_gang_that_starves_leaves_nothing_to_equals_whatever_the_fetch_takes(cluster: Cluster):
     first, second = queue_of_pairs(cluster)
     first.spec = msgspec.structs.replace(first.spec, image_gb=100.0)  # 200 s to fetch
     cluster.scheduler.waiting[first.ref].served = cluster.clock() - 61.0
@@ -398,7 +400,7 @@
     assert len(first.active) == 2 and not second.active
 
 
-def test_a_machine_on_which_a_job_failed_twice_is_tried_again_later(cluster):
+def test_a_machine_on_which_a_job_failed_twice_is_tried_again_later(cluster: Cluster):
     """It was the only one with room, and the job waited for as long as it was."""
     up(cluster, "vm-1")
     job = cluster.submit(1)
@@ -412,7 +414,7 @@
     assert len(job.active) == 1
 
 
-def test_tasks_on_machines_that_only_records_name_count_in_every_zone(cluster):
+def test_tasks_on_machines_that_only_records_name_count_in_every_zone(cluster: Cluster):
     job = cluster.submit(1, pieces=4, spread=True)
     record = {**plain(job.record()), "on": [["vm-7", 1, 1, "0-1"]], "next": 2}
     cluster.stamp += 1
@@ -426,7 +428,7 @@
     assert {a.machine for a in job.active.values()} == {"vm-7", "vm-2"}
 
 
-def test_a_large_record_may_name_more_starts_than_a_usual_one(cluster):
+def test_a_large_record_may_name_more_starts_than_a_usual_one(cluster: Cluster):
     for n in range(1, 13):
         cluster.beat(f"vm-{n}")
     cluster.scheduler.start_room = lambda: StartRoom(0.0, 20 * (MACHINE_BYTES + START_BYTES) + 1.0)
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -5,7 +5,7 @@
 
 import msgspec
 import pytest
-from conftest import description
+from conftest import Clock, FakeState, description
 from production import misread
 
 from hookwall.jobs.job_table import JobTable
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN["jobs"]))
-def test_a_record_of_production_is_read_and_written_back_the_same(name, clock):
+def test_a_record_of_production_is_read_and_written_back_the_same(name, clock: Clock):
     value = GOLDEN["jobs"][name]
     assert misread(value) == []
     ref = "run-000003"
@@ -49,7 +49,7 @@
         assert stored(job_records.encode(ref, job.record(), None).value) == value
 
 
-def test_what_is_under_way_is_known_from_a_record_of_production(clock):
+def test_what_is_under_way_is_known_from_a_record_of_production(clock: Clock):
     table = JobTable(clock)
     table.apply(keys.JOBS + "run-000003", GOLDEN["jobs"]["under_way"], 7)
     job = table.jobs["run-000003"]
@@ -57,7 +57,7 @@
     assert job.pending(20) == [5, 6, 8] and job.at == 1_700_000_000.25
 
 
-def test_no_field_that_production_would_lose_is_written_in_the_old_format(clock):
+def test_no_field_that_production_would_lose_is_written_in_the_old_format(clock: Clock):
     table = JobTable(clock)
     table.apply(keys.JOBS + "run-000001", GOLDEN["jobs"]["accepted"], 7)
     job = table.jobs["run-000001"]
@@ -72,7 +72,7 @@
     assert misread(job_records.plain(needs)) == ["unknown field spec.awaits"]
 
 
-def test_the_keys_of_leader_keepers_and_catalog_are_read(clock, state):
+def test_the_keys_of_leader_keepers_and_catalog_are_read(clock: Clock, state: FakeState):
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.saw_key(GOLDEN["leader_key"], 9)
     assert (lead.key.node, lead.key.stamp, lead.key.mode) == ("n0", 9, Mode.PROMISE)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN["messages"]))
-def test_messages_of_production_are_answered_in_a_way_that_it_reads(kind, clock, state):
+def test_messages_of_production_are_answered_in_a_way_that_it_reads(kind, clock: Clock, state: FakeState):
     state.last_ok = clock()
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.about = lambda: About(2, False)
@@ -101,7 +101,7 @@
             assert isinstance(answer[name], type(value)) or {type(value), type(answer[name])} <= {int, float}
 
 
-def test_answers_of_production_are_taken(clock, state):
+def test_answers_of_production_are_taken(clock: Clock, state: FakeState):
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
     told: list[About] = []
     lead.on_about = lambda node, about: told.append(about)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN_2["jobs"]))
-def test_a_record_of_format_2_is_read_and_written_back_with_the_same_content(name, clock):
+def test_a_record_of_format_2_is_read_and_written_back_with_the_same_content(name, clock: Clock):
     value = GOLDEN_2["jobs"][name]
     ref = "run-000006"  # the one whose record is in parts
     record = job_records.decode(ref, value, GOLDEN_2["parts"].get)
@@ -151,7 +151,7 @@
     assert not job.unreadable
 
 
-def test_what_a_record_of_format_2_says_is_known(clock):
+def test_what_a_record_of_format_2_says_is_known(clock: Clock):
     table = JobTable(clock)
     for n, name in enumerate(("done", "dependent", "under_way"), 1):
         table.apply(f"{keys.JOBS}run-{n:06d}", GOLDEN_2["jobs"][name], 7 + n)
@@ -160,7 +160,7 @@
     assert table.jobs["run-000003"].stored_on == {task: (f"vm-{231 + task:06d}", 2) for task in (1, 4, 7)}
 
 
-def test_the_other_keys_of_format_2_are_read(clock, state):
+def test_the_other_keys_of_format_2_are_read(clock: Clock, state: FakeState):
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.saw_key(GOLDEN_2["leader_key"], 9)
     assert (lead.key.node, lead.key.stamp, lead.key.mode) == ("n0", 9, Mode.PROMISE)
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN_2["messages"]))
-def test_messages_of_format_2_are_answered_in_a_way_that_it_reads(kind, clock, state):
+def test_messages_of_format_2_are_answered_in_a_way_that_it_reads(kind, clock: Clock, state: FakeState):
     state.last_ok = clock()
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.about = lambda: About(3, False)
--- a/tests/storage/test_formats.py
+++ b/tests/storage/test_formats.py
@@ -3,17 +3,18 @@
 import asyncio
 
 import pytest
+from conftest import FakeState
 
 from hookwall.storage import keys
 from hookwall.storage.storage_version import CURRENT, Format, FormatGate
 
 
 @pytest.fixture
-def gate(state):
+def gate(state: FakeState) -> FormatGate:
     return FormatGate("n0", ["n1", "n2"], state)
 
 
-def saw_all(gate, *known):
+def saw_all(gate: FormatGate, *known):
     for n, format_ in enumerate(known):
         gate.saw(f"{keys.FORMAT}n{n}", {"format": format_}, 10 + n)
 
@@ -24,7 +25,7 @@
     task.cancel()
 
 
-def test_a_format_may_be_written_once_all_nodes_know_it(gate):
+def test_a_format_may_be_written_once_all_nodes_know_it(gate: FormatGate):
     saw_all(gate, CURRENT, Format.PIPELINES)
     assert not gate.pipelines()
     gate.saw(keys.FORMAT + "n2", {"format": 2}, 12)
@@ -34,7 +35,7 @@
     assert gate.numbered()
 
 
-def test_a_marker_of_an_older_program_is_raised_and_never_lowered(gate, state):
+def test_a_marker_of_an_older_program_is_raised_and_never_lowered(gate: FormatGate, state: FakeState):
     """A program of format 2 has marked the node; it left such a marker as it was, whatever a program said."""
     state.epoch = 20
     state.keys[keys.FORMAT + "n0"] = ({"format": 2}, 10)
@@ -47,7 +48,7 @@
     assert gate.markers["n0"].stamp == 99, "an older state of it says nothing"
 
 
-def test_a_marker_that_was_not_seen_is_read_before_it_is_raised(gate, state):
+def test_a_marker_that_was_not_seen_is_read_before_it_is_raised(gate: FormatGate, state: FakeState):
     state.epoch = 20
     state.keys[keys.FORMAT + "n0"] = ({"format": 2}, 10)
 
@@ -60,7 +61,7 @@
     assert state.keys[keys.FORMAT + "n0"][0] == {"format": CURRENT}
 
 
-def test_a_node_that_says_its_format_is_vouched_for_with_just_that(gate, state):
+def test_a_node_that_says_its_format_is_vouched_for_with_just_that(gate: FormatGate, state: FakeState):
     gate.heard("n1", 2)
     gate.heard("n2", 3)
     gate.heard("stranger", 3)
@@ -70,7 +71,7 @@
     assert stored == {keys.FORMAT + "n0": CURRENT, keys.FORMAT + "n1": 2, keys.FORMAT + "n2": 3}
 
 
-def test_a_marker_that_can_t_be_read_marks_nothing(gate):
+def test_a_marker_that_can_t_be_read_marks_nothing(gate: FormatGate):
     for value in (None, "3", {"format": "3"}, {}):
         gate.saw(keys.FORMAT + "n0", value, 11)
     assert not gate.markers
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -3,15 +3,18 @@
 import asyncio
 
 import pytest
+from aiohttp import ClientSession
+from conftest import Clock
+from pytest import MonkeyPatch
 
-from hookwall.config.platform import NextState, State
+from hookwall.config.platform import NextState, Params, State
 from hookwall.protocol.http_client import NoAnswer
 from hookwall.storage import client as st
 from hookwall.storage.client import Refused, Store, TooLarge, Unknown
 from hookwall.storage.rate_limit import Bucket
 
 
-def test_a_refused_request_costs_nothing(clock):
+def test_a_refused_request_costs_nothing(clock: Clock):
     b = Bucket(10.0, 5.0, clock)
     assert b.delay(5.0) == 0.0
     for _ in range(100):
@@ -20,14 +23,14 @@
     assert b.delay(5.0, most=1.0) == 0.0
 
 
-def test_all_nodes_together_stay_below_the_limits(params, clock):
+def test_all_nodes_together_stay_below_the_limits(params: Params, clock: Clock):
     stores = [Store("h:1", params.state, 3, clock) for _ in range(3)]
     stores[0].pace.lead(True)
     assert sum(s.pace.changes.rate for s in stores) < params.state.write_rps
     assert sum(s.pace.requests.rate for s in stores) < params.state.rps
 
 
-def test_a_leader_lends_what_a_follower_wants_and_has_it_back(params, clock):
+def test_a_leader_lends_what_a_follower_wants_and_has_it_back(params: Params, clock: Clock):
     # All users came to one follower after the other nodes had crashed, and a tenth of the changes kept them 20 s.
     lead, busy, idle = stores = [Store("h:1", params.state, 3, clock) for _ in range(3)]
     lead.pace.lead(True)
@@ -53,7 +56,7 @@
 
 
 @pytest.mark.parametrize("nonsense", [None, 3, [1.0], ["a", "b"], [float("nan"), float("inf")], [-1.0, -1.0]])
-def test_a_peers_nonsense_about_shares_changes_none(params, clock, nonsense):
+def test_a_peers_nonsense_about_shares_changes_none(params: Params, clock: Clock, nonsense):
     s = Store("h:1", params.state, 3, clock)
     s.pace.lead(True)
     before = s.pace.changes.rate
@@ -64,7 +67,7 @@
     assert s.pace.changes.rate == before
 
 
-def test_a_batch_is_no_larger_than_its_pace(params, clock):
+def test_a_batch_is_no_larger_than_its_pace(params: Params, clock: Clock):
     s = Store("h:1", params.state, 3, clock)
     s.pace.lead(True)
     s.pace.changes.delay(s.pace.changes.burst)
@@ -84,8 +87,10 @@
         (None, Unknown),
     ],
 )
-def test_a_bad_answer_of_the_state_service_is_one_of_two_errors(params, clock, monkeypatch, answer, error):
-    async def call(session, method, url, body, timeout):
+def test_a_bad_answer_of_the_state_service_is_one_of_two_errors(
+    params: Params, clock: Clock, monkeypatch: MonkeyPatch, answer, error
+):
+    async def call(session: ClientSession, method, url, body, timeout):
         if answer is None:
             raise NoAnswer("TimeoutError")
         return answer
@@ -99,8 +104,8 @@
         asyncio.run(s.scan("a"))
 
 
-def test_malformed_entries_of_a_page_are_passed_over(params, clock, monkeypatch):
-    async def call(session, method, url, body, timeout):
+def test_malformed_entries_of_a_page_are_passed_over(params: Params, clock: Clock, monkeypatch: MonkeyPatch):
+    async def call(session: ClientSession, method, url, body, timeout):
         return 200, b'{"epoch":4,"entries":[3,{"k":"a","stamp":2,"value":1},{"k":5},{}],"more":false}'
 
     monkeypatch.setattr(st, "call", call)
@@ -118,14 +123,14 @@
     """The service gives these answers."""
     left = list(answers)
 
-    async def call(session, method, url, body, timeout):
+    async def call(session: ClientSession, method, url, body, timeout):
         return left.pop(0)
 
     store.call = call
     return store
 
 
-def test_what_is_written_fits_the_limits_of_now_and_those_to_come(clock):
+def test_what_is_written_fits_the_limits_of_now_and_those_to_come(clock: Clock):
     store = Store("h:1", LOWER, 3, clock)
     store.pace.lead(True)
     assert store.txn_ops == 4 and store.batch() <= 4 and store.value_limit < 2048
@@ -133,7 +138,7 @@
 
 
 @pytest.mark.parametrize("answer", [(429, b""), (400, b'{"error":"value too large"}')])
-def test_the_first_refusal_by_a_limit_sets_the_pace_of_the_limits_to_come(clock, answer):
+def test_the_first_refusal_by_a_limit_sets_the_pace_of_the_limits_to_come(clock: Clock, answer):
     store = answering(Store("h:1", LOWER, 3, clock), answer)
     store.pace.lead(True)
     before = store.pace.changes.rate
@@ -148,7 +153,7 @@
     assert store.pace.changes.level_now() <= 0.0 and store.pace.requests.delay(1.0, 1.0) is not None
 
 
-def test_a_lease_that_has_ended_is_told_apart_from_a_size_that_is_refused(clock):
+def test_a_lease_that_has_ended_is_told_apart_from_a_size_that_is_refused(clock: Clock):
     store = answering(Store("h:1", LOWER, 3, clock), (400, b'{"error":"no such lease"}'), (400, b'{"error":"size"}'))
     with pytest.raises(Unknown):
         asyncio.run(store.commit([], [("k", 1)], hold=7))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -45,11 +45,11 @@
         (["tests/test_a.py::test_red[1] | #9"], 4, "not `test | cause | issue`"),
     ],
 )  # fmt: skip
-def test_just_what_is_listed_may_fail(tmp_path, listed, status, said):
+def test_just_what_is_listed_may_fail(tmp_path: Path, listed, status, said):
     code, out = pytest_in(tmp_path, TESTS, listed)
     assert (code, said in out) == (status, True), out
 
 
-def test_listed_ones_that_fail_make_no_failure(tmp_path):
+def test_listed_ones_that_fail_make_no_failure(tmp_path: Path):
     code, out = pytest_in(tmp_path, "def test_red(): assert 0\n", ["tests/test_a.py::test_red | leaks | #9"])
     assert code == 0 and "KNOWN RED tests/test_a.py::test_red: leaks (#9)" in out
--- a/tests/workers/test_fleet.py
+++ b/tests/workers/test_fleet.py
@@ -2,14 +2,16 @@
 
 import cbor2
 import pytest
+from conftest import Clock, Cluster
 
-from hookwall.jobs.job import write_order
+from hookwall.config.platform import Params
+from hookwall.jobs.job import Job, write_order
 from hookwall.leadership.peer_transport import MAX_FRAME, frame
 from hookwall.storage.job_records import plain
 from hookwall.workers.fleet import Fleet
 
 
-def started(cluster, n=1, machine="vm-1", **changes):
+def started(cluster: Cluster, n=1, machine="vm-1", **changes) -> Job:
     """A job whose tasks were placed on one machine, stored, launched and are running."""
     cluster.beat(machine)
     job = cluster.submit(n, **changes)
@@ -25,7 +27,7 @@
     return [(f"{job.ref}/{a.task}", a.attempt, phase, cause) for a in job.active.values()]
 
 
-def test_nothing_is_launched_before_it_is_stored(cluster):
+def test_nothing_is_launched_before_it_is_stored(cluster: Cluster):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -34,7 +36,7 @@
     assert cluster.beat("vm-1") == [("launch", "run-000001/0", 1)]
 
 
-def test_done_is_stored_before_it_is_forgotten(cluster):
+def test_done_is_stored_before_it_is_forgotten(cluster: Cluster):
     job = started(cluster)
     report = running(job, "exited", "done")
     assert cluster.beat("vm-1", report) == []
@@ -45,7 +47,7 @@
     assert job.final()
 
 
-def test_each_start_has_a_new_attempt_number(cluster):
+def test_each_start_has_a_new_attempt_number(cluster: Cluster):
     job = started(cluster)
     report = running(job, "exited", "halted")
     cluster.beat("vm-1", report)
@@ -57,7 +59,7 @@
     assert cluster.beat("vm-1", report) == [("forget", "run-000001/0", 1), ("launch", "run-000001/0", 2)]
 
 
-def test_a_silent_machine_keeps_its_tasks_until_its_lease_must_be_over(cluster):
+def test_a_silent_machine_keeps_its_tasks_until_its_lease_must_be_over(cluster: Cluster):
     job = started(cluster)
     cluster.beat("vm-2")
     cluster.clock.tick(12.0)
@@ -72,7 +74,7 @@
     assert job.active[0].machine == "vm-2" and job.active[0].attempt == 2
 
 
-def test_a_new_leader_counts_leases_from_its_own_beginning(cluster):
+def test_a_new_leader_counts_leases_from_its_own_beginning(cluster: Cluster):
     job = started(cluster)
     cluster.fleet.reset(token=9)
     cluster.clock.tick(30.0)
@@ -87,7 +89,7 @@
     assert not job.active
 
 
-def test_absence_in_a_report_proves_nothing_unless_it_carries_our_token(cluster):
+def test_absence_in_a_report_proves_nothing_unless_it_carries_our_token(cluster: Cluster):
     job = started(cluster)
     job.phase = "withdrawn"
     # An older leader's launch could still reach a worker that has not seen our token.
@@ -97,13 +99,13 @@
     assert not job.active
 
 
-def test_an_older_report_is_not_believed(cluster):
+def test_an_older_report_is_not_believed(cluster: Cluster):
     job = started(cluster)
     assert cluster.beat("vm-1", [], tick=1) is None
     assert job.active[0].phase == "running"
 
 
-def test_a_later_tenure_shows_that_the_tasks_are_gone(cluster):
+def test_a_later_tenure_shows_that_the_tasks_are_gone(cluster: Cluster):
     job = started(cluster)
     cluster.beat("vm-1", tenure=2, tick=1)
     assert not job.active
@@ -112,7 +114,7 @@
     assert (job.active[0].tenure, job.active[0].attempt) == (2, 2)
 
 
-def test_a_lost_launch_is_repeated_with_the_same_attempt(cluster):
+def test_a_lost_launch_is_repeated_with_the_same_attempt(cluster: Cluster):
     cluster.beat("vm-1")
     cluster.submit(1)
     cluster.scheduler.round()
@@ -120,13 +122,13 @@
     assert cluster.beat("vm-1") == cluster.beat("vm-1") == [("launch", "run-000001/0", 1)]
 
 
-def test_a_confirmed_deletion_frees_the_tasks(cluster):
+def test_a_confirmed_deletion_frees_the_tasks(cluster: Cluster):
     job = started(cluster)
     cluster.fleet.gone(cluster.fleet.machines["vm-1"], "deleted")
     assert not job.active and "vm-1" not in cluster.fleet.machines
 
 
-def test_a_task_that_no_record_names_is_stopped_and_blocks_its_machine(cluster):
+def test_a_task_that_no_record_names_is_stopped_and_blocks_its_machine(cluster: Cluster):
     assert cluster.beat("vm-1", [("run-000009/0", 3, "running", None)]) == [("stop", "run-000009/0", 3)]
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -136,7 +138,7 @@
     assert job.active
 
 
-def test_cancelled_tasks_are_stopped_and_counted_until_gone(cluster):
+def test_cancelled_tasks_are_stopped_and_counted_until_gone(cluster: Cluster):
     job = started(cluster)
     record = plain(job.record())
     cluster.stamp += 1
@@ -147,7 +149,7 @@
     assert not job.active
 
 
-def test_a_cancelled_launch_is_never_sent(cluster):
+def test_a_cancelled_launch_is_never_sent(cluster: Cluster):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -158,7 +160,7 @@
     assert not job.active
 
 
-def test_one_done_task_completes_its_gang_but_the_others_still_count(cluster):
+def test_one_done_task_completes_its_gang_but_the_others_still_count(cluster: Cluster):
     job = started(cluster, shape="ensemble", pieces=2, cards=2.0)
     first = running(job, "exited", "done")[:1]
     cluster.beat("vm-1", first + running(job)[1:])
@@ -166,7 +168,7 @@
     assert cluster.scheduler.view(cluster.clock()).usage[job.team].gpus == 2.0
 
 
-def test_a_noticed_machine_saves_its_tasks_and_gets_no_more(cluster):
+def test_a_noticed_machine_saves_its_tasks_and_gets_no_more(cluster: Cluster):
     job = started(cluster, spot=False)
     cluster.beat("vm-1", running(job), notice=12.0)
     assert cluster.beat("vm-1", running(job)) == [("stop", "run-000001/0", 1)]
@@ -175,7 +177,7 @@
     assert not other.active
 
 
-def test_a_machine_that_fails_tasks_of_two_jobs_gets_no_more(cluster):
+def test_a_machine_that_fails_tasks_of_two_jobs_gets_no_more(cluster: Cluster):
     for n in (1, 2):
         job = started(cluster, n)
         cluster.beat("vm-1", running(job, "exited", "error"))
@@ -184,7 +186,7 @@
     assert cluster.fleet.machines["vm-1"].phase.value == "sick"
 
 
-def test_a_job_that_fails_everywhere_does_not_make_machines_sick(cluster):
+def test_a_job_that_fails_everywhere_does_not_make_machines_sick(cluster: Cluster):
     job = cluster.submit(1)
     for i in range(6):
         name = f"vm-{i}"
@@ -200,11 +202,11 @@
 
 
 @pytest.mark.parametrize("bad", [[("nonsense", 1, "running", None)], [("run-1/x", 1, "exited", None)]])
-def test_nonsense_in_a_report_is_survived(cluster, bad):
+def test_nonsense_in_a_report_is_survived(cluster: Cluster, bad):
     assert cluster.beat("vm-1", bad) == []
 
 
-def placed(cluster, n):
+def placed(cluster: Cluster, n):
     """Whether a new job, or one that waits, finds a machine now."""
     cluster.submit(n)
     before = sum(len(j.active) for j in cluster.table.open.values())
@@ -212,7 +214,7 @@
     return sum(len(j.active) for j in cluster.table.open.values()) > before
 
 
-def test_a_machine_that_gets_no_answers_gets_no_work_until_it_does(cluster):
+def test_a_machine_that_gets_no_answers_gets_no_work_until_it_does(cluster: Cluster):
     cluster.beat("vm-1")
     assert placed(cluster, 1)
     # It heard nothing for a lease, while its reports went on to arrive.
@@ -227,7 +229,7 @@
     assert placed(cluster, 20)
 
 
-def test_a_report_without_our_token_makes_no_machine_usable(cluster):
+def test_a_report_without_our_token_makes_no_machine_usable(cluster: Cluster):
     # A new leader has seen nothing newer: this may be a copy from long ago.
     cluster.beat("vm-1", token=3, tick=7)
     assert not placed(cluster, 1)
@@ -236,7 +238,7 @@
     assert placed(cluster, 2)
 
 
-def test_a_worker_that_has_just_begun_finds_its_first_task_in_the_second_answer(cluster):
+def test_a_worker_that_has_just_begun_finds_its_first_task_in_the_second_answer(cluster: Cluster):
     job = cluster.submit(1)
     assert cluster.beat("vm-1", token=0, tick=1) == []
     cluster.scheduler.round()
@@ -253,7 +255,7 @@
     assert not placed(cluster, 4)
 
 
-def test_a_late_copy_of_an_earlier_tenure_frees_nothing(cluster):
+def test_a_late_copy_of_an_earlier_tenure_frees_nothing(cluster: Cluster):
     job = started(cluster)
     cluster.beat("vm-1", tenure=2, tick=1)
     cluster.clock.tick(1.0)
@@ -266,7 +268,7 @@
     assert (job.active[0].tenure, job.active[0].attempt) == (2, 2)
 
 
-def test_a_late_copy_undoes_no_exit(cluster):
+def test_a_late_copy_undoes_no_exit(cluster: Cluster):
     job = started(cluster, pieces=2)
     both = running(job)
     cluster.beat("vm-1", [(both[0][0], 1, "exited", "done"), both[1]])
@@ -280,7 +282,7 @@
     assert job.n_done == 1 and list(job.active) == [1]
 
 
-def test_a_late_copy_does_not_bring_back_a_deleted_machine(cluster):
+def test_a_late_copy_does_not_bring_back_a_deleted_machine(cluster: Cluster):
     cluster.beat("vm-1")
     cluster.fleet.gone(cluster.fleet.machines["vm-1"], "deleted")
     assert cluster.beat("vm-1", tick=50) is None
@@ -292,7 +294,7 @@
 THERE = [("run-000001/0", 9, "running", None)]
 
 
-def ends_there(cluster, how: str) -> None:
+def ends_there(cluster: Cluster, how: str) -> None:
     """The task that vm-1 reports is not there any more."""
     if how == "not reported":
         cluster.beat("vm-1")
@@ -310,7 +312,7 @@
 
 
 @pytest.mark.parametrize("how", ["not reported", "exited", "a later session", "deleted", "the lease is over"])
-def test_a_task_that_a_worker_reports_is_not_started_elsewhere(cluster, how):
+def test_a_task_that_a_worker_reports_is_not_started_elsewhere(cluster: Cluster, how):
     """Only the machine was left alone; the task itself was placed on the next one while it ran."""
     cluster.beat("vm-1", THERE)
     cluster.beat("vm-2")
@@ -323,7 +325,7 @@
     assert job.active and job.unrecorded == {}
 
 
-def test_other_tasks_of_the_job_start(cluster):
+def test_other_tasks_of_the_job_start(cluster: Cluster):
     cluster.beat("vm-1", THERE)
     cluster.beat("vm-2")
     job = cluster.submit(1, pieces=3)
@@ -334,7 +336,7 @@
     assert job.unrecorded == {}, "a new leadership believes its own reports only"
 
 
-def test_a_late_copy_that_shows_tasks_that_are_done_holds_up_no_other(cluster):
+def test_a_late_copy_that_shows_tasks_that_are_done_holds_up_no_other(cluster: Cluster):
     cluster.beat("vm-2")
     job = cluster.submit(1, pieces=3)
     job.mark_done(0)
@@ -345,7 +347,7 @@
     assert sorted(job.active) == [2]
 
 
-def test_a_start_is_not_launched_while_another_machine_reports_the_task(cluster):
+def test_a_start_is_not_launched_while_another_machine_reports_the_task(cluster: Cluster):
     cluster.beat("vm-2")
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -356,7 +358,7 @@
     assert cluster.beat("vm-2") == [("launch", "run-000001/0", 1)] and job.active
 
 
-def test_a_new_leader_starts_a_gang_only_if_none_of_its_tasks_is_seen(cluster):
+def test_a_new_leader_starts_a_gang_only_if_none_of_its_tasks_is_seen(cluster: Cluster):
     cluster.beat("vm-1", THERE)
     cluster.beat("vm-2")
     job = cluster.submit(1, shape="ensemble", pieces=2)
@@ -368,7 +370,7 @@
     assert len(job.active) == 2
 
 
-def test_a_task_that_a_worker_reports_counts_for_its_team_s_limit_and_its_zone(cluster):
+def test_a_task_that_a_worker_reports_counts_for_its_team_s_limit_and_its_zone(cluster: Cluster):
     red = [("run-000001/0", 9, "running", None)]
     cluster.beat("vm-1", zone="west")
     job = cluster.submit(1, owner="red", pieces=5, cards=4.0, samePlace=True)
@@ -389,7 +391,7 @@
 @pytest.mark.parametrize(
     "value", [{"phase": "open", "n": 1, "on": 7}, {"phase": "open", "n": 1, "packed": {"fixed": ["x"], "state": "y"}}]
 )
-def test_nothing_is_started_of_a_job_whose_newest_record_can_t_be_read(cluster, value):
+def test_nothing_is_started_of_a_job_whose_newest_record_can_t_be_read(cluster: Cluster, value):
     """What an older record says may be over: its start may have been moved."""
     cluster.beat("vm-1")
     cluster.beat("vm-2")
@@ -412,7 +414,7 @@
 # -- what is told to the next leader -------------------------------------------------------------------
 
 
-def fleet_of(cluster, count: int, images: int):
+def fleet_of(cluster: Cluster, count: int, images: int) -> Fleet:
     for n in range(count):
         machine = cluster.fleet.machine(f"vm-{n:06d}", "g4", "east", False)
         for image in range(images):
@@ -420,7 +422,9 @@
     return cluster.fleet
 
 
-def test_a_hint_of_4000_machines_fits_messages_and_reaches_the_next_leader_whole(cluster, params, clock):
+def test_a_hint_of_4000_machines_fits_messages_and_reaches_the_next_leader_whole(
+    cluster: Cluster, params: Params, clock: Clock
+):
     """In one message it was larger than peers take, so each fifth ping ended their connection, and told nothing."""
     fleet = fleet_of(cluster, 4000, 10)
     peer = Fleet(params, cluster.table, clock)
@@ -440,12 +444,12 @@
     assert "vm-000000" not in peer.hints.told and "vm-000000" not in peer.hints.told_before
 
 
-def test_a_hint_of_a_small_fleet_is_one_message(cluster):
+def test_a_hint_of_a_small_fleet_is_one_message(cluster: Cluster):
     fleet = fleet_of(cluster, 560, 9)
     assert len(fleet.hints.tell()["warm"]) == len(fleet.hints.tell()["warm"]) == 560
 
 
-def test_a_stop_of_an_earlier_leadership_is_void_with_its_other_decisions(cluster):
+def test_a_stop_of_an_earlier_leadership_is_void_with_its_other_decisions(cluster: Cluster):
     """What workers said of a start is kept, as it stays true; that it was to stop was never stored."""
     job = started(cluster)
     cluster.fleet.stop(job, job.active[0], 5.0, "room for another")
@@ -456,7 +460,7 @@
     assert cluster.beat("vm-1", running(job), token=6) == []
 
 
-def test_a_deleted_machine_is_not_remembered_for_its_lease(cluster):
+def test_a_deleted_machine_is_not_remembered_for_its_lease(cluster: Cluster):
     """A key that names it afterwards says nothing about a decision: nothing runs there, whoever kept its lease."""
     cluster.submit(1)
     cluster.beat("vm-1")
--- a/tests/workers/test_keeper.py
+++ b/tests/workers/test_keeper.py
@@ -4,10 +4,12 @@
 import random
 
 import pytest
+from conftest import Clock, Cluster, FakeState
 
 from hookwall.jobs.job_table import JobTable
 from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.heartbeat_messages import Beat
 from hookwall.storage import keys
 from hookwall.storage.client import Conflict
 from hookwall.storage.job_records import plain, size, value_limit
@@ -17,7 +19,7 @@
 
 
 @pytest.fixture
-def follower(state, clock):
+def follower(state: FakeState, clock: Clock) -> Keeper:
     async def load():
         return None
 
@@ -29,7 +31,7 @@
     return Keeper("n1", lead, state, JobTable(clock), lambda: True, clock)
 
 
-def beat(token=7, tasks=(("run-000001/0", 1, "running"),), machine="vm-1"):
+def beat(token=7, tasks=(("run-000001/0", 1, "running"),), machine="vm-1") -> Beat:
     return heartbeat_messages.Beat(
         machine=machine,
         tenure=1,
@@ -39,12 +41,12 @@
     )
 
 
-def test_a_worker_that_lost_its_leader_is_answered_once_that_is_stored(follower, state):
+def test_a_worker_that_lost_its_leader_is_answered_once_that_is_stored(follower: Keeper, state: FakeState):
     assert asyncio.run(follower.keep(beat())) == []
     assert state.keys[keys.KEEP + "n1"][0]["machines"] == ["vm-1"]
 
 
-def test_no_answer_without_a_store_a_lost_leader_a_task_and_the_token(follower, state, clock):
+def test_no_answer_without_a_store_a_lost_leader_a_task_and_the_token(follower: Keeper, state: FakeState, clock: Clock):
     assert asyncio.run(follower.keep(beat(token=8))) is None
     assert asyncio.run(follower.keep(beat(tasks=()))) is None
     state.mode = "lost"
@@ -54,14 +56,14 @@
     assert asyncio.run(follower.keep(beat())) is None
 
 
-def test_an_answer_ends_with_the_hold(follower, clock):
+def test_an_answer_ends_with_the_hold(follower: Keeper, clock: Clock):
     asyncio.run(follower.keep(beat()))
     assert follower.valid("vm-1") and not follower.valid("vm-2")
     clock.tick(kp.HOLD_S)
     assert not follower.valid("vm-1")
 
 
-def test_a_write_without_an_answer_ends_all_keeping(follower, state):
+def test_a_write_without_an_answer_ends_all_keeping(follower: Keeper, state: FakeState):
     asyncio.run(follower.keep(beat()))
     state.mode = "ghost"
     follower.wanted.add("vm-2")
@@ -69,7 +71,7 @@
     assert not follower.valid("vm-1") and not follower.valid("vm-2")
 
 
-def test_a_new_leader_ends_keeping(follower, state):
+def test_a_new_leader_ends_keeping(follower: Keeper, state: FakeState):
     asyncio.run(follower.keep(beat()))
     state.epoch = 20
     state.keys[keys.LEADER] = ({"node": "n2"}, 20)
@@ -77,14 +79,16 @@
     assert not follower.valid("vm-1")
 
 
-def test_cancelled_tasks_are_stopped(follower):
+def test_cancelled_tasks_are_stopped(follower: Keeper):
     record = {"phase": "withdrawn", "n": 1, "next": 2, "on": []}
     follower.table.apply(keys.JOBS + "run-000001", record, 5)
     orders = asyncio.run(follower.keep(beat()))
     assert [(o.verb, o.piece) for o in orders] == [("stop", "run-000001/0")]
 
 
-def test_a_leader_that_does_not_know_of_the_keeping_cannot_store_what_it_believes(follower, state, clock, cluster):
+def test_a_leader_that_does_not_know_of_the_keeping_cannot_store_what_it_believes(
+    follower: Keeper, state: FakeState, clock: Clock, cluster: Cluster
+):
     """The case that would run a task twice: the lease ends by the leader's count, but was kept."""
     cluster.beat("vm-1")
     job = cluster.submit(1)
@@ -105,7 +109,7 @@
     assert job.active[0].machine == "vm-1" and not job.dirty
 
 
-def test_leases_count_from_the_end_of_keeping(cluster, clock):
+def test_leases_count_from_the_end_of_keeping(cluster: Cluster, clock: Clock):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.round()
@@ -125,19 +129,19 @@
     assert not job.active
 
 
-def test_a_key_that_came_and_went_unseen_counts_for_every_machine(clock):
+def test_a_key_that_came_and_went_unseen_counts_for_every_machine(clock: Clock):
     kept = Kept(clock)
     kept.missed()
     assert kept.heard("vm-9") == clock()
 
 
-def test_a_worker_that_never_met_the_new_leader_is_kept_too(follower):
+def test_a_worker_that_never_met_the_new_leader_is_kept_too(follower: Keeper):
     """The leader sat in the zone that was cut off, and was replaced from outside it."""
     assert asyncio.run(follower.keep(beat(token=3))) == []
     assert follower.token == 7
 
 
-def test_workers_are_sent_to_a_leader_that_only_this_node_cannot_hear(follower, state, clock):
+def test_workers_are_sent_to_a_leader_that_only_this_node_cannot_hear(follower: Keeper, state: FakeState, clock: Clock):
     state.epoch = 9
     state.keys[keys.LEADER] = ({"node": "n0", "mode": "hold"}, 9)
     follower.lead.saw_key(*state.keys[keys.LEADER])
@@ -160,12 +164,12 @@
     assert follower.sends(beat(token=9, machine="vm-3")) is None
 
 
-def test_a_worker_that_lost_a_leader_with_promises_stays(follower):
+def test_a_worker_that_lost_a_leader_with_promises_stays(follower: Keeper):
     assert asyncio.run(follower.keep(beat(token=5))) == []
     assert follower.sends(beat(token=5)) is None
 
 
-def test_a_refused_write_leaves_those_kept_that_are_stored(follower, state):
+def test_a_refused_write_leaves_those_kept_that_are_stored(follower: Keeper, state: FakeState):
     assert asyncio.run(follower.keep(beat())) == []
     state.mode = "down"
     follower.wanted.add("vm-2")
@@ -173,7 +177,7 @@
     assert follower.valid("vm-1") and not follower.valid("vm-2")
 
 
-def test_machines_that_a_key_names_anew_are_told(clock):
+def test_machines_that_a_key_names_anew_are_told(clock: Clock):
     kept, named = Kept(clock), []
     kept.on_named = named.append
     kept.take("k", {"machines": ["vm-1"]}, 5)
@@ -183,7 +187,7 @@
 
 
 @pytest.mark.parametrize("value", [{"packed": "no such text"}, {"machines": "vm-1"}, {}, None])
-def test_a_key_that_can_t_be_read_may_keep_any_machine(clock, value):
+def test_a_key_that_can_t_be_read_may_keep_any_machine(clock: Clock, value):
     """It was read as naming none, so leases that a follower kept counted as over."""
     kept, named = Kept(clock), []
     kept.on_named = named.append
@@ -195,7 +199,9 @@
 
 
 @pytest.mark.parametrize(("form", "kept"), [("plain", 900), ("packed", 4000), ("numbered", 4000)])
-def test_a_zone_of_thousands_of_machines_is_kept_as_far_as_one_key_names_them(follower, state, form, kept):
+def test_a_zone_of_thousands_of_machines_is_kept_as_far_as_one_key_names_them(
+    follower: Keeper, state: FakeState, form, kept
+):
     """The plain form, for programs of format 1, names some; it was written too large and nobody was kept."""
     follower.packs = lambda: form != "plain"
     follower.numbers = lambda: form == "numbered"
@@ -206,7 +212,7 @@
     assert size(value) <= state.plain_limit() and ("numbered" in value) == (form == "numbered")
 
 
-def test_a_zone_of_two_thousand_machines_is_kept_under_lowered_limits(follower, state):
+def test_a_zone_of_two_thousand_machines_is_kept_under_lowered_limits(follower: Keeper, state: FakeState):
     follower.packs = follower.numbers = lambda: True
     state.value_limit = value_limit(2.0)
     names = {f"vm-{n:06d}" for n in random.Random(3).sample(range(8000), 2000)}
