--- a/hookwall/api/server.py
+++ b/hookwall/api/server.py
@@ -16,16 +16,16 @@
 from aiohttp.http import HttpProcessingError, HttpRequestParser, RawRequestMessage
 from aiohttp.streams import StreamReader
 
-from hookwall.api.job_service import UserApi
-from hookwall.api.responses import LATER, Answer
+from hookwall.api.job_service import JobService
+from hookwall.api.responses import RETRY_LATER, HttpResponse
 from hookwall.protocol import json_messages
 
 log = logging.getLogger(__name__)
 
-MOST_AT_ONCE = 200
+MAX_USER_REQUESTS = 200
 # A machine that loses its power, or is deleted, says no more on its connection. Such connections stayed for an
 # hour, and a day's machines and users came to two thirds of the sockets there are.
-IDLE_REPORTS = 12  # a connection is idle after as long as so many reports take
+IDLE_HEARTBEATS = 12  # a connection is idle after as long as so many reports take
 BODY_S = 5.0  # then whoever sends a request has given it up
 # Of the sockets that the platform gives: a fleet that comes at once waits in a quarter of them, and some are our own.
 # With 4,096 places, what workers had left behind at a node that stood still came to 1,531 of 1,633 sockets.
@@ -35,27 +35,27 @@
 MOST_QUEUED = 8  # requests on one connection that came before the first was answered
 CHUNK = 64 * 1024
 
-Reply = Answer | Awaitable[Answer]
-BeatHandler = Callable[[bytes], tuple[int, bytes] | Awaitable[tuple[int, bytes]]]
+Reply = HttpResponse | Awaitable[HttpResponse]
+HeartbeatCallback = Callable[[bytes], tuple[int, bytes] | Awaitable[tuple[int, bytes]]]
 
 NOTHING: dict[str, str] = {}
-TOO_LARGE: Answer = (413, b'{"error":"too large"}', None)
-NO_BODY: Answer = (408, b'{"error":"the body did not come"}', LATER)
-MALFORMED: Answer = (400, b'{"error":"malformed"}', None)
-SURPRISE: Answer = (503, b'{"error":"internal"}', LATER)
+TOO_LARGE: HttpResponse = (413, b'{"error":"too large"}', None)
+NO_BODY: HttpResponse = (408, b'{"error":"the body did not come"}', RETRY_LATER)
+MALFORMED: HttpResponse = (400, b'{"error":"malformed"}', None)
+SURPRISE: HttpResponse = (503, b'{"error":"internal"}', RETRY_LATER)
 HEADS = {
     s.value: f"HTTP/1.1 {s.value} {s.phrase}\r\nContent-Type: application/json\r\nContent-Length: ".encode()
     for s in HTTPStatus
 }
 
 
-class Door:
+class HttpServer:
     """Answers requests; never holds one back."""
 
     def __init__(
         self,
-        api: UserApi,
-        beat: BeatHandler,
+        api: JobService,
+        beat: HeartbeatCallback,
         up: Callable[[], bool],
         sockets: int,
         report_s: float = 2.0,
@@ -64,7 +64,7 @@
         self.api, self.beat, self.up, self.clock = api, beat, up, clock
         self.at_once = 0
         self.body_s = BODY_S
-        self.idle_s = IDLE_REPORTS * report_s
+        self.idle_s = IDLE_HEARTBEATS * report_s
         self.least_idle_s = max(UNANSWERED_S, 1.5 * report_s)  # such a connection is not between two reports
         self.backlog = max(16, int(sockets * WAITING))
         self.most = max(16, sockets - self.backlog - OWN)  # connections
@@ -83,12 +83,12 @@
             return self._user(method, path, body)
         return 404, b'{"error":"no such path"}', None
 
-    async def _beat_later(self, work: Awaitable[tuple[int, bytes]]) -> Answer:
+    async def _beat_later(self, work: Awaitable[tuple[int, bytes]]) -> HttpResponse:
         return (*await work, None)
 
     def _user(self, method: str, path: str, body: bytes) -> Reply:
-        if self.at_once >= MOST_AT_ONCE:
-            return 429, b'{"error":"overloaded"}', LATER
+        if self.at_once >= MAX_USER_REQUESTS:
+            return 429, b'{"error":"overloaded"}', RETRY_LATER
         if path == "/v1/jobs":
             return self._counted(self.api.submit(body)) if method == "POST" else (405, b'{"error":"method"}', None)
         ref, _, action = path[len("/v1/jobs/") :].partition("/")
@@ -98,12 +98,12 @@
             return self._counted(self.api.cancel(ref))
         return (404 if action not in ("", "cancel") else 405), b'{"error":"no such path"}', None
 
-    def _counted(self, work: Awaitable[Answer]) -> Awaitable[Answer]:
+    def _counted(self, work: Awaitable[HttpResponse]) -> Awaitable[HttpResponse]:
         """Count a user's request from now on, not only once its turn comes."""
         self.at_once += 1
         return self._count_down(work)
 
-    async def _count_down(self, work: Awaitable[Answer]) -> Answer:
+    async def _count_down(self, work: Awaitable[HttpResponse]) -> HttpResponse:
         try:
             return await work
         finally:
@@ -142,7 +142,7 @@
 
     __slots__ = ("body_timer", "busy", "door", "parser", "queue")
 
-    def __init__(self, door: Door, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, door: HttpServer, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self.door = door
         self.parser = HttpRequestParser(self, loop, CHUNK, auto_decompress=False)
@@ -214,7 +214,7 @@
         else:
             self.busy = self._loop.create_task(self._answer_later(got, message))
 
-    async def _answer_later(self, work: Awaitable[Answer], message: RawRequestMessage) -> None:
+    async def _answer_later(self, work: Awaitable[HttpResponse], message: RawRequestMessage) -> None:
         try:
             answer = await work
         except Exception:
@@ -224,7 +224,7 @@
         self._answer(answer, message.should_close)
         self._next()
 
-    def _answer(self, answer: Answer, close: bool) -> None:
+    def _answer(self, answer: HttpResponse, close: bool) -> None:
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -239,13 +239,13 @@
 
 def _too_large(message: RawRequestMessage, payload: StreamReader) -> bool:
     """Whether a body is over the limit, by what it says or by what has come."""
-    if payload.total_bytes > json_messages.MAX_BODY:
+    if payload.total_bytes > json_messages.MAX_BODY_BYTES:
         return True
     length = message.headers.get("Content-Length", "0")
-    return length.isdigit() and int(length) > json_messages.MAX_BODY
+    return length.isdigit() and int(length) > json_messages.MAX_BODY_BYTES
 
 
-async def listen(door: Door, host: str, port: int) -> asyncio.Server:
+async def listen(door: HttpServer, host: str, port: int) -> asyncio.Server:
     """Start answering."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: Connection(door, loop), host, port, backlog=door.backlog)
--- a/hookwall/cli.py
+++ b/hookwall/cli.py
@@ -7,8 +7,8 @@
 import sys
 
 from hookwall import __version__
-from hookwall.config.operations import load as load_operations
-from hookwall.config.platform import BadSettings, load
+from hookwall.config.operations import load_operations as load_operations
+from hookwall.config.platform import InvalidSettingsError, load_settings
 
 GC_EVERY = 10_000  # new objects
 
@@ -33,7 +33,7 @@
 
 def log_to_stderr(level: str) -> None:
     if level not in LEVELS:
-        raise BadSettings(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, is {level!r}")
+        raise InvalidSettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, is {level!r}")
     logging.basicConfig(
         level=LEVELS[level], stream=sys.stderr, format="%(levelname).1s %(name)s: %(message)s", force=True
     )
@@ -43,8 +43,8 @@
 
 def run_serve(args: argparse.Namespace) -> int:
     log_to_stderr(os.environ.get("LOG_LEVEL") or "error")
-    settings = load(args.config)
-    operations = load_operations(args.operations, settings.settings)
+    settings = load_settings(args.config)
+    operations = load_operations(args.operations, settings.platform)
     # All is plain HTTP here, and aiohttp reads every certificate of the machine as it is imported: a third of the
     # time until a node listens.
     os.environ["SSL_CERT_FILE"] = os.environ["SSL_CERT_DIR"] = os.devnull
@@ -76,6 +76,6 @@
     args = parser(with_tools=words[:1] != ["serve"]).parse_args(words)
     try:
         return args.run(args)
-    except BadSettings as e:
+    except InvalidSettingsError as e:
         print(f"hookwall: {e}", file=sys.stderr)
         return 2
--- a/hookwall/config/platform.py
+++ b/hookwall/config/platform.py
@@ -12,22 +12,22 @@
 import msgspec
 
 
-class BadSettings(Exception):
+class InvalidSettingsError(Exception):
     """The settings can't be used; the text names the field."""
 
 
-class Seed(msgspec.Struct, frozen=True):
+class PeerSeed(msgspec.Struct, frozen=True):
     node_name: str
     peer_addr: str
     area: str = ""
 
 
-class External(msgspec.Struct, frozen=True):
+class ExternalServices(msgspec.Struct, frozen=True):
     cloud: str
     state: str
 
 
-class Team(msgspec.Struct, frozen=True):
+class TeamQuota(msgspec.Struct, frozen=True):
     """A team's guarantee and limit; 0 means none."""
 
     name: str
@@ -37,14 +37,14 @@
     gpus_max: float = 0.0
 
 
-class Objective(msgspec.Struct, frozen=True):
+class ServiceObjective(msgspec.Struct, frozen=True):
     kind: str
     job_class: str | None = msgspec.field(default=None, name="class")
     within_s: float | None = None
     share: float | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerTimings(msgspec.Struct, frozen=True):
     report_s: float
     lease_s: float
     gang_wait_s: float
@@ -52,7 +52,7 @@
     cancel_s: float
 
 
-class NextState(msgspec.Struct, frozen=True):
+class UpcomingStoreLimits(msgspec.Struct, frozen=True):
     """Limits that the state service will have from some moment on; what is not named stays."""
 
     rps: float | None = None
@@ -61,31 +61,31 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct, frozen=True):
+class StoreLimits(msgspec.Struct, frozen=True):
     """Limits of the state service."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: NextState | None = None
+    next: UpcomingStoreLimits | None = None
 
-    def least_txn_ops(self) -> int:
+    def lowest_txn_ops(self) -> int:
         """Changes a transaction that are allowed now and later."""
         return self.txn_ops if self.next is None else min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
-    def least_value_kb(self) -> float:
+    def lowest_value_kb(self) -> float:
         """KiB a value that are allowed now and later."""
         return self.value_kb if self.next is None else min(self.value_kb, self.next.value_kb or self.value_kb)
 
-    def rates(self, lowered: bool) -> tuple[float, float]:
+    def rates_per_s(self, lowered: bool) -> tuple[float, float]:
         """Requests and changes a second, before or after the limits have changed."""
         if self.next is None or not lowered:
             return self.rps, self.write_rps
         return self.next.rps or self.rps, self.next.write_rps or self.write_rps
 
 
-class Cloud(msgspec.Struct, frozen=True):
+class CloudLimits(msgspec.Struct, frozen=True):
     rps: float
     list_lag_s: float
 
@@ -96,15 +96,15 @@
     sockets: int = 1000
 
 
-class Params(msgspec.Struct, frozen=True):
+class PlatformParameters(msgspec.Struct, frozen=True):
     size: int
     zones: list[str]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimings
+    state: StoreLimits
+    cloud: CloudLimits
     time_bound_ms: float = 100.0
-    teams: list[Team] = []
-    objectives: list[Objective] = []
+    teams: list[TeamQuota] = []
+    objectives: list[ServiceObjective] = []
     machine_limits: MachineLimits = MachineLimits()
 
 
@@ -112,31 +112,31 @@
     node_name: str
     public_addr: str
     peer_listen: str
-    external: External
-    settings: Params
-    seeds: list[Seed] = []
+    external: ExternalServices
+    platform: PlatformParameters = msgspec.field(name="settings")
+    seeds: list[PeerSeed] = []
     area: str = ""
 
 
-def address(text: str, field: str) -> tuple[str, int]:
+def parse_address(text: str, field: str) -> tuple[str, int]:
     """Split `host:port`."""
     host, sep, port = text.rpartition(":")
     if not sep or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadSettings(f"{field}: not an address of the form host:port: {text!r}")
+        raise InvalidSettingsError(f"{field}: not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
-def check(s: Settings) -> Settings:
+def validate_settings(s: Settings) -> Settings:
     """Refuse what decodes but can't be meant."""
-    address(s.public_addr, "public_addr")
-    address(s.peer_listen, "peer_listen")
-    address(s.external.cloud, "external.cloud")
-    address(s.external.state, "external.state")
+    parse_address(s.public_addr, "public_addr")
+    parse_address(s.peer_listen, "peer_listen")
+    parse_address(s.external.cloud, "external.cloud")
+    parse_address(s.external.state, "external.state")
     for seed in s.seeds:
-        address(seed.peer_addr, "seeds.peer_addr")
-    p = s.settings
+        parse_address(seed.peer_addr, "seeds.peer_addr")
+    p = s.platform
     if p.size < 1:
-        raise BadSettings("settings.size: must be at least 1")
+        raise InvalidSettingsError("settings.size: must be at least 1")
     positive = {
         "workers.report_s": p.workers.report_s,
         "workers.lease_s": p.workers.lease_s,
@@ -154,10 +154,10 @@
             positive[f"state.next.{name}"] = value
     for name, value in positive.items():
         if not (math.isfinite(value) and value > 0):
-            raise BadSettings(f"settings.{name}: must be a positive number, is {value}")
+            raise InvalidSettingsError(f"settings.{name}: must be a positive number, is {value}")
     names = [t.name for t in p.teams]
     if len(set(names)) != len(names):
-        raise BadSettings("settings.teams: a name occurs twice")
+        raise InvalidSettingsError("settings.teams: a name occurs twice")
     return s
 
 
@@ -166,15 +166,15 @@
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as e:
-        raise BadSettings(f"{option}: cannot read {path}: {e.strerror}") from None
+        raise InvalidSettingsError(f"{option}: cannot read {path}: {e.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise BadSettings(f"{option}: {path} is not TOML: {e}") from None
+        raise InvalidSettingsError(f"{option}: {path} is not TOML: {e}") from None
 
 
-def load(path: str) -> Settings:
+def load_settings(path: str) -> Settings:
     """Read and check the settings file."""
     raw = read_toml(path, "--config")
     try:
-        return check(msgspec.convert(raw, Settings, strict=False))
+        return validate_settings(msgspec.convert(raw, Settings, strict=False))
     except msgspec.ValidationError as e:
-        raise BadSettings(str(e)) from None
+        raise InvalidSettingsError(str(e)) from None
--- a/hookwall/drains/__init__.py
+++ b/hookwall/drains/__init__.py
@@ -7,7 +7,7 @@
 | `ledger`, `disruptions` | which jobs are disrupted, and what that leaves of each team's budget; what enters them |
 | `planner` | which machines next, which jobs are stopped there, and why not: a pure function |
 | `picture`, `plan_builder` | what the planner needs to know, from the leader's memory, within a budget of time |
-| `drain_slice` | what a node has of this package before there is any drain |
+| `drain_subsystem` | what a node has of this package before there is any drain |
 | `controller` | the leader's loop: it stores each step before it acts on it |
 | `arguments`, `command`, `request`, `report` | the operators' command: its words, checks and output |
 | `snapshot`, `preview`, `bound` | a read of the cluster, a drain played forward on it, and the fewest waves |
--- a/hookwall/drains/bound.py
+++ b/hookwall/drains/bound.py
@@ -13,7 +13,7 @@
 SOLVER_S = 10.0
 
 
-class SolverMissing(Exception):
+class SolverMissingError(Exception):
     """The solver is not installed."""
 
 
@@ -99,7 +99,7 @@
     try:
         from ortools.sat.python import cp_model
     except ImportError:
-        raise SolverMissing("the solver is not installed: pip install 'hookwall[plan]'") from None
+        raise SolverMissingError("the solver is not installed: pip install 'hookwall[plan]'") from None
     if not loads:
         return Bound(0, True)
     model = _Model(_separable(loads, budgets), most)
--- a/hookwall/drains/command.py
+++ b/hookwall/drains/command.py
@@ -16,17 +16,23 @@
 
 from hookwall.autoscaling.cloud_client import CloudClient
 from hookwall.config import operations
-from hookwall.config.platform import BadSettings, Settings
-from hookwall.config.platform import load as load_settings
+from hookwall.config.platform import InvalidSettingsError, Settings
+from hookwall.config.platform import load_settings as load_settings
 from hookwall.drains import records, report, request
 from hookwall.drains.arguments import drain_request
-from hookwall.drains.bound import Load, LoadedJob, SolverMissing, fewest_waves
+from hookwall.drains.bound import Load, LoadedJob, SolverMissingError, fewest_waves
 from hookwall.drains.planner import Terms
 from hookwall.drains.preview import Preview, Simulation
 from hookwall.drains.records import DrainPhase, StepPhase
-from hookwall.drains.request import BadRequest, DrainRequest
+from hookwall.drains.request import DrainRequest, InvalidRequestError
 from hookwall.drains.snapshot import Snapshot
-from hookwall.storage.client import Conflict, Refused, Store, TooLarge, Unknown
+from hookwall.storage.client import (
+    KeyValueClient,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+    RequestRejectedError,
+    RequestTooLargeError,
+)
 
 LOOK_S = 1.0  # between two looks of `status --wait`
 TRIES = 3  # of a write that met the leader's
@@ -44,11 +50,11 @@
     REFUSED = 7  # the state service calls the request malformed or too large
 
 
-class NotFound(Exception):
+class DrainNotFoundError(Exception):
     """No such drain, or no such machine in it."""
 
 
-class Unavailable(Exception):
+class StateUnavailableError(Exception):
     """Something that the command needs does not answer."""
 
 
@@ -59,7 +65,7 @@
         self,
         settings: Settings,
         operations: operations.Operations,
-        store: Store,
+        store: KeyValueClient,
         client: CloudClient,
         say: Callable[[str], None] = print,
         wall: Callable[[], float] = time.time,
@@ -75,7 +81,7 @@
         snapshot = Snapshot(self.settings, self.operations, self.store)
         await snapshot.read(self.client)
         if with_list and snapshot.cloud_trouble:
-            raise Unavailable(snapshot.cloud_trouble)
+            raise StateUnavailableError(snapshot.cloud_trouble)
         return snapshot
 
     def _print(self, view: Any, lines: Sequence[str]) -> None:
@@ -90,10 +96,10 @@
 
     def _select(self, snapshot: Snapshot, asked: DrainRequest) -> list[str]:
         types = sorted(t.name for t in snapshot.fleet.catalog.types) if snapshot.fleet.catalog else []
-        return request.select(asked.selection, snapshot.machines(), types, sorted(self.settings.settings.zones))
+        return request.select(asked.selection, snapshot.machines(), types, sorted(self.settings.platform.zones))
 
     def _check_budgets(self, asked: DrainRequest) -> None:
-        teams = [team.name for team in self.settings.settings.teams]
+        teams = [team.name for team in self.settings.platform.teams]
         request.check_budgets(asked, teams, {budget.team: budget for budget in self.operations.drain.budgets})
 
     # -- actions ---------------------------------------------------------------------------------
@@ -135,7 +141,7 @@
         self._print_status(report.status_view(snapshot, [name], self.wall()))
         if same:
             return ExitCode.OK
-        raise BadRequest(f"NAME: drain {name} exists already with other terms; choose another name")
+        raise InvalidRequestError(f"NAME: drain {name} exists already with other terms; choose another name")
 
     async def status(self, name: str | None, wait_s: float) -> ExitCode:
         """Drains and budgets; waits for the end of one drain, or of all."""
@@ -144,7 +150,7 @@
             snapshot = await self._snapshot(with_list=False)
             names = sorted(snapshot.drains.drains) if name is None else [name]
             if name is not None and name not in snapshot.drains.drains:
-                raise NotFound(f"no drain is named {name}")
+                raise DrainNotFoundError(f"no drain is named {name}")
             goes_on = any(snapshot.drains.drains[n].record.active() for n in names)
             if not wait_s or not goes_on or self.clock() >= until:
                 break
@@ -166,16 +172,18 @@
         for attempt in range(TRIES):
             got = await self.store.get(key)
             if got is None:
-                raise NotFound(f"no drain is named {name}")
+                raise DrainNotFoundError(f"no drain is named {name}")
             record = records.decode(got[0], records.DrainRecord)
             if record.phase not in from_phases:
                 allowed = ", ".join(phase.value for phase in from_phases)
-                raise BadRequest(f"NAME: drain {name} is {record.phase.value}; this needs one that is {allowed}")
+                raise InvalidRequestError(
+                    f"NAME: drain {name} is {record.phase.value}; this needs one that is {allowed}"
+                )
             changed = change(record, self.wall())
             try:
                 await self.store.commit([(key, got[1])], [(key, records.encode(changed))])
                 break
-            except Conflict:
+            except PreconditionFailedError:
                 if attempt == TRIES - 1:
                     raise
         view = report.drain_view(name, changed, {}, self.wall())
@@ -189,9 +197,11 @@
             got = await self.store.get(records.step_key(machine))
             step = None if got is None else records.decode(got[0], records.StepRecord)
             if got is None or step is None or step.drain != name:
-                raise NotFound(f"machine {machine} is not being drained by {name}")
+                raise DrainNotFoundError(f"machine {machine} is not being drained by {name}")
             if step.phase is not StepPhase.EMPTY:
-                raise BadRequest(f"MACHINE: {machine} is {step.phase.value}; only an empty one can be released")
+                raise InvalidRequestError(
+                    f"MACHINE: {machine} is {step.phase.value}; only an empty one can be released"
+                )
             steps[machine] = step, got[1]
         for machine, (step, stamp) in steps.items():
             changed = msgspec.structs.replace(step, phase=StepPhase.BACK, changed_at=self.wall())
@@ -237,23 +247,23 @@
     command.json = args.json
     try:
         return await _action_of(command, args)
-    except BadRequest as error:
+    except InvalidRequestError as error:
         return _failed(ExitCode.BAD_INPUT, str(error))
-    except SolverMissing as error:
+    except SolverMissingError as error:
         return _failed(ExitCode.BAD_INPUT, f"--fewest: {error}")
-    except NotFound as error:
+    except DrainNotFoundError as error:
         return _failed(ExitCode.NOT_FOUND, str(error))
-    except Conflict as error:
-        return _failed(ExitCode.CONFLICT, f"changed by somebody else meanwhile (409): {', '.join(error.failed)}")
-    except TooLarge as error:
+    except PreconditionFailedError as error:
+        return _failed(ExitCode.CONFLICT, f"changed by somebody else meanwhile (409): {', '.join(error.keys)}")
+    except RequestTooLargeError as error:
         return _failed(ExitCode.REFUSED, f"the state service calls it malformed or too large (400): {error}")
-    except Refused as error:
+    except RequestRejectedError as error:
         return _failed(ExitCode.UNAVAILABLE, f"the state service does not serve requests now: {error}")
-    except Unknown as error:
+    except OutcomeUnknownError as error:
         return _failed(
             ExitCode.UNAVAILABLE, f"no answer from the state service, what was asked may still happen: {error}"
         )
-    except Unavailable as error:
+    except StateUnavailableError as error:
         return _failed(ExitCode.UNAVAILABLE, str(error))
 
 
@@ -267,9 +277,9 @@
 
     async def main() -> ExitCode:
         settings = load_settings(args.config)
-        own = operations.load(args.operations, settings.settings)
-        store = Store(settings.external.state, settings.settings.state, settings.settings.size, time.monotonic)
-        client = CloudClient(settings.external.cloud, settings.settings.cloud.rps, time.monotonic)
+        own = operations.load_operations(args.operations, settings.platform)
+        store = KeyValueClient(settings.external.state, settings.platform.state, settings.platform.size, time.monotonic)
+        client = CloudClient(settings.external.cloud, settings.platform.cloud.rps, time.monotonic)
         await store.open()
         await client.open()
         try:
@@ -281,5 +291,5 @@
 
     try:
         return int(asyncio.run(main()))
-    except BadSettings as error:
+    except InvalidSettingsError as error:
         return int(_failed(ExitCode.BAD_INPUT, str(error)))
--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from hookwall.config.operations import DrainSettings
-from hookwall.config.platform import Params
+from hookwall.config.platform import PlatformParameters
 from hookwall.drains.disruptions import DisruptionWatch
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.drain_writes import DrainWrites
@@ -24,12 +24,12 @@
 from hookwall.drains.planner import Occupant, Stop, Wait, WaitKind, explain
 from hookwall.drains.records import Afterwards, AtDeadline, DrainPhase, Outcome, StepPhase, StepRecord
 from hookwall.leadership.state_machine import Leadership
-from hookwall.scheduling.placement import Ask
+from hookwall.scheduling.placement import ResourceRequest
 from hookwall.scheduling.scheduler import Scheduler
-from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 from hookwall.workers import name_codec
 from hookwall.workers.fleet import Fleet
-from hookwall.workers.machine import Phase
+from hookwall.workers.machine import MachinePhase
 
 log = logging.getLogger(__name__)
 
@@ -47,31 +47,33 @@
     def __init__(
         self,
         settings: DrainSettings,
-        params: Params,
+        params: PlatformParameters,
         fleet: Fleet,
         scheduler: Scheduler,
-        store: Store,
+        store: KeyValueClient,
         leadership: Leadership,
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
         self.fleet, self.scheduler = fleet, scheduler
         self.jobs, self.clock, self.wall = scheduler.table, clock, wall
-        self.ledger = Ledger(settings.budgets, store.value_limit, 2 * params.time_bound_ms / 1000)
+        self.ledger = Ledger(settings.budgets, store.max_value_bytes, 2 * params.time_bound_ms / 1000)
         self.table = DrainTable(self.ledger)
         self.writes = DrainWrites(self.table, self.ledger, store, leadership)
         self.picture = Picture(self.jobs, fleet, scheduler, self.ledger)
-        self.all_know: Callable[[], bool] = lambda: True  # whether every node's program knows drains
-        self.is_gone: Callable[[str], bool] = lambda machine: False  # whether a machine is known to be no more
+        self.drains_allowed: Callable[[], bool] = lambda: True  # whether every node's program knows drains
+        self.is_confirmed_deleted: Callable[[str], bool] = (
+            lambda machine: False
+        )  # whether a machine is known to be no more
         self.homeless: dict[str, list[Occupant]] = {}  # by drain, jobs that wait for room elsewhere
         self._moved_at: dict[str, float] = {}
         self._reason_at: dict[str, float] = {}
         self.plans = PlanBuilder(self.table, self.picture, scheduler, clock, wall)
         self._ledger_at = -1e9
         self.disruptions = DisruptionWatch(self.ledger, self.jobs, fleet, clock, wall)
-        fleet.cordoned, fleet.maintained = self.table.cordoned, self.table.maintained
+        fleet.cordoned, fleet.in_maintenance = self.table.cordoned, self.table.maintained
         scheduler.relocated = self.disruptions.moving
-        fleet.on_stop, fleet.on_loss = self.disruptions.told_to_stop, self.disruptions.lost
+        fleet.on_stop_requested, fleet.on_allocation_released = self.disruptions.told_to_stop, self.disruptions.lost
 
     # -- what is known ---------------------------------------------------------------------------
 
@@ -85,7 +87,7 @@
         self._moved_at.clear()
         self._reason_at.clear()
 
-    def relocations(self) -> list[Ask]:
+    def relocations(self) -> list[ResourceRequest]:
         """What machines have to be rented for before jobs can be stopped."""
         return [replace(occupant.ask) for homeless in self.homeless.values() for occupant in homeless]
 
@@ -125,12 +127,12 @@
         await self._write_step(name, machine, step)
         known = self.fleet.machines.get(machine)
         if known is not None:
-            known.held_for = ""
+            known.reserved_for = ""
 
     async def _disrupt(self, name: str, stop: Stop) -> None:
         """Stop jobs on a machine: the ledger first, then the step, then the commands."""
         for occupant in stop.occupants:
-            job = self.jobs.open.get(occupant.ref)
+            job = self.jobs.open_jobs.get(occupant.ref)
             if job is not None:
                 self.disruptions.charge(job)
         await self.writes.ledger_pages()
@@ -142,12 +144,12 @@
         await self._write_step(name, stop.machine, changed)
         refs = {occupant.ref for occupant in stop.occupants}
         machine = self.fleet.machines.get(stop.machine)
-        for job, start in list(machine.entries.values()) if machine is not None else ():
-            if job.ref in refs and job.spec is not None:
-                grace = job.spec.save_s + SAVE_MARGIN_S if job.spec.checkpoint_s > 0 else 0.0
-                self.fleet.stop(job, start, grace, f"drain {name}")
+        for job, start in list(machine.allocations.values()) if machine is not None else ():
+            if job.job_id in refs and job.spec is not None:
+                grace = job.spec.checkpoint_cost_s + SAVE_MARGIN_S if job.spec.checkpoint_interval_s > 0 else 0.0
+                self.fleet.request_stop(job, start, grace, f"drain {name}")
         self.disruptions.carried_out(refs)
-        self.fleet.wake()
+        self.fleet.on_change()
 
     async def _empty(self, name: str, machine: str) -> None:
         step = self.table.steps[machine].record
@@ -158,15 +160,15 @@
         """An aborted drain: what is not being deleted already goes back in service."""
         for machine, step in self.table.steps_of(name).items():
             known = self.fleet.machines.get(machine)
-            if known is not None and known.phase is Phase.LEAVING:
+            if known is not None and known.phase is MachinePhase.DELETING:
                 continue
-            if self.is_gone(machine):
+            if self.is_confirmed_deleted(machine):
                 outcome = Outcome.RETURNED if step.phase is StepPhase.EMPTY else Outcome.GONE
                 await self._leave(name, [machine], outcome)
                 continue
             await self.writes.lift(name, machine)
             log.info("drain %s: %s goes back in service", name, machine)
-            self.fleet.wake()
+            self.fleet.on_change()
 
     # -- one drain -------------------------------------------------------------------------------
 
@@ -198,23 +200,23 @@
         """Follow machines that have become empty, were released, or are gone."""
         record = self.table.drains[name].record
         steps = self.table.steps_of(name)
-        before = [m for m in self.table.machines[name] if m not in steps and self.is_gone(m)]
+        before = [m for m in self.table.machines[name] if m not in steps and self.is_confirmed_deleted(m)]
         if before:
             await self._leave(name, before, Outcome.GONE)
         for machine, step in steps.items():
-            if self.is_gone(machine):
+            if self.is_confirmed_deleted(machine):
                 returned = step.phase is StepPhase.EMPTY and record.afterwards is Afterwards.RETURN
                 await self._leave(name, [machine], Outcome.RETURNED if returned else Outcome.GONE)
             elif step.phase is StepPhase.BACK:
                 await self._leave(name, [machine], Outcome.BACK)
-                self.fleet.wake()
+                self.fleet.on_change()
             elif step.phase is not StepPhase.EMPTY and self.picture.empty(machine):
                 await self._empty(name, machine)
         if record.afterwards is Afterwards.RETURN:
             for machine, step in self.table.steps_of(name).items():
                 known = self.fleet.machines.get(machine)
                 if step.phase is StepPhase.EMPTY and known is not None:
-                    self.fleet.become(known, Phase.LEAVING, f"drain {name}")
+                    self.fleet.transition_to(known, MachinePhase.DELETING, f"drain {name}")
 
     def _press(self, waits: Sequence[Wait]) -> None:
         """After the deadline: tasks that were told to stop and go on saving are ended. What they saved stays."""
@@ -222,10 +224,10 @@
             machine = self.fleet.machines.get(wait.machine)
             if wait.kind is not WaitKind.STOPPING or machine is None:
                 continue
-            for job, start in machine.entries.values():
-                if start.stop_grace:
-                    log.info("%s/%d on %s: not saved by the drain's deadline", job.ref, start.task, machine.name)
-                    start.stop_grace = 0.0
+            for job, start in machine.allocations.values():
+                if start.stop_grace_s:
+                    log.info("%s/%d on %s: not saved by the drain's deadline", job.job_id, start.task, machine.name)
+                    start.stop_grace_s = 0.0
 
     async def _explain(self, name: str, waits: Sequence[Wait]) -> None:
         """Store why a drain waits, and whether it is stalled."""
@@ -249,7 +251,7 @@
         if not self.table.any_active():
             self.homeless.clear()
             return
-        if not self.all_know():
+        if not self.drains_allowed():
             for name, stored in list(self.table.drains.items()):
                 if stored.record.active() and stored.record.reason != NOT_KNOWN:
                     await self._become(name, stored.record.phase, NOT_KNOWN)
@@ -269,15 +271,15 @@
             return
         try:
             await self.tick()
-        except Conflict as conflict:
-            log.info("drains: a key has changed: %s", ", ".join(conflict.failed))
+        except PreconditionFailedError as conflict:
+            log.info("drains: a key has changed: %s", ", ".join(conflict.keys))
             await self._refresh_after(conflict)
-        except (Refused, Unknown) as error:
+        except (RequestRejectedError, OutcomeUnknownError) as error:
             log.debug("drains: %s", error)
             await asyncio.sleep(AFTER_TROUBLE_S)
 
-    async def _refresh_after(self, conflict: Conflict) -> None:
+    async def _refresh_after(self, conflict: PreconditionFailedError) -> None:
         try:
-            await self.writes.refresh(conflict.failed)
-        except (Refused, Unknown) as error:
+            await self.writes.refresh(conflict.keys)
+        except (RequestRejectedError, OutcomeUnknownError) as error:
             log.debug("drains: %s", error)
--- a/hookwall/drains/disruptions.py
+++ b/hookwall/drains/disruptions.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 
 from hookwall.drains.ledger import Ledger
-from hookwall.jobs.job import OPEN, Active, Job
+from hookwall.jobs.job import OPEN, Allocation, Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.workers.fleet import Fleet
 
@@ -14,7 +14,7 @@
 
 def running_tasks(job: Job) -> int:
     """How many tasks of a job run, or may run since its worker has not been heard yet."""
-    return sum(not start.finished and start.phase in (*RUNS, "") for start in job.active.values())
+    return sum(not start.finished and start.reported_phase in (*RUNS, "") for start in job.allocations.values())
 
 
 def recovered_tasks(table: JobTable, ref: str) -> int | None:
@@ -26,9 +26,10 @@
     if job is None or job.phase != OPEN or job.spec is None:
         return None
     runs = sum(
-        not start.finished and start.phase == "running" and start.stop_grace is None for start in job.active.values()
+        not start.finished and start.reported_phase == "running" and start.stop_grace_s is None
+        for start in job.allocations.values()
     )
-    return ALL_TASKS if runs >= job.tasks - job.n_done else runs
+    return ALL_TASKS if runs >= job.task_count - job.done_count else runs
 
 
 class DisruptionWatch:
@@ -50,22 +51,28 @@
     def told_to_stop(self, job: Job) -> None:
         """A job's tasks are about to be told to stop, for whatever reason."""
         if job.phase == OPEN and job.spec is not None:
-            self.ledger.spend(job.ref, job.spec.team, running_tasks(job), self.wall())
+            self.ledger.spend(job.job_id, job.spec.team, running_tasks(job), self.wall())
 
-    def lost(self, job: Job, start: Active) -> None:
+    def lost(self, job: Job, start: Allocation) -> None:
         """A start is gone without being done. It has left the job's starts already."""
-        if job.phase != OPEN or job.spec is None or job.done is None or start.finished or job.done[start.task]:
+        if (
+            job.phase != OPEN
+            or job.spec is None
+            or job.done_flags is None
+            or start.finished
+            or job.done_flags[start.task]
+        ):
             return
-        began = self.fleet.began
-        adopted = start.phase == "" and (began is None or start.since <= began)
-        if start.phase in RUNS or adopted:
-            self.ledger.spend(job.ref, job.spec.team, running_tasks(job) + 1, self.wall())
+        began = self.fleet.valid_since
+        adopted = start.reported_phase == "" and (began is None or start.created_at <= began)
+        if start.reported_phase in RUNS or adopted:
+            self.ledger.spend(job.job_id, job.spec.team, running_tasks(job) + 1, self.wall())
 
     def charge(self, job: Job) -> None:
         """A drain is about to stop a job: entered before that is stored."""
         self.told_to_stop(job)
-        self.moving[job.ref] = max(self.moving.get(job.ref, 0), running_tasks(job))
-        self.charged[job.ref] = self.clock() + CHARGED_S
+        self.moving[job.job_id] = max(self.moving.get(job.job_id, 0), running_tasks(job))
+        self.charged[job.job_id] = self.clock() + CHARGED_S
 
     def carried_out(self, refs: Iterable[str]) -> None:
         """The stops were stored and told."""
--- a/hookwall/drains/drain_slice.py
+++ b/hookwall/drains/drain_subsystem.py
@@ -7,24 +7,24 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from hookwall.scheduling.placement import Ask
+from hookwall.scheduling.placement import ResourceRequest
 from hookwall.storage import keys
 
 if TYPE_CHECKING:
     from hookwall.drains.controller import DrainController
 
 LOOK_S = 1.0
-PREFIXES = (keys.DRAIN, keys.CORDON, keys.DISRUPTED)
+PREFIXES = (keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX)
 
 
-class DrainSlice:
+class DrainSubsystem:
     """Hands keys to the controller, which it makes for the first of them, or at once where there are budgets."""
 
     def __init__(self, enabled: bool, needed_now: bool, make: Callable[[], "DrainController"]) -> None:
         self.enabled, self._make = enabled, make
         self.controller: DrainController | None = make() if enabled and needed_now else None
 
-    def follows(self, key: str) -> bool:
+    def owns_key(self, key: str) -> bool:
         """Whether a key is for this slice."""
         return self.enabled and key.startswith(PREFIXES)
 
@@ -33,30 +33,30 @@
             self.controller = self._make()
         return self.controller
 
-    def take(self, key: str, value: object, stamp: int) -> None:
+    def apply_key(self, key: str, value: object, stamp: int) -> None:
         """A key as watched or read again."""
         self._needed().table.take(key, value, stamp)
 
-    def remove(self, key: str, stamp: int) -> None:
+    def apply_deletion(self, key: str, stamp: int) -> None:
         """A key was deleted."""
         if self.controller is not None:
             self.controller.table.remove(key, stamp)
 
-    def read_all(self, found: Sequence[tuple[str, object, int]]) -> None:
+    def apply_snapshot(self, found: Sequence[tuple[str, object, int]]) -> None:
         """A full read of the keys."""
         if self._there(found):
             self._needed().table.read_all(found)
 
-    def load(self, found: Sequence[tuple[str, object, int]]) -> None:
+    def load_for_leadership(self, found: Sequence[tuple[str, object, int]]) -> None:
         """A full read by a new leader."""
         if self._there(found):
             self._needed().load(found)
 
     def _there(self, found: Sequence[tuple[str, object, int]]) -> bool:
         """Whether there is anything to tell the controller."""
-        return self.controller is not None or any(self.follows(key) for key, _, _ in found)
+        return self.controller is not None or any(self.owns_key(key) for key, _, _ in found)
 
-    def relocations(self) -> list[Ask]:
+    def relocations(self) -> list[ResourceRequest]:
         """What machines have to be rented for before jobs can be stopped."""
         return [] if self.controller is None else self.controller.relocations()
 
--- a/hookwall/drains/drain_table.py
+++ b/hookwall/drains/drain_table.py
@@ -8,7 +8,7 @@
 from hookwall.drains.ledger import Ledger
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepPhase, StepRecord, decode
 from hookwall.storage import keys
-from hookwall.storage.job_records import MalformedRecord
+from hookwall.storage.job_records import MalformedRecordError
 
 log = logging.getLogger(__name__)
 
@@ -39,34 +39,34 @@
     @staticmethod
     def follows(key: str) -> bool:
         """Whether a key is one of these."""
-        return key.startswith((keys.DRAIN, keys.CORDON, keys.DISRUPTED))
+        return key.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX))
 
     def take(self, key: str, value: object, stamp: int) -> None:
         """A drain or a step as read or watched; an older state of it changes nothing."""
         try:
-            if key.startswith(keys.DRAIN):
-                self._take_drain(key.removeprefix(keys.DRAIN), value, stamp)
-            elif key.startswith(keys.CORDON):
-                self._take_step(key.removeprefix(keys.CORDON), value, stamp)
-        except (MalformedRecord, ValueError) as error:
+            if key.startswith(keys.DRAIN_PREFIX):
+                self._take_drain(key.removeprefix(keys.DRAIN_PREFIX), value, stamp)
+            elif key.startswith(keys.CORDON_PREFIX):
+                self._take_step(key.removeprefix(keys.CORDON_PREFIX), value, stamp)
+        except (MalformedRecordError, ValueError) as error:
             log.error("%s is malformed and left alone: %s", key, error)
 
     def remove(self, key: str, stamp: int) -> None:
         """A key was deleted at this change."""
         name = key.rpartition("/")[2]
-        if key.startswith(keys.DRAIN):
+        if key.startswith(keys.DRAIN_PREFIX):
             if name in self.drains and stamp > self.drains[name].stamp:
                 self.forget(name)
-        elif key.startswith(keys.CORDON) and (name not in self.steps or stamp > self.steps[name].stamp):
+        elif key.startswith(keys.CORDON_PREFIX) and (name not in self.steps or stamp > self.steps[name].stamp):
             self.lift(name)
 
     def read_all(self, found: Iterable[tuple[str, object, int]]) -> None:
         """A full read: what it does not show is gone."""
         found = [entry for entry in found if self.follows(entry[0])]
         there = {key for key, _, _ in found}
-        for name in [n for n in self.drains if keys.DRAIN + n not in there]:
+        for name in [n for n in self.drains if keys.DRAIN_PREFIX + n not in there]:
             self.forget(name)
-        for machine in [m for m in self.cordoned if keys.CORDON + m not in there]:
+        for machine in [m for m in self.cordoned if keys.CORDON_PREFIX + m not in there]:
             self.lift(machine)
         for key, value, stamp in found:
             self.take(key, value, stamp)
@@ -75,12 +75,12 @@
         """The disruptions as a new leader finds them. Nobody else writes them while it leads, so it watches none."""
         self.ledger.pages.clear()
         for key, value, stamp in found:
-            page = key.removeprefix(keys.DISRUPTED)
-            if not key.startswith(keys.DISRUPTED) or not page.isdigit():
+            page = key.removeprefix(keys.DISRUPTION_PREFIX)
+            if not key.startswith(keys.DISRUPTION_PREFIX) or not page.isdigit():
                 continue
             try:
                 self.ledger.take(int(page), decode(value, DisruptionPage), stamp)
-            except MalformedRecord as error:
+            except MalformedRecordError as error:
                 log.error("%s is malformed and left alone: %s", key, error)
 
     # -- records ---------------------------------------------------------------------------------
--- a/hookwall/drains/drain_writes.py
+++ b/hookwall/drains/drain_writes.py
@@ -8,7 +8,7 @@
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
 from hookwall.leadership.state_machine import Leadership
 from hookwall.storage import keys
-from hookwall.storage.client import Store
+from hookwall.storage.client import KeyValueClient
 
 Condition = tuple[str, int]
 Put = tuple[str, object]
@@ -17,14 +17,14 @@
 class DrainWrites:
     """Writes, and then changes what is known here to what was written."""
 
-    def __init__(self, table: DrainTable, ledger: Ledger, store: Store, leadership: Leadership) -> None:
+    def __init__(self, table: DrainTable, ledger: Ledger, store: KeyValueClient, leadership: Leadership) -> None:
         self.table, self._ledger, self.store, self.leadership = table, ledger, store, leadership
 
     async def _commit(self, when: list[Condition], put: Sequence[Put], delete: Sequence[str] = ()) -> int:
         """A write that only the leader of now can make."""
         if not put and not delete:
             return 0
-        return await self.store.commit([(keys.LEADER, self.leadership.token), *when], put, delete=delete)
+        return await self.store.commit([(keys.LEADER_KEY, self.leadership.fencing_token), *when], put, delete=delete)
 
     def _drain_as_known(self, name: str) -> Condition:
         return records.drain_key(name), self.table.drains[name].stamp
@@ -65,7 +65,7 @@
 
     async def ledger_pages(self) -> None:
         """Store the pages of the ledger that have changed, as many at a time as a transaction may."""
-        most = max(1, self.store.batch() - 1)
+        most = max(1, self.store.batch_size() - 1)
         dirty = self._ledger.dirty()
         for at in range(0, len(dirty), most):
             await self._pages(dirty[at : at + most])
@@ -99,11 +99,11 @@
             if not self.table.follows(key):
                 continue
             state = await self.store.read(key)
-            if key.startswith(keys.DISRUPTED):
-                page = self._ledger.pages.get(int(key.removeprefix(keys.DISRUPTED)))
+            if key.startswith(keys.DISRUPTION_PREFIX):
+                page = self._ledger.pages.get(int(key.removeprefix(keys.DISRUPTION_PREFIX)))
                 if page is not None:  # an earlier write without an answer; what is here is newer
-                    page.stamp, page.dirty = state.stamp, True
-            elif state.stamp:
-                self.table.take(key, state.value, state.stamp)
+                    page.stamp, page.dirty = state.version, True
+            elif state.version:
+                self.table.take(key, state.value, state.version)
             else:
-                self.table.remove(key, state.position)
+                self.table.remove(key, state.revision)
--- a/hookwall/drains/ledger.py
+++ b/hookwall/drains/ledger.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from hookwall.config.operations import Budget
+from hookwall.config.operations import DisruptionBudget
 from hookwall.drains.records import Disruption, DisruptionPage
 
 ENTRY_BYTES = 72  # of JSON, for a job's id, a team's name and three numbers
@@ -17,7 +17,7 @@
 MOST_PAGE_ENTRIES = 200
 
 
-def allowance(budget: Budget, running: int) -> int:
+def allowance(budget: DisruptionBudget, running: int) -> int:
     """How many of a team's running jobs may be disrupted at a time.
 
     A share is rounded down, but never to nothing: a team with few jobs could else never be moved.
@@ -42,7 +42,7 @@
 class Ledger:
     """All disruptions that still count. Kept by the leader; followers only hold what is stored."""
 
-    def __init__(self, budgets: Iterable[Budget], value_limit: int, margin_s: float) -> None:
+    def __init__(self, budgets: Iterable[DisruptionBudget], value_limit: int, margin_s: float) -> None:
         self.budgets = {budget.team: budget for budget in budgets}
         self.page_entries = max(LEAST_PAGE_ENTRIES, min(MOST_PAGE_ENTRIES, value_limit // ENTRY_BYTES))
         self.margin_s = margin_s  # by how much times of day of two nodes may differ
--- a/hookwall/drains/planner.py
+++ b/hookwall/drains/planner.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hookwall.scheduling.placement import Ask, Room, place
+from hookwall.scheduling.placement import FreeCapacity, ResourceRequest, place
 
-Taken = tuple[Room, Ask, int]  # room that so many tasks of a job would take
+Taken = tuple[FreeCapacity, ResourceRequest, int]  # room that so many tasks of a job would take
 
 
 class WaitKind(Enum):
@@ -81,7 +81,7 @@
     ref: str
     team: str
     cost: float  # work that is lost, in seconds of a machine
-    ask: Ask  # what it needs elsewhere
+    ask: ResourceRequest  # what it needs elsewhere
     counted: bool = False  # whether its disruption counts already, as it has not recovered from the last one
     frees: tuple[tuple[int, int], ...] = ()  # tasks of the same gang on other machines that stop with it
 
@@ -142,7 +142,7 @@
     terms: Terms,
     candidates: Sequence[Candidate],
     budgets: Budgets,
-    rooms: Sequence[Room],
+    rooms: Sequence[FreeCapacity],
     now: float,
     in_time: Callable[[], bool] = lambda: True,
 ) -> Plan:
@@ -215,7 +215,7 @@
 
 
 def _stop(
-    terms: Terms, candidate: Candidate, budgets: Budgets, rooms: Sequence[Room], now: float, result: Plan
+    terms: Terms, candidate: Candidate, budgets: Budgets, rooms: Sequence[FreeCapacity], now: float, result: Plan
 ) -> None:
     """Stop what may be stopped on a cordoned machine."""
     if not candidate.occupants:
@@ -260,7 +260,9 @@
     return chosen
 
 
-def _with_room(candidate: Candidate, chosen: list[Occupant], rooms: Sequence[Room], result: Plan) -> list[Occupant]:
+def _with_room(
+    candidate: Candidate, chosen: list[Occupant], rooms: Sequence[FreeCapacity], result: Plan
+) -> list[Occupant]:
     """The same if there is room for all of them elsewhere, which is used up; else none."""
     by_index = {room.index: room for room in rooms}
     taken: list[Taken] = []
@@ -275,7 +277,7 @@
     return []
 
 
-def _move(occupant: Occupant, rooms: dict[int, Room], taken: list[Taken]) -> bool:
+def _move(occupant: Occupant, rooms: dict[int, FreeCapacity], taken: list[Taken]) -> bool:
     """Take room for a job elsewhere. False, and nothing taken, if there is not enough."""
     ask = occupant.ask
     freed = [(rooms[index], n) for index, n in occupant.frees if index in rooms]
@@ -293,7 +295,7 @@
     return True
 
 
-def _take(ask: Ask, room: Room, tasks: int) -> None:
+def _take(ask: ResourceRequest, room: FreeCapacity, tasks: int) -> None:
     room.cpus -= tasks * ask.cpus
     room.gpus -= tasks * ask.gpus
     room.memory -= tasks * ask.memory
--- a/hookwall/drains/preview.py
+++ b/hookwall/drains/preview.py
@@ -9,7 +9,7 @@
 
 from hookwall.drains.planner import Budgets, Candidate, Plan, Terms, Wait, plan
 from hookwall.drains.snapshot import Snapshot
-from hookwall.scheduling.placement import Room
+from hookwall.scheduling.placement import FreeCapacity
 
 
 @dataclass(slots=True)
@@ -108,9 +108,9 @@
         """An empty machine of the kind of one that was drained."""
         fleet = self.snapshot.fleet
         machine = fleet.machines[candidate.name]
-        info = fleet.info(machine.type)
+        info = fleet.machine_type(machine.type)
         if info is not None:
-            empty = Room(
-                -1 - machine.index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory
+            empty = FreeCapacity(
+                -1 - machine.index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory_gb
             )
             self.rooms.append(empty)
--- a/hookwall/drains/records.py
+++ b/hookwall/drains/records.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from hookwall.storage import keys
-from hookwall.storage.job_records import MalformedRecord
+from hookwall.storage.job_records import MalformedRecordError
 from hookwall.workers import name_codec
 
 VERSION = 1
@@ -143,22 +143,22 @@
     try:
         record = msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        raise MalformedRecord(str(error)) from None
+        raise MalformedRecordError(str(error)) from None
     if record.version > VERSION:
-        raise MalformedRecord(f"version {record.version}, this program knows {VERSION}")
+        raise MalformedRecordError(f"version {record.version}, this program knows {VERSION}")
     return record
 
 
 def drain_key(name: str) -> str:
     """Where a drain is stored."""
-    return keys.DRAIN + name
+    return keys.DRAIN_PREFIX + name
 
 
 def step_key(machine: str) -> str:
     """Where the step of a machine is stored."""
-    return keys.CORDON + machine
+    return keys.CORDON_PREFIX + machine
 
 
 def page_key(page: int) -> str:
     """Where a page of disruptions is stored."""
-    return f"{keys.DISRUPTED}{page}"
+    return f"{keys.DISRUPTION_PREFIX}{page}"
--- a/hookwall/drains/request.py
+++ b/hookwall/drains/request.py
@@ -14,7 +14,7 @@
 SHOWN = 8  # how many allowed values a message names
 
 
-class BadRequest(Exception):
+class InvalidRequestError(Exception):
     """The request can't be meant; the text names the field and what it may be."""
 
 
@@ -55,28 +55,30 @@
 def check_name(name: str) -> str:
     """A drain's name: it becomes part of a key."""
     if not NAME.fullmatch(name):
-        raise BadRequest(f"NAME: up to 64 of a-z, 0-9, '.', '_' and '-', the first a letter or digit; is {name!r}")
+        raise InvalidRequestError(
+            f"NAME: up to 64 of a-z, 0-9, '.', '_' and '-', the first a letter or digit; is {name!r}"
+        )
     return name
 
 
 def check(request: DrainRequest) -> DrainRequest:
     """Refuse numbers that can't be meant."""
     if request.batch < 1:
-        raise BadRequest(f"--batch: must be a whole number from 1, is {request.batch}")
+        raise InvalidRequestError(f"--batch: must be a whole number from 1, is {request.batch}")
     if not (math.isfinite(request.finish_s) and request.finish_s >= 0):
-        raise BadRequest(f"--finish: must be a number of seconds from 0, is {request.finish_s}")
+        raise InvalidRequestError(f"--finish: must be a number of seconds from 0, is {request.finish_s}")
     deadline = request.deadline_s
     if deadline is not None and not (math.isfinite(deadline) and deadline > 0):
-        raise BadRequest(f"--deadline: must be a positive number of seconds, is {deadline}")
+        raise InvalidRequestError(f"--deadline: must be a positive number of seconds, is {deadline}")
     if deadline is None and request.at_deadline is not AtDeadline.GO_ON:
-        raise BadRequest("--at-deadline: needs --deadline")
+        raise InvalidRequestError("--at-deadline: needs --deadline")
     share = request.selection.share
     if share is not None and not 0.0 < share <= 1.0:
-        raise BadRequest(f"--share: must be a number above 0 and up to 1, is {share}")
+        raise InvalidRequestError(f"--share: must be a number above 0 and up to 1, is {share}")
     if request.selection.machines and (share is not None or request.selection.type or request.selection.zone):
-        raise BadRequest("--machine: can't be combined with --type, --zone or --share")
+        raise InvalidRequestError("--machine: can't be combined with --type, --zone or --share")
     if not request.selection.machines and share is None and not request.selection.type and not request.selection.zone:
-        raise BadRequest("which machines: name --machine, --type, --zone or --share")
+        raise InvalidRequestError("which machines: name --machine, --type, --zone or --share")
     return request
 
 
@@ -84,7 +86,7 @@
     """Without a budget a team's jobs are only stopped where that was said explicitly."""
     missing = [team for team in teams if team not in budgeted]
     if missing and not request.unbudgeted:
-        raise BadRequest(
+        raise InvalidRequestError(
             f"no disruption budget for {_some(missing)}: add drain.budgets to the operations file, "
             "or allow unlimited disruption with --unbudgeted"
         )
@@ -95,13 +97,13 @@
 ) -> list[str]:
     """The machines that are meant, or BadRequest. Of a share, those with the fewest tasks."""
     if selection.type is not None and selection.type not in types:
-        raise BadRequest(f"--type: unknown: {selection.type!r}; the machine types are {_some(types)}")
+        raise InvalidRequestError(f"--type: unknown: {selection.type!r}; the machine types are {_some(types)}")
     if selection.zone is not None and selection.zone not in zones:
-        raise BadRequest(f"--zone: unknown: {selection.zone!r}; the zones are {_some(zones)}")
+        raise InvalidRequestError(f"--zone: unknown: {selection.zone!r}; the zones are {_some(zones)}")
     names = {machine.name for machine in machines}
     unknown = sorted(set(selection.machines) - names)
     if unknown:
-        raise BadRequest(f"--machine: unknown: {_some(unknown)}; the machines are {_some(sorted(names))}")
+        raise InvalidRequestError(f"--machine: unknown: {_some(unknown)}; the machines are {_some(sorted(names))}")
     if selection.machines:
         return sorted(set(selection.machines))
     meant = [
@@ -110,7 +112,7 @@
         if selection.type in (None, machine.type) and selection.zone in (None, machine.zone)
     ]
     if not meant:
-        raise BadRequest("no machine is selected: the cloud lists none of this type and zone")
+        raise InvalidRequestError("no machine is selected: the cloud lists none of this type and zone")
     count = len(meant) if selection.share is None else math.ceil(selection.share * len(meant) - 1e-9)
     meant.sort(key=lambda machine: (machine.tasks, machine.name))
     return sorted(machine.name for machine in meant[:count])
--- a/hookwall/jobs/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -24,103 +24,107 @@
 import logging
 from collections.abc import Callable
 
-from hookwall.config.clock_bounds import DRIFT
-from hookwall.config.platform import Workers
-from hookwall.leadership.roles import Mode
+from hookwall.config.clock_bounds import MAX_CLOCK_DRIFT
+from hookwall.config.platform import WorkerTimings
+from hookwall.leadership.roles import LeaseMode
 from hookwall.leadership.state_machine import Leadership
-from hookwall.protocol.peer_messages import Kind, PeerMessage, ToldCancellations
+from hookwall.protocol.peer_messages import KnownCancellations, MessageKind, PeerMessage
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
-MARGIN_S = 1.0  # timers, and a worker that is late to kill its tasks
-SPREAD_S = 0.7  # how long peers have to say that they know
+SAFETY_MARGIN_S = 1.0  # timers, and a worker that is late to kill its tasks
+PEER_TIMEOUT_S = 0.7  # how long peers have to say that they know
 MOST_TOLD = 2000  # in one message
 
 
-class Cancellations:
+class CancellationLedger:
     """One node's knowledge of cancellations that not every later leader is certain to have."""
 
     def __init__(
         self,
-        workers: Workers,
+        workers: WorkerTimings,
         lead: Leadership,
-        store: Store,
+        store: KeyValueClient,
         clock: Callable[[], float],
         position: Callable[[], int],
         withdraw: Callable[[str, int], None],
     ) -> None:
-        self.lead, self.store, self.clock = lead, store, clock
-        self.position = position  # up to which change this node has read the records
-        self.withdraw = withdraw
+        self.leadership, self.store, self.clock = lead, store, clock
+        self.read_revision = position  # up to which change this node has read the records
+        self.apply_cancellation = withdraw
         # Where a lease outlasts `cancel_s` no silence could keep the promise, and answers stop with the next report.
-        self.budget_s = max(workers.report_s, workers.cancel_s - workers.lease_s * (1 + DRIFT) - MARGIN_S)
+        self.max_knowledge_age_s = max(
+            workers.report_s, workers.cancel_s - workers.lease_s * (1 + MAX_CLOCK_DRIFT) - SAFETY_MARGIN_S
+        )
         self.cancel_s = workers.cancel_s
-        self.records_at = -1e9  # when the last request was sent whose answer showed the records as they were
-        self.complete = False  # whether this process has read all records; one that has not may have forgotten
-        self.told: dict[str, float] = {}  # when a ping was sent whose answer named all that the peer knows
-        self.unsettled: dict[str, int] = {}
-        self.spread: set[str] = set()  # those of them that a valid leader or a majority knows
-        self.settled = 0
+        self.records_current_at = -1e9  # when the last request was sent whose answer showed the records as they were
+        self.all_records_read = False  # whether this process has read all records; one that has not may have forgotten
+        self.peer_reports_sent_at: dict[
+            str, float
+        ] = {}  # when a ping was sent whose answer named all that the peer knows
+        self.unsettled_versions: dict[str, int] = {}
+        self.known_widely: set[str] = set()  # those of them that a valid leader or a majority knows
+        self.settled_revision = 0
 
     # -- how current this node is ----------------------------------------------------------------
 
-    def read(self, sent: float) -> None:
+    def confirm_records_read(self, sent: float) -> None:
         """An answer to a request that was sent then has shown all changes of the records."""
-        self.records_at = max(self.records_at, sent)
+        self.records_current_at = max(self.records_current_at, sent)
 
-    def knows_until(self) -> float:
+    def knowledge_current_at(self) -> float:
         """All that users were told before this time is known here."""
-        if self.lead.role.leads() and self.lead.mode is Mode.PROMISE:
-            return max(self.records_at, self.lead.majority_at(self.told))
-        return self.records_at
+        if self.leadership.role.holds_leader_key() and self.leadership.lease_mode is LeaseMode.QUORUM_LEASE:
+            return max(self.records_current_at, self.leadership.quorum_reached_at(self.peer_reports_sent_at))
+        return self.records_current_at
 
-    def may_renew(self) -> bool:
+    def may_renew_leases(self) -> bool:
         """Whether a lease renewed now ends in time for any cancellation not heard of."""
-        return self.clock() - self.knows_until() < self.budget_s
+        return self.clock() - self.knowledge_current_at() < self.max_knowledge_age_s
 
-    def records_current(self) -> bool:
+    def records_are_current(self) -> bool:
         """Whether all that users were told `cancel_s` ago or earlier is in the records as they are known here."""
-        return self.clock() - self.records_at < self.cancel_s * (1 - DRIFT) - MARGIN_S
+        return self.clock() - self.records_current_at < self.cancel_s * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN_S
 
     # -- what is settled ---------------------------------------------------------------------------
 
-    def learn(self, ref: str, stamp: int) -> None:
+    def add_cancellation(self, ref: str, stamp: int) -> None:
         """A cancellation that this node has stored, read or been told of."""
-        if stamp > self.settled and stamp > self.unsettled.get(ref, 0):
-            self.unsettled[ref] = stamp
+        if stamp > self.settled_revision and stamp > self.unsettled_versions.get(ref, 0):
+            self.unsettled_versions[ref] = stamp
 
-    def settle(self, stamp: int) -> None:
+    def settle_up_to(self, stamp: int) -> None:
         """Whoever leads from now on knows all that was stored up to this change."""
-        if stamp <= self.settled:
+        if stamp <= self.settled_revision:
             return
-        self.settled = stamp
-        self.unsettled = {ref: s for ref, s in self.unsettled.items() if s > stamp}
-        self.spread &= self.unsettled.keys()
+        self.settled_revision = stamp
+        self.unsettled_versions = {ref: s for ref, s in self.unsettled_versions.items() if s > stamp}
+        self.known_widely &= self.unsettled_versions.keys()
 
     # -- messages between nodes --------------------------------------------------------------------
 
-    def say(self) -> int | None:
+    def records_revision(self) -> int | None:
         """What a leader adds to its pings: its position, if it is valid at this moment."""
-        if not self.lead.valid():
+        if not self.leadership.valid():
             return None
-        position = self.position()
-        self.settle(position)
+        position = self.read_revision()
+        self.settle_up_to(position)
         return position
 
-    def reply(self, position: int | None) -> ToldCancellations:
+    def known_cancellations(self, position: int | None) -> KnownCancellations:
         """What a node adds to its promise: all that the leader, by its position, has not shown to know."""
         if position is not None:
-            self.settle(position)
-        jobs = list(self.unsettled.items())
-        return ToldCancellations(jobs[:MOST_TOLD], self.complete and len(jobs) <= MOST_TOLD)
+            self.settle_up_to(position)
+        jobs = list(self.unsettled_versions.items())
+        return KnownCancellations(jobs[:MOST_TOLD], self.all_records_read and len(jobs) <= MOST_TOLD)
 
-    def on_reply(self, peer: str, sent: float, told: ToldCancellations) -> None:
+    def on_known_cancellations(self, peer: str, sent: float, told: KnownCancellations) -> None:
         """A peer has promised; what it told counts only once it is applied here."""
-        self.take(told.jobs)
+        self.take(told.cancellations)
         if told.complete:
-            self.told[peer] = max(sent, self.told.get(peer, -1e9))
+            self.peer_reports_sent_at[peer] = max(sent, self.peer_reports_sent_at.get(peer, -1e9))
 
     def take(self, jobs: object) -> None:
         """Cancellations as a peer names them: pairs of job and stamp."""
@@ -128,51 +132,57 @@
             if isinstance(pair, list | tuple) and len(pair) == 2:
                 ref, stamp = pair
                 if isinstance(ref, str) and isinstance(stamp, int):
-                    self.withdraw(ref, stamp)
+                    self.apply_cancellation(ref, stamp)
 
-    def on_told(self, jobs: object) -> bool:
+    def on_cancellations_announced(self, jobs: object) -> bool:
         """A peer tells of cancellations for its user's sake. Returns whether this node, which knows them now, leads."""
         self.take(jobs)
-        return self.lead.valid()
+        return self.leadership.valid()
 
     # -- before a user is told ---------------------------------------------------------------------
 
-    async def confirmed(self, ref: str, stamp: int) -> bool:
+    async def confirm_cancellation(self, ref: str, stamp: int) -> bool:
         """Whether a user may be told that this stored cancellation holds; peers are told first if need be."""
-        self.learn(ref, stamp)
-        if stamp <= self.settled or ref in self.spread:
+        self.add_cancellation(ref, stamp)
+        if stamp <= self.settled_revision or ref in self.known_widely:
             return True
         if await self._spread(ref, stamp):
-            self.spread.add(ref)
+            self.known_widely.add(ref)
             return True
         log.info("%s: neither the leader nor a majority could be told", ref)
         return False
 
     async def _spread(self, ref: str, stamp: int) -> bool:
-        lead = self.lead
-        if lead.valid() or lead.majority == 1:
+        lead = self.leadership
+        if lead.valid() or lead.quorum == 1:
             return True
-        if lead.key.stamp and lead.key.mode is Mode.HOLD and await self._key_unchanged():
+        if (
+            lead.leader_key.version
+            and lead.leader_key.lease_mode is LeaseMode.SESSION_LEASE
+            and await self._key_unchanged()
+        ):
             return True
-        return await self._tell(ref, stamp) or (not lead.key.stamp and await self._key_unchanged())
+        return await self._tell(ref, stamp) or (not lead.leader_key.version and await self._key_unchanged())
 
     async def _key_unchanged(self) -> bool:
         """Whether the leader key is still as it is known here, seen after the cancellation was stored."""
         try:
-            await self.store.commit([(keys.LEADER, self.lead.key.stamp)], timeout=SPREAD_S)
-        except (Conflict, Refused, Unknown):
+            await self.store.commit([(keys.LEADER_KEY, self.leadership.leader_key.version)], timeout=PEER_TIMEOUT_S)
+        except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError):
             return False
         return True
 
     async def _tell(self, ref: str, stamp: int) -> bool:
         """Tell all peers; enough are one that leads validly, or a majority with this node."""
-        message = PeerMessage(kind=Kind.CANCELLED, node=self.lead.me, jobs=[[ref, stamp]])
+        message = PeerMessage(
+            kind=MessageKind.CANCELLATIONS, sender=self.leadership.node_name, cancellations=[[ref, stamp]]
+        )
         know = 1
-        for next_answer in asyncio.as_completed(self.lead.ask_all(message, SPREAD_S)):
+        for next_answer in asyncio.as_completed(self.leadership.call_all_peers(message, PEER_TIMEOUT_S)):
             answer = await next_answer
-            if answer is None or not answer.knows:
+            if answer is None or not answer.cancellations_applied:
                 continue
             know += 1
-            if answer.leads or know >= self.lead.majority:
+            if answer.is_leader or know >= self.leadership.quorum:
                 return True
         return False
--- a/hookwall/jobs/dependency_graph.py
+++ b/hookwall/jobs/dependency_graph.py
@@ -18,7 +18,7 @@
     """How a job ended, as stored."""
 
     DONE = "done"
-    WITHDRAWN = "withdrawn"
+    CANCELLED = "withdrawn"
 
 
 @dataclass(slots=True)
@@ -104,7 +104,7 @@
 
     # -- what follows ----------------------------------------------------------------------------
 
-    def needs(self, ref: str) -> list[str]:
+    def dependencies_of(self, ref: str) -> list[str]:
         """The jobs that a job needs."""
         at = self._index.get(ref)
         return [] if at is None else [self._entries[n].ref for n in self._entries[at].needs]
@@ -114,7 +114,7 @@
         at = self._index.get(ref)
         return at is not None and self._entries[at].unmet > 0
 
-    def cancelled_with(self, ref: str) -> bool:
+    def has_cancelled_dependency(self, ref: str) -> bool:
         """Whether a job that it needs was cancelled."""
         at = self._index.get(ref)
         return at is not None and self._entries[at].cancelled_with
@@ -155,13 +155,13 @@
             entry.ready_at = max(entry.ready_at, needed.ended_at)
             return
         entry.unmet += 1
-        if needed.outcome is Outcome.WITHDRAWN or needed.cancelled_with:
+        if needed.outcome is Outcome.CANCELLED or needed.cancelled_with:
             self._cancel(at)
 
     def _follow_end(self, child: int, needed: Entry) -> None:
         """A job that `child` needs has ended."""
         entry = self._entries[child]
-        if needed.outcome is Outcome.WITHDRAWN:
+        if needed.outcome is Outcome.CANCELLED:
             self._cancel(child)
             return
         entry.unmet -= 1
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -7,36 +7,36 @@
 from collections.abc import Iterable
 
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.storage.job_records import JobRecord, pack_numbers, unpack_numbers
+from hookwall.storage.job_records import JobRecord, decode_ranges, encode_ranges
 
-OPEN, DONE, WITHDRAWN = "open", "done", "withdrawn"
-REST_S = 1.0  # how long ends of single tasks may wait for company in a write
-REST_MOST_S = 15.0  # and how long while the state service has no changes to spare
+OPEN, DONE, CANCELLED = "open", "done", "withdrawn"
+BATCHING_DELAY_S = 1.0  # how long ends of single tasks may wait for company in a write
+MAX_BATCHING_DELAY_S = 15.0  # and how long while the state service has no changes to spare
 
 
-class Active:
+class Allocation:
     """One start of one task: from the decision until it is shown to be gone."""
 
     __slots__ = (
         "attempt",
+        "created_at",
+        "epoch",
         "finished",
         "machine",
-        "phase",
+        "reported_phase",
         "running_since",
-        "since",
-        "stop_grace",
-        "stop_sent",
+        "stop_grace_s",
+        "stop_sent_at",
         "task",
-        "tenure",
     )  # fmt: skip
 
     def __init__(self, task: int, machine: str, tenure: int, attempt: int, now: float) -> None:
-        self.task, self.machine, self.tenure, self.attempt = task, machine, tenure, attempt
-        self.phase = ""  # as the worker last reported it; "" until it has
-        self.since = now
+        self.task, self.machine, self.epoch, self.attempt = task, machine, tenure, attempt
+        self.reported_phase = ""  # as the worker last reported it; "" until it has
+        self.created_at = now
         self.running_since = -1.0
-        self.stop_grace: float | None = None
-        self.stop_sent = -1e9
+        self.stop_grace_s: float | None = None
+        self.stop_sent_at = -1e9
         self.finished = False
 
 
@@ -44,194 +44,206 @@
     """A job as the record says (`stored_*`) and as the leader has changed it since."""
 
     __slots__ = (
-        "active",
-        "arrival",
-        "at",
-        "cursor",
-        "dirty",
-        "dirty_at",
-        "done",
-        "ended",
-        "errors",
-        "failed_at",
-        "fit",
-        "fresh",
-        "image",
-        "n_done",
+        "allocations",
+        "allowed_type_indices",
+        "deferred_record",
+        "done_count",
+        "done_flags",
+        "failures_by_machine",
+        "finished_at",
+        "has_unsaved_changes",
+        "has_unsaved_starts",
+        "image_index",
+        "job_id",
+        "last_failure_at",
+        "machine_type_fit",
+        "needs_reload",
         "next_attempt",
-        "not_before",
-        "parked",
+        "pending_cursor",
         "phase",
+        "queued_at",
         "rank",
-        "raw",
-        "ref",
-        "revert_after_write",
+        "record_unreadable",
+        "retry_not_before",
+        "revert_if_write_fails",
         "spec",
-        "stamp",
-        "stored_done",
-        "stored_on",
+        "stored_done_count",
         "stored_phase",
-        "tasks",
-        "team",
-        "types",
-        "unreadable",
-        "unrecorded",
-        "void",
-        "writing",
-        "zone",
+        "stored_starts",
+        "stored_value",
+        "submitted_at",
+        "task_count",
+        "team_index",
+        "unrecorded_sightings",
+        "unsaved_since",
+        "version",
+        "write_in_flight",
+        "zone_index",
     )  # fmt: skip
 
     def __init__(self, ref: str) -> None:
-        self.ref = ref
+        self.job_id = ref
         self.spec: JobSpec | None = None
-        self.stamp = 0
-        self.at = 0.0  # time of day of its submission
-        self.arrival = 0.0  # since when it can be served: its submission, or the end of the last job that it needs
-        self.ended: float | None = None  # time of day at which its last task was found done
+        self.version = 0
+        self.submitted_at = 0.0  # time of day of its submission
+        self.queued_at = 0.0  # since when it can be served: its submission, or the end of the last job that it needs
+        self.finished_at: float | None = None  # time of day at which its last task was found done
         self.phase = OPEN
         self.next_attempt = 1
-        self.tasks = 0
-        self.done: bytearray | None = None
-        self.n_done = 0
-        self.active: dict[int, Active] = {}
-        self.stored_on: dict[int, tuple[str, int]] = {}
+        self.task_count = 0
+        self.done_flags: bytearray | None = None
+        self.done_count = 0
+        self.allocations: dict[int, Allocation] = {}
+        self.stored_starts: dict[int, tuple[str, int]] = {}
         self.stored_phase = OPEN
-        self.stored_done = 0
-        self.dirty = False
-        self.dirty_at = -1.0  # since when, as the writer saw it
-        self.fresh = False  # whether starts wait to be stored: they are launched only then
-        self.writing = False
-        self.revert_after_write = False  # if the write under way turns out not to have happened
-        self.parked: tuple[object, int] | None = None  # a change seen while a write is under way
-        self.cursor = 0
-        self.errors: dict[str, int] = {}
-        self.failed_at = -1e9  # when a task of it last failed
-        self.not_before = -1e9
-        self.image = self.team = self.rank = -1
-        self.fit: object = None  # how it fits the machine types, as last found (fit.py)
-        self.types: frozenset[int] | None = None
-        self.zone = -1
-        self.raw: object = None  # the record as stored
-        self.unrecorded: dict[int, set[str]] = {}  # task -> machines that report it although no start there is known
-        self.unreadable = False  # a newer record was seen that can't be read, so what is known here may be over
-        self.void = False  # the record has to be taken again even if its stamp is known
+        self.stored_done_count = 0
+        self.has_unsaved_changes = False
+        self.unsaved_since = -1.0  # since when, as the writer saw it
+        self.has_unsaved_starts = False  # whether starts wait to be stored: they are launched only then
+        self.write_in_flight = False
+        self.revert_if_write_fails = False  # if the write under way turns out not to have happened
+        self.deferred_record: tuple[object, int] | None = None  # a change seen while a write is under way
+        self.pending_cursor = 0
+        self.failures_by_machine: dict[str, int] = {}
+        self.last_failure_at = -1e9  # when a task of it last failed
+        self.retry_not_before = -1e9
+        self.image_index = self.team_index = self.rank = -1
+        self.machine_type_fit: object = None  # how it fits the machine types, as last found (fit.py)
+        self.allowed_type_indices: frozenset[int] | None = None
+        self.zone_index = -1
+        self.stored_value: object = None  # the record as stored
+        self.unrecorded_sightings: dict[
+            int, set[str]
+        ] = {}  # task -> machines that report it although no start there is known
+        self.record_unreadable = False  # a newer record was seen that can't be read, so what is known here may be over
+        self.needs_reload = False  # the record has to be taken again even if its stamp is known
 
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Whether the stored phase is one that never changes again."""
-        return self.stored_phase in (DONE, WITHDRAWN)
+        return self.stored_phase in (DONE, CANCELLED)
 
-    def pending(self, most: int) -> list[int]:
+    def pending_tasks(self, most: int) -> list[int]:
         """Up to `most` tasks that are neither done nor possibly on a machine, lowest first."""
-        if self.phase != OPEN or self.done is None or self.unreadable:
+        if self.phase != OPEN or self.done_flags is None or self.record_unreadable:
             return []
         out: list[int] = []
-        n, done, active, unrecorded = self.cursor, self.done, self.active, self.unrecorded
-        while n < self.tasks and len(out) < most:
+        n, done, active, unrecorded = self.pending_cursor, self.done_flags, self.allocations, self.unrecorded_sightings
+        while n < self.task_count and len(out) < most:
             if not done[n] and n not in active and n not in unrecorded:
                 if not out:
-                    self.cursor = n
+                    self.pending_cursor = n
                 out.append(n)
             n += 1
         if not out:
-            self.cursor = self.tasks
+            self.pending_cursor = self.task_count
         return out
 
-    def n_pending(self) -> int:
-        if self.phase != OPEN or self.done is None:
+    def pending_count(self) -> int:
+        if self.phase != OPEN or self.done_flags is None:
             return 0
-        elsewhere = sum(1 for task in self.unrecorded if task not in self.active and not self.done[task])
-        return self.tasks - self.n_done - sum(1 for a in self.active.values() if not a.finished) - elsewhere
+        elsewhere = sum(
+            1 for task in self.unrecorded_sightings if task not in self.allocations and not self.done_flags[task]
+        )
+        return (
+            self.task_count - self.done_count - sum(1 for a in self.allocations.values() if not a.finished) - elsewhere
+        )
 
-    def seen_on(self, task: int, machine: str) -> None:
+    def add_unrecorded_sighting(self, task: int, machine: str) -> None:
         """A worker reports a task of which no start there is known: it must not start anywhere else."""
-        if 0 <= task < self.tasks:
-            self.unrecorded.setdefault(task, set()).add(machine)
+        if 0 <= task < self.task_count:
+            self.unrecorded_sightings.setdefault(task, set()).add(machine)
 
-    def not_seen_on(self, task: int, machine: str) -> None:
+    def remove_unrecorded_sighting(self, task: int, machine: str) -> None:
         """Such a task is not on that machine any more."""
-        machines = self.unrecorded.get(task, set())
+        machines = self.unrecorded_sightings.get(task, set())
         machines.discard(machine)
-        if not machines and self.unrecorded.pop(task, None) is not None:
-            self.cursor = min(self.cursor, task)
+        if not machines and self.unrecorded_sightings.pop(task, None) is not None:
+            self.pending_cursor = min(self.pending_cursor, task)
 
-    def may_launch(self, a: Active) -> bool:
+    def may_launch(self, a: Allocation) -> bool:
         """Whether a start that is stored may be launched, as far as the job is concerned."""
-        return not self.unreadable and not self.unrecorded.get(a.task, set()) - {a.machine}
+        return not self.record_unreadable and not self.unrecorded_sightings.get(a.task, set()) - {a.machine}
 
-    def mark_done(self, task: int) -> None:
-        if self.done is not None and not self.done[task]:
-            self.done[task] = 1
-            self.n_done += 1
-            self.dirty = True
+    def mark_task_done(self, task: int) -> None:
+        if self.done_flags is not None and not self.done_flags[task]:
+            self.done_flags[task] = 1
+            self.done_count += 1
+            self.has_unsaved_changes = True
 
-    def remove(self, task: int) -> None:
+    def remove_allocation(self, task: int) -> None:
         """The start is over or was shown to be gone; an unfinished task is pending again."""
-        del self.active[task]
-        self.cursor = min(self.cursor, task)
-        self.dirty = True
+        del self.allocations[task]
+        self.pending_cursor = min(self.pending_cursor, task)
+        self.has_unsaved_changes = True
 
     def record(self) -> JobRecord:
         """What is written to the state service."""
         grouped: dict[tuple[str, int, int], list[int]] = {}
-        for a in self.active.values():
-            grouped.setdefault((a.machine, a.tenure, a.attempt), []).append(a.task)
-        on = [(m, t, n, pack_numbers(tasks)) for (m, t, n), tasks in grouped.items()]
-        record = JobRecord(phase=self.phase, tasks=self.tasks, next_attempt=self.next_attempt, on=on)
+        for a in self.allocations.values():
+            grouped.setdefault((a.machine, a.epoch, a.attempt), []).append(a.task)
+        on = [(m, t, n, encode_ranges(tasks)) for (m, t, n), tasks in grouped.items()]
+        record = JobRecord(phase=self.phase, task_count=self.task_count, next_attempt=self.next_attempt, allocations=on)
         if self.phase == DONE:
-            record.ended = self.ended
+            record.finished_at = self.finished_at
         if self.phase == OPEN or on:
-            assert self.spec is not None and self.done is not None
-            record.spec, record.at = self.spec, self.at
-            record.done = pack_numbers(i for i, d in enumerate(self.done) if d) if self.n_done else ""
+            assert self.spec is not None and self.done_flags is not None
+            record.spec, record.submitted_at = self.spec, self.submitted_at
+            record.done_tasks = encode_ranges(i for i, d in enumerate(self.done_flags) if d) if self.done_count else ""
         return record
 
-    def take(self, record: JobRecord, raw: object, stamp: int, now: float) -> None:
+    def load_record(self, record: JobRecord, raw: object, stamp: int, now: float) -> None:
         """Replace what is known by a stored record. What workers said of the same starts is kept."""
-        old = self.active
-        self.stamp, self.raw = stamp, raw
+        old = self.allocations
+        self.version, self.stored_value = stamp, raw
         self.phase = self.stored_phase = record.phase
-        self.tasks, self.next_attempt, self.ended = record.tasks, record.next_attempt, record.ended
-        if record.at is not None:
-            self.at = record.at
-        self.arrival = self.at
+        self.task_count, self.next_attempt, self.finished_at = (
+            record.task_count,
+            record.next_attempt,
+            record.finished_at,
+        )
+        if record.submitted_at is not None:
+            self.submitted_at = record.submitted_at
+        self.queued_at = self.submitted_at
         if record.spec is None or self.spec is None:
             self.spec = record.spec
-        self.active = {}
-        self.stored_on = {}
-        for machine, tenure, attempt, tasks in record.on:
-            for task in unpack_numbers(tasks):
+        self.allocations = {}
+        self.stored_starts = {}
+        for machine, tenure, attempt, tasks in record.allocations:
+            for task in decode_ranges(tasks):
                 a = old.get(task)
-                if a is None or (a.machine, a.tenure, a.attempt) != (machine, tenure, attempt):
-                    a = Active(task, machine, tenure, attempt, now)
-                self.active[task] = a
-                self.stored_on[task] = (machine, attempt)
+                if a is None or (a.machine, a.epoch, a.attempt) != (machine, tenure, attempt):
+                    a = Allocation(task, machine, tenure, attempt, now)
+                self.allocations[task] = a
+                self.stored_starts[task] = (machine, attempt)
         if record.spec is not None:
-            self._take_done(unpack_numbers(record.done or ""))
+            self._take_done(decode_ranges(record.done_tasks or ""))
         else:
-            self.done = None
-            self.n_done = self.tasks if self.phase == DONE else 0
-        self.stored_done = self.n_done
-        self.cursor = 0
-        self.dirty = self.void = self.fresh = self.unreadable = False
+            self.done_flags = None
+            self.done_count = self.task_count if self.phase == DONE else 0
+        self.stored_done_count = self.done_count
+        self.pending_cursor = 0
+        self.has_unsaved_changes = self.needs_reload = self.has_unsaved_starts = self.record_unreadable = False
 
     def _take_done(self, done: list[int]) -> None:
         """The tasks that the record says are done."""
-        self.done = bytearray(self.tasks)
+        self.done_flags = bytearray(self.task_count)
         for task in done:
-            self.done[task] = 1
-            if task in self.active:
-                self.active[task].finished = True
-        self.n_done = len(done)
+            self.done_flags[task] = 1
+            if task in self.allocations:
+                self.allocations[task].finished = True
+        self.done_count = len(done)
 
-    def stored(self, stamp: int, on: dict[int, tuple[str, int]], phase: str, done: int, raw: object = None) -> None:
+    def confirm_write(
+        self, stamp: int, on: dict[int, tuple[str, int]], phase: str, done: int, raw: object = None
+    ) -> None:
         """A write of ours succeeded with this content."""
-        self.raw = raw
-        self.stamp, self.stored_on, self.stored_phase, self.stored_done = stamp, on, phase, done
-        if phase != OPEN and not on and not self.active:
-            self.spec, self.done, self.raw = None, None, None
+        self.stored_value = raw
+        self.version, self.stored_starts, self.stored_phase, self.stored_done_count = stamp, on, phase, done
+        if phase != OPEN and not on and not self.allocations:
+            self.spec, self.done_flags, self.stored_value = None, None, None
 
 
-def write_order(jobs: Iterable[Job], now: float, spare: bool) -> list[Job]:
+def jobs_to_write(jobs: Iterable[Job], now: float, spare: bool) -> list[Job]:
     """The jobs to store next, most pressing first.
 
     An end that its user waits for, then starts, which are launched only once stored; by rank, then by
@@ -243,14 +255,14 @@
     first: list[Job] = []
     rest: list[Job] = []
     for job in jobs:
-        if not job.dirty or job.writing or job.unreadable:
+        if not job.has_unsaved_changes or job.write_in_flight or job.record_unreadable:
             continue
-        if job.dirty_at < 0:
-            job.dirty_at = now
-        if job.fresh or job.phase != OPEN:
+        if job.unsaved_since < 0:
+            job.unsaved_since = now
+        if job.has_unsaved_starts or job.phase != OPEN:
             first.append(job)
-        elif now - job.dirty_at > (REST_S if spare else REST_MOST_S):
+        elif now - job.unsaved_since > (BATCHING_DELAY_S if spare else MAX_BATCHING_DELAY_S):
             rest.append(job)
-    first.sort(key=lambda j: (j.phase == OPEN, j.rank, j.dirty_at, j.arrival))
-    rest.sort(key=lambda j: (j.dirty_at, j.arrival))
+    first.sort(key=lambda j: (j.phase == OPEN, j.rank, j.unsaved_since, j.queued_at))
+    rest.sort(key=lambda j: (j.unsaved_since, j.queued_at))
     return first + rest
--- a/hookwall/leadership/leader_key.py
+++ b/hookwall/leadership/leader_key.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from hookwall.leadership.roles import Mode
+from hookwall.leadership.roles import LeaseMode
 
 
 class LeaderKey:
@@ -15,33 +15,35 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.node = ""
-        self.stamp = 0  # 0: there is no key
-        self.mode = Mode.PROMISE
+        self.leader = ""
+        self.version = 0  # 0: there is no key
+        self.lease_mode = LeaseMode.QUORUM_LEASE
         self.known = False
-        self.position = 0
-        self.gone_at = clock()  # since when there has been no key, as far as this node knows
+        self.revision = 0
+        self.absent_since = clock()  # since when there has been no key, as far as this node knows
 
-    def saw(self, value: object, stamp: int, position: int | None = None) -> bool:
+    def observe(self, value: object, stamp: int, position: int | None = None) -> bool:
         """The key as it was at a position; stamp 0: absent. False if something newer is known.
 
         Without a position an absence is taken to be the newest state.
         """
         position = stamp or position
         if position is not None:
-            if position < self.position:
+            if position < self.revision:
                 return False
-            self.position = position
+            self.revision = position
         fields = value if isinstance(value, dict) else {}
-        if not stamp and (self.stamp or not self.known):
-            self.gone_at = self.clock()
-        self.node, self.stamp, self.known = str(fields.get("node", "")), stamp, True
-        self.mode = Mode.HOLD if fields.get("mode") == Mode.HOLD.value else Mode.PROMISE
+        if not stamp and (self.version or not self.known):
+            self.absent_since = self.clock()
+        self.leader, self.version, self.known = str(fields.get("node", "")), stamp, True
+        self.lease_mode = (
+            LeaseMode.SESSION_LEASE if fields.get("mode") == LeaseMode.SESSION_LEASE.value else LeaseMode.QUORUM_LEASE
+        )
         return True
 
-    def unfenced(self, me: str) -> bool:
+    def shows_no_other_leader(self, me: str) -> bool:
         """Whether the key shows that no other node can be valid.
 
         It is gone, or it names an earlier process of this node, or a leadership that it gave up.
         """
-        return self.known and (self.stamp == 0 or self.node == me)
+        return self.known and (self.version == 0 or self.leader == me)
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -7,15 +7,15 @@
 
 import cbor2
 
-from hookwall.config.platform import Seed, address
+from hookwall.config.platform import PeerSeed, parse_address
 
 log = logging.getLogger(__name__)
-MAX_FRAME = 256 * 1024
+MAX_FRAME_BYTES = 256 * 1024
 
 
 async def read_frame(reader: asyncio.StreamReader) -> dict:
     (size,) = struct.unpack(">I", await reader.readexactly(4))
-    if size > MAX_FRAME:
+    if size > MAX_FRAME_BYTES:
         raise ValueError("frame too large")
     value = cbor2.loads(await reader.readexactly(size))
     if not isinstance(value, dict):
@@ -23,17 +23,17 @@
     return value
 
 
-def frame(message: dict) -> bytes:
+def encode_frame(message: dict) -> bytes:
     data = cbor2.dumps(message)
     return struct.pack(">I", len(data)) + data
 
 
-class Peer:
+class PeerConnection:
     """One other node. Each call gets its own answer or none; a silent connection is replaced."""
 
-    def __init__(self, seed: Seed) -> None:
+    def __init__(self, seed: PeerSeed) -> None:
         self.name = seed.node_name
-        self.host, self.port = address(seed.peer_addr, "seeds.peer_addr")
+        self.host, self.port = parse_address(seed.peer_addr, "seeds.peer_addr")
         self.writer: asyncio.StreamWriter | None = None
         self.answers: dict[int, asyncio.Future] = {}
         self.serial = 0
@@ -76,7 +76,7 @@
                     await self._connect()
                 if self.writer is None:
                     return None
-                self.writer.write(frame({**message, "s": serial}))
+                self.writer.write(encode_frame({**message, "s": serial}))
                 return await future
         except (TimeoutError, OSError):
             # Behind a cut a connection stays open without an error; a new one will work sooner.
@@ -87,7 +87,7 @@
             self.answers.pop(serial, None)
 
 
-async def listen(at: str, handle: Callable[[dict], dict]) -> asyncio.Server:
+async def serve_peers(at: str, handle: Callable[[dict], dict]) -> asyncio.Server:
     """Answer peers' messages with `handle`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -95,7 +95,7 @@
             while True:
                 message = await read_frame(reader)
                 answer = handle(message)
-                writer.write(frame({**answer, "s": message.get("s", -1)}))
+                writer.write(encode_frame({**answer, "s": message.get("s", -1)}))
                 await writer.drain()
         except (asyncio.IncompleteReadError, OSError):
             pass
@@ -104,5 +104,5 @@
         finally:
             writer.close()
 
-    host, port = address(at, "peer_listen")
+    host, port = parse_address(at, "peer_listen")
     return await asyncio.start_server(serve, host, port)
--- a/hookwall/leadership/roles.py
+++ b/hookwall/leadership/roles.py
@@ -11,13 +11,13 @@
     LOADING = "loading"
     LEADER = "leader"
 
-    def leads(self) -> bool:
+    def holds_leader_key(self) -> bool:
         """Whether the leader key was written for this role."""
         return self in (Role.LOADING, Role.LEADER)
 
 
-class Mode(Enum):
+class LeaseMode(Enum):
     """What makes a leader valid: see `leadership`."""
 
-    PROMISE = "promise"
-    HOLD = "hold"
+    QUORUM_LEASE = "promise"
+    SESSION_LEASE = "hold"
--- a/hookwall/leadership/vote_fence.py
+++ b/hookwall/leadership/vote_fence.py
@@ -16,7 +16,13 @@
 from collections.abc import Callable
 
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict, KeyState, Refused, Store, Unknown
+from hookwall.storage.client import (
+    KeyValueClient,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+    RequestRejectedError,
+    VersionedValue,
+)
 
 log = logging.getLogger(__name__)
 
@@ -24,31 +30,31 @@
 PROCESS_BITS = 48
 
 
-class VoterFence:
+class VoteFence:
     """The key of this node's votes. `on_leader_key` is told of the leader key as it is once the fence holds."""
 
-    def __init__(self, me: str, store: Store, on_leader_key: Callable[[KeyState], None]) -> None:
-        self.key = keys.VOTER + me
+    def __init__(self, me: str, store: KeyValueClient, on_leader_key: Callable[[VersionedValue], None]) -> None:
+        self.key = keys.VOTE_FENCE_PREFIX + me
         self.store, self.on_leader_key = store, on_leader_key
-        self.process = random.SystemRandom().getrandbits(PROCESS_BITS)
-        self.stamp = 0  # of the key as this process has written it; 0: the fence does not hold yet
+        self.incarnation = random.SystemRandom().getrandbits(PROCESS_BITS)
+        self.version = 0  # of the key as this process has written it; 0: the fence does not hold yet
 
-    def may_support(self) -> bool:
+    def may_grant(self) -> bool:
         """Whether this node may vote for or support anybody, as far as forgotten votes are concerned."""
-        return self.stamp > 0 or not self.store.healthy()
+        return self.version > 0 or not self.store.healthy()
 
-    def conditions(self) -> list[tuple[str, int]]:
+    def preconditions(self) -> list[tuple[str, int]]:
         """What a write of the leader key is conditional on that counts this node's own vote."""
-        return [(self.key, self.stamp)] if self.stamp else []
+        return [(self.key, self.version)] if self.version else []
 
-    async def run(self) -> None:
+    async def establish(self) -> None:
         """Put up the fence, once."""
-        while not self.stamp:
+        while not self.version:
             try:
                 stamp = await self._write()
-                self.on_leader_key(await self.store.read(keys.LEADER))
-                self.stamp = stamp
-            except (Conflict, Refused, Unknown) as error:
+                self.on_leader_key(await self.store.read(keys.LEADER_KEY))
+                self.version = stamp
+            except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError) as error:
                 log.debug("voter's key: %s", type(error).__name__)
                 await asyncio.sleep(RETRY_S)
         await asyncio.Event().wait()
@@ -56,7 +62,7 @@
     async def _write(self) -> int:
         """Write the key on the condition that it is as it was read: of two such writes, one at most happens."""
         got = await self.store.read(self.key)
-        value = {"process": self.process}
-        if got.stamp and got.value == value:
-            return got.stamp  # written before, without an answer
-        return await self.store.commit([(self.key, got.stamp)], [(self.key, value)])
+        value = {"process": self.incarnation}
+        if got.version and got.value == value:
+            return got.version  # written before, without an answer
+        return await self.store.commit([(self.key, got.version)], [(self.key, value)])
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -12,34 +12,34 @@
 import msgspec
 
 from hookwall.api import server
-from hookwall.api.job_service import UserApi
+from hookwall.api.job_service import JobService
 from hookwall.autoscaling.cloud_client import CloudClient
-from hookwall.autoscaling.scale_out import Renting
+from hookwall.autoscaling.scale_out import ScaleOut
 from hookwall.config.operations import DrainSettings, Operations
-from hookwall.config.platform import Settings, address
-from hookwall.drains.drain_slice import DrainSlice
-from hookwall.jobs.cancellations import Cancellations
-from hookwall.jobs.job import Active, Job
+from hookwall.config.platform import Settings, parse_address
+from hookwall.drains.drain_subsystem import DrainSubsystem
+from hookwall.jobs.cancellations import CancellationLedger
+from hookwall.jobs.job import Allocation, Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
 from hookwall.leadership import peer_transport
-from hookwall.leadership.peer_transport import Peer
+from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import Role
 from hookwall.leadership.state_machine import Leadership
-from hookwall.leadership.vote_fence import VoterFence
+from hookwall.leadership.vote_fence import VoteFence
 from hookwall.protocol import json_messages
 from hookwall.protocol.cloud_messages import Catalog
-from hookwall.protocol.json_messages import BadMessage
-from hookwall.protocol.peer_messages import About
+from hookwall.protocol.json_messages import MalformedMessageError
+from hookwall.protocol.peer_messages import PeerStatus
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict, Refused, Store, Unknown
-from hookwall.storage.read_confirmation import Confirmer
-from hookwall.storage.storage_version import FormatGate
+from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.read_confirmation import ReadConfirmation
+from hookwall.storage.storage_version import StorageVersionGate
 from hookwall.storage.watch import Watch
 from hookwall.workers.fleet import Fleet
-from hookwall.workers.heartbeat_router import BeatAnswer, BeatHandler
-from hookwall.workers.lease_delegate import Keeper
+from hookwall.workers.heartbeat_router import HeartbeatReply, HeartbeatRouter
+from hookwall.workers.lease_delegate import LeaseDelegate
 
 if TYPE_CHECKING:
     from hookwall.drains.controller import DrainController
@@ -61,132 +61,161 @@
         operations: Operations | None = None,
     ) -> None:
         self.settings = settings
-        params = settings.settings
+        params = settings.platform
         self.clock = clock
-        self.store = Store(settings.external.state, params.state, params.size, clock)
+        self.store = KeyValueClient(settings.external.state, params.state, params.size, clock)
         self.watch = Watch(self.store, clock)
-        self.table = JobTable(clock)
-        self.confirmer = Confirmer(self.store, self._refresh)
-        self.api = UserApi(params, self.table, self.store, self.confirmer, wall)
-        self.fleet = Fleet(params, self.table, clock)
-        self.scheduler = Scheduler(params, self.table, self.fleet, clock, wall)
-        self.scheduler.fresh_count = lambda: sum(j.fresh for j in self.table.open.values())
-        self.client = CloudClient(settings.external.cloud, params.cloud.rps, clock)
-        self.renting = Renting(params, self.fleet, self.scheduler, self.client, clock)
-        self.renting.fresh = lambda: self.leadership.first and self.no_catalog
-        self.renting.demand.stuck = lambda: not self.store.healthy()
-        self.renting.on_catalog = self._catalog
+        self.job_table = JobTable(clock)
+        self.read_confirmation = ReadConfirmation(self.store, self._refresh)
+        self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
+        self.fleet = Fleet(params, self.job_table, clock)
+        self.scheduler = Scheduler(params, self.job_table, self.fleet, clock, wall)
+        self.scheduler.unstored_job_count = lambda: sum(j.has_unsaved_starts for j in self.job_table.open_jobs.values())
+        self.cloud_client = CloudClient(settings.external.cloud, params.cloud.rps, clock)
+        self.scale_out = ScaleOut(params, self.fleet, self.scheduler, self.cloud_client, clock)
+        self.scale_out.fresh = lambda: self.leadership.key_was_absent and self.catalog_was_absent
+        self.scale_out.demand.intake_blocked = lambda: not self.store.healthy()
+        self.scale_out.on_catalog = self._catalog
         self.leadership = Leadership(
-            settings.node_name, params.size, [Peer(s) for s in settings.seeds], self.store, clock,
+            settings.node_name, params.size, [PeerConnection(s) for s in settings.seeds], self.store, clock,
             self._load, self._role,
         )  # fmt: skip
-        self.leadership.fence = VoterFence(settings.node_name, self.store, self.leadership.saw_key_behind_fence)
-        self.cancellations = Cancellations(
-            params.workers, self.leadership, self.store, clock, self.watch.position, self.table.withdraw
+        self.leadership.vote_fence = VoteFence(
+            settings.node_name, self.store, self.leadership.observe_fenced_leader_key
         )
-        self.keeper = Keeper(
-            settings.node_name, self.leadership, self.store, self.table, self.cancellations.may_renew, clock
+        self.cancellations = CancellationLedger(
+            params.workers,
+            self.leadership,
+            self.store,
+            clock,
+            self.watch.known_revision,
+            self.job_table.apply_cancellation,
+        )
+        self.lease_delegate = LeaseDelegate(
+            settings.node_name, self.leadership, self.store, self.job_table, self.cancellations.may_renew_leases, clock
         )
         peer_names = [seed.node_name for seed in settings.seeds]
-        self.beats = BeatHandler(self.leadership, self.fleet, self.keeper, self.cancellations, clock)
-        self.formats = FormatGate(settings.node_name, peer_names, self.store)
-        self.writer = JobWriter(
-            self.table, self.store, self.leadership, self.fleet.kept, [keys.KEEP + n for n in peer_names], clock
+        self.heartbeat_router = HeartbeatRouter(
+            self.leadership, self.fleet, self.lease_delegate, self.cancellations, clock
+        )
+        self.storage_version = StorageVersionGate(settings.node_name, peer_names, self.store)
+        self.job_writer = JobWriter(
+            self.job_table,
+            self.store,
+            self.leadership,
+            self.fleet.delegated_leases,
+            [keys.LEASE_DELEGATE_PREFIX + n for n in peer_names],
+            clock,
         )
-        self.beats.on_report = self.writer.wake.set
-        self.watch.read_all, self.watch.on_current = self._read_all, self.cancellations.read
+        self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
+        self.watch.read_all, self.watch.on_current = self._read_all, self.cancellations.confirm_records_read
         self.watch.take = lambda key, value, stamp: self._take_key(key, value, stamp)
         self.watch.remove = self._take_deletion
         self.watch.leads = lambda: self.leadership.role is Role.LEADER
-        self.writer.refresh, self.writer.on_stored = self._refresh, self._stored
-        self.writer.new_formats = self.api.new_formats = self.formats.pipelines
-        self.keeper.packs, self.keeper.numbers = self.formats.pipelines, self.formats.numbered
-        self.writer.keepers.watched = lambda: self.watch.epoch
-        self.scheduler.start_room = self.writer.start_room
+        self.job_writer.reload_record, self.job_writer.on_decisions_stored = self._refresh, self._stored
+        self.job_writer.packing_enabled = self.job_service.packing_enabled = self.storage_version.allows_dependencies
+        self.lease_delegate.packed_names, self.lease_delegate.numbered_names = (
+            self.storage_version.allows_dependencies,
+            self.storage_version.allows_numbered_machines,
+        )
+        self.job_writer.delegation_guard.watched_revision = lambda: self.watch.watched_revision
+        self.scheduler.start_record_budget = self.job_writer.start_record_budget
         drain = (operations or Operations()).drain
-        self.drains = DrainSlice(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
-        self.renting.relocations = self.drains.relocations
-        self.api.current = self.cancellations.records_current
-        self.leadership.about, self.leadership.on_about = self._about, self._on_about
-        self.leadership.want, self.leadership.lend = self.store.pace.want.now, self.store.pace.lend
-        self.leadership.on_lent = self.store.pace.borrow
-        self.leadership.say, self.leadership.reply = self.cancellations.say, self.cancellations.reply
-        self.leadership.on_reply, self.leadership.on_told = self.cancellations.on_reply, self.cancellations.on_told
-        self.leadership.on_lapse = self.fleet.begin_again
-        self.table.on_withdrawn = self._withdrawn
-        self.api.confirmed = self.cancellations.confirmed
-        self.leadership.hint = self.fleet.hints.tell
-        self.leadership.on_hint = self.fleet.hints.take
-        self.table.on_taken = self._taken
-        self.fleet.kept.on_named = self._leases_kept
-        self.no_catalog = False  # whether nobody had ever stored the machine types when this node took over
-        self.wake = asyncio.Event()
-        self.fleet.wake = self.wake.set
+        self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
+        self.scale_out.relocation_requests = self.drains.relocations
+        self.job_service.cancellations_current = self.cancellations.records_are_current
+        self.leadership.local_status, self.leadership.on_peer_status = self._about, self._on_about
+        self.leadership.rate_demand, self.leadership.lend_rate = (
+            self.store.rate_shares.demand.rates_per_s,
+            self.store.rate_shares.lend_rates,
+        )
+        self.leadership.on_rate_lent = self.store.rate_shares.borrow_rates
+        self.leadership.records_revision, self.leadership.known_cancellations = (
+            self.cancellations.records_revision,
+            self.cancellations.known_cancellations,
+        )
+        self.leadership.on_known_cancellations, self.leadership.on_cancellations_announced = (
+            self.cancellations.on_known_cancellations,
+            self.cancellations.on_cancellations_announced,
+        )
+        self.leadership.on_validity_lapse = self.fleet.end_validity
+        self.job_table.on_cancelled = self._withdrawn
+        self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
+        self.leadership.successor_hints = self.fleet.successor_hints.next_message
+        self.leadership.on_successor_hints = self.fleet.successor_hints.apply_message
+        self.job_table.on_record_applied = self._taken
+        self.fleet.delegated_leases.on_machines_delegated = self._leases_kept
+        self.catalog_was_absent = False  # whether nobody had ever stored the machine types when this node took over
+        self.round_requested = asyncio.Event()
+        self.fleet.on_change = self.round_requested.set
 
     def _drain_controller(self, settings: DrainSettings, wall: Callable[[], float]) -> "DrainController":
         """Made when the first drain is seen."""
         from hookwall.drains.controller import DrainController
 
-        params = self.settings.settings
+        params = self.settings.platform
         controller = DrainController(
             settings, params, self.fleet, self.scheduler, self.store, self.leadership, self.clock, wall
         )  # fmt: skip
-        controller.all_know, controller.is_gone = self.formats.drains, self.renting.is_gone
+        controller.drains_allowed, controller.is_confirmed_deleted = (
+            self.storage_version.allows_drains,
+            self.scale_out.is_gone,
+        )
         return controller
 
     # -- the state service ---------------------------------------------------------------------
 
     async def _refresh(self, key: str) -> None:
-        await self.api.refresh(key)
+        await self.job_service.reload_record(key)
 
     def _stored(self) -> None:
         """Decisions were stored: starts can be launched, and others may be ready."""
-        self.wake.set()
+        self.round_requested.set()
 
-    def _about(self) -> About:
+    def _about(self) -> PeerStatus:
         """What this node says of itself in each message to its peers."""
-        return About(self.formats.current, self.store.pace.lowered_seen())
+        return PeerStatus(self.storage_version.current_version, self.store.rate_shares.has_seen_lower_limits())
 
-    def _on_about(self, node: str, about: About) -> None:
+    def _on_about(self, node: str, about: PeerStatus) -> None:
         """What a peer says of itself; older programs say nothing."""
-        self.formats.heard(node, about.format)
-        if about.lowered:
-            self.store.pace.lower(f"{node} says so")
+        self.storage_version.record_reported_version(node, about.storage_version)
+        if about.limits_lowered:
+            self.store.rate_shares.apply_lower_limits(f"{node} says so")
 
     def _take_key(self, key: str, value: Any, stamp: int) -> None:
-        if key.startswith(keys.JOBS):
-            self.table.apply(key, value, stamp)
-        elif key == keys.LEADER:
-            self.leadership.saw_key(value, stamp)
-        elif key.startswith(keys.KEEP):
-            self.fleet.kept.take(key, value, stamp)
-        elif key.startswith(keys.PARTS):
-            self.table.take_part(key, value, stamp)
-        elif key.startswith(keys.FORMAT):
-            self.formats.saw(key, value, stamp)
-        elif self.drains.follows(key):
-            self.drains.take(key, value, stamp)
-        elif key == keys.CATALOG and not self.leadership.valid():
+        if key.startswith(keys.JOB_PREFIX):
+            self.job_table.apply_record(key, value, stamp)
+        elif key == keys.LEADER_KEY:
+            self.leadership.observe_leader_key(value, stamp)
+        elif key.startswith(keys.LEASE_DELEGATE_PREFIX):
+            self.fleet.delegated_leases.apply_key(key, value, stamp)
+        elif key.startswith(keys.CHUNK_PREFIX):
+            self.job_table.apply_chunk(key, value, stamp)
+        elif key.startswith(keys.STORAGE_VERSION_PREFIX):
+            self.storage_version.apply_marker(key, value, stamp)
+        elif self.drains.owns_key(key):
+            self.drains.apply_key(key, value, stamp)
+        elif key == keys.CATALOG_KEY and not self.leadership.valid():
             try:
-                self._set_catalog(json_messages.convert(value, Catalog))
-            except BadMessage as e:
+                self._set_catalog(json_messages.convert_message(value, Catalog))
+            except MalformedMessageError as e:
                 log.error("stored catalog is malformed: %s", e)
 
     def _take_deletion(self, key: str, stamp: int) -> None:
         """A key is gone."""
-        if key == keys.LEADER:
-            self.leadership.saw_key({}, 0, stamp)
-        elif key.startswith(keys.PARTS):
-            self.table.parts.remove(key, stamp)
-        elif self.drains.follows(key):
-            self.drains.remove(key, stamp)
-        elif key.startswith(keys.KEEP):
-            known = self.fleet.kept.keys.get(key)
+        if key == keys.LEADER_KEY:
+            self.leadership.observe_leader_key({}, 0, stamp)
+        elif key.startswith(keys.CHUNK_PREFIX):
+            self.job_table.chunks.remove(key, stamp)
+        elif self.drains.owns_key(key):
+            self.drains.apply_deletion(key, stamp)
+        elif key.startswith(keys.LEASE_DELEGATE_PREFIX):
+            known = self.fleet.delegated_leases.delegations.get(key)
             if known is not None and stamp > known[0]:
-                self.fleet.kept.take(key, None, 0)
+                self.fleet.delegated_leases.apply_key(key, None, 0)
 
     def _set_catalog(self, catalog: Catalog) -> None:
-        self.api.catalog = catalog
+        self.job_service.catalog = catalog
         self.fleet.set_catalog(catalog)
 
     async def _read_all(self) -> None:
@@ -194,50 +223,50 @@
         sent = self.clock()
         found, epoch = await self.store.scan(keys.ROOT)
         self._keepers_missing(found)
-        self.drains.read_all(found)
+        self.drains.apply_snapshot(found)
         if self.leadership.role is Role.LEADER:
-            self.writer.keepers.any_lease_may_be_kept()  # changes were missed
+            self.job_writer.delegation_guard.void_decisions()  # changes were missed
         leader = False
         for key, value, stamp in found:
-            leader = leader or key == keys.LEADER
+            leader = leader or key == keys.LEADER_KEY
             self._take_key(key, value, stamp)
         if not leader:
-            self.leadership.saw_key({}, 0, epoch)
-        self.watch.epoch = epoch
-        self.watch.loaded = self.cancellations.complete = True
-        self.cancellations.read(sent)
-        log.info("read %d jobs", len(self.table.jobs))
+            self.leadership.observe_leader_key({}, 0, epoch)
+        self.watch.watched_revision = epoch
+        self.watch.loaded = self.cancellations.all_records_read = True
+        self.cancellations.confirm_records_read(sent)
+        log.info("read %d jobs", len(self.job_table.jobs))
 
     async def _load(self) -> None:
         """A new leader's picture starts from the records as they are after its key was written."""
-        self.table.void_decisions()
+        self.job_table.invalidate_decisions()
         sent = self.clock()
         found, epoch = await self.store.scan(keys.ROOT)
         self._keepers_missing(found)
-        self.drains.load(found)
+        self.drains.load_for_leadership(found)
         for key, value, stamp in found:
-            if key != keys.LEADER:
+            if key != keys.LEADER_KEY:
                 self._take_key(key, value, stamp)
-        for ref in list(self.table.parts.incomplete):
-            await self._refresh(keys.JOBS + ref)  # its parts were replaced while the keys were read
-        self.watch.scanned = epoch
-        self.cancellations.complete = True
-        self.cancellations.read(sent)
-        self.no_catalog = all(key != keys.CATALOG for key, _, _ in found)
-        self.fleet.reset(self.leadership.token)
+        for ref in list(self.job_table.chunks.unreadable_records):
+            await self._refresh(keys.JOB_PREFIX + ref)  # its parts were replaced while the keys were read
+        self.watch.scanned_revision = epoch
+        self.cancellations.all_records_read = True
+        self.cancellations.confirm_records_read(sent)
+        self.catalog_was_absent = all(key != keys.CATALOG_KEY for key, _, _ in found)
+        self.fleet.reset(self.leadership.fencing_token)
         self.scheduler.waiting.clear()
-        self.renting.reset()
+        self.scale_out.reset()
 
     def _keepers_missing(self, found: list[tuple[str, object, int]]) -> None:
         """Keepers' keys that a full read does not show are gone."""
         there = {key for key, _, _ in found}
-        for key in [k for k in self.fleet.kept.keys if k not in there]:
-            self.fleet.kept.take(key, None, 0)
+        for key in [k for k in self.fleet.delegated_leases.delegations if k not in there]:
+            self.fleet.delegated_leases.apply_key(key, None, 0)
 
-    def _taken(self, job: Job, before: list[Active]) -> None:
+    def _taken(self, job: Job, before: list[Allocation]) -> None:
         if self.leadership.role is Role.LEADER:
-            self.fleet.retake(job, before)
-        self.wake.set()
+            self.fleet.replace_allocations(job, before)
+        self.round_requested.set()
 
     def _leases_kept(self, machines: frozenset[str] | None) -> None:
         """Followers keep the leases of these machines.
@@ -245,45 +274,45 @@
         From here on the leader's writes have the newer keys as conditions, so what it decided on the older ones
         would be stored: a machine whose lease seemed to be over runs its tasks, and they were started elsewhere.
         """
-        if self.leadership.role is Role.LEADER and self.fleet.leases.was_wrong(machines):
+        if self.leadership.role is Role.LEADER and self.fleet.lease_expiry.retract_expiry(machines):
             log.info("a lease that seemed to be over is kept; decisions that are not stored are void")
-            self.table.revert()
+            self.job_table.revert_unsaved()
 
     def _withdrawn(self, ref: str, stamp: int) -> None:
-        self.cancellations.learn(ref, stamp)
-        self.wake.set()
+        self.cancellations.add_cancellation(ref, stamp)
+        self.round_requested.set()
 
     async def _catalog(self, catalog: Catalog) -> None:
         """The leader has asked the cloud; the other nodes learn the machine types from the store."""
-        old = self.api.catalog
+        old = self.job_service.catalog
         self._set_catalog(catalog)
-        shape = [(t.name, t.cpus, t.gpus, t.memory, t.zones) for t in catalog.types]
-        if old is not None and shape == [(t.name, t.cpus, t.gpus, t.memory, t.zones) for t in old.types]:
+        shape = [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in catalog.types]
+        if old is not None and shape == [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in old.types]:
             return
         try:
             await self.store.commit(
-                [(keys.LEADER, self.leadership.token)], [(keys.CATALOG, msgspec.to_builtins(catalog))]
+                [(keys.LEADER_KEY, self.leadership.fencing_token)], [(keys.CATALOG_KEY, msgspec.to_builtins(catalog))]
             )
-        except (Conflict, Refused, Unknown) as e:
+        except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError) as e:
             log.info("could not store the catalog: %s", type(e).__name__)
-            self.api.catalog = old
+            self.job_service.catalog = old
 
     # -- leading -------------------------------------------------------------------------------
 
     def _role(self, role: Role) -> None:
-        self.store.pace.lead(role.leads())
-        self.wake.set()
+        self.store.rate_shares.set_leading(role.holds_leader_key())
+        self.round_requested.set()
 
-    async def beat(self, body: bytes) -> BeatAnswer:
+    async def respond_to_heartbeat(self, body: bytes) -> HeartbeatReply:
         """The answer to a worker's report, for whoever can wait."""
-        got = self.beats.take(body)
+        got = self.heartbeat_router.respond(body)
         return got if isinstance(got, tuple) else await got
 
-    def up(self) -> bool:
+    def is_healthy(self) -> bool:
         """Healthy while this node can serve users, or while it knows that no other node could either."""
         if not self.watch.loaded:
             return False
-        return self.store.healthy() or self.leadership.all_as_badly_off()
+        return self.store.healthy() or self.leadership.store_outage_is_shared()
 
     async def round_loop(self) -> None:
         """Rounds of decisions while this node leads."""
@@ -291,21 +320,21 @@
         while True:
             try:
                 async with asyncio.timeout(ROUND_EVERY_S):
-                    await self.wake.wait()
+                    await self.round_requested.wait()
             except TimeoutError:
                 pass
             # Where a round takes long, reports and users have as long in between.
             await asyncio.sleep(min(max(ROUND_GAP_S, took), ROUND_EVERY_S))
-            self.wake.clear()
+            self.round_requested.clear()
             if not self.leadership.valid():
                 continue
             began = self.clock()
             try:
-                self.fleet.begin(self.clock())
-                self.fleet.expire(self.clock())
-                if self.fleet.catalog is not None and self.scheduler.round():
-                    self.wake.set()
-                self.writer.wake.set()
+                self.fleet.begin_validity(self.clock())
+                self.fleet.expire_leases(self.clock())
+                if self.fleet.catalog is not None and self.scheduler.run_round():
+                    self.round_requested.set()
+                self.job_writer.write_requested.set()
             except Exception:
                 log.exception("round failed")
             took = self.clock() - began
@@ -321,34 +350,39 @@
 
     async def run(self) -> None:
         await self.store.open()
-        await self.client.open()
-        await peer_transport.listen(self.settings.peer_listen, self.leadership.handle)
-        host, port = address(self.settings.public_addr, "public_addr")
-        params = self.settings.settings
-        door = server.Door(
-            self.api, self.beats.take, self.up, params.machine_limits.sockets, params.workers.report_s, self.clock
+        await self.cloud_client.open()
+        await peer_transport.serve_peers(self.settings.peer_listen, self.leadership.handle_peer_message)
+        host, port = parse_address(self.settings.public_addr, "public_addr")
+        params = self.settings.platform
+        door = server.HttpServer(
+            self.job_service,
+            self.heartbeat_router.respond,
+            self.is_healthy,
+            params.machine_limits.sockets,
+            params.workers.report_s,
+            self.clock,
         )
         await server.listen(door, host, port)
         log.info("%s listens", self.settings.node_name)
-        await self.work({"shed": door.run})
+        await self.run_loops({"shed": door.run})
 
-    async def work(self, more: dict[str, Callable[[], Any]] | None = None) -> None:
+    async def run_loops(self, more: dict[str, Callable[[], Any]] | None = None) -> None:
         """All loops of this node; they go on until the process ends."""
         lead = self.leadership
         loops = {
             "watch": self.watch.run,
-            "confirm": self.confirmer.run,
-            "write": self.writer.run,
-            "formats": self.formats.run,
+            "confirm": self.read_confirmation.run,
+            "write": self.job_writer.run,
+            "formats": self.storage_version.run,
             "round": self.round_loop,
-            "ping": lead.heartbeat.run,
-            "probe": lead.probe_loop,
-            **({"fence": lead.fence.run} if lead.fence is not None else {}),
+            "ping": lead.peer_heartbeat.run,
+            "probe": lead.probe_store,
+            **({"fence": lead.vote_fence.establish} if lead.vote_fence is not None else {}),
             "lead": lambda: lead.run(lambda: bool(self.fleet.machines)),
-            "keep": self.keeper.run,
-            "list": lambda: self.renting.lists.run(lead.valid),
+            "keep": self.lease_delegate.run,
+            "list": lambda: self.scale_out.inventory.run(lead.valid),
             "drain": lambda: self.drains.run(lead.valid),
-            "rent": lambda: self.renting.run(lead.valid, lambda: lead.token),
+            "rent": lambda: self.scale_out.run(lead.valid, lambda: lead.fencing_token),
             **(more or {}),
         }
         await asyncio.gather(*(self._keep(n, f) for n, f in loops.items()))
--- a/hookwall/protocol/cloud_messages.py
+++ b/hookwall/protocol/cloud_messages.py
@@ -9,9 +9,9 @@
     name: str = msgspec.field(name="label")
     cpus: Amount = msgspec.field(name="cores")
     gpus: Amount = msgspec.field(name="cards")
-    memory: Amount = msgspec.field(name="memGb")
-    cache_gb: Amount = msgspec.field(name="localGb", default=0.0)
-    fetch_gb_s: Amount = msgspec.field(name="pullGbPerS", default=1.0)
+    memory_gb: Amount = msgspec.field(name="memGb")
+    image_cache_gb: Amount = msgspec.field(name="localGb", default=0.0)
+    image_pull_gb_per_s: Amount = msgspec.field(name="pullGbPerS", default=1.0)
     price: Amount = 0.0
     spot_price: Amount = msgspec.field(name="spotPrice", default=0.0)
     boot_s: Amount = msgspec.field(name="startupS", default=30.0)
@@ -22,7 +22,7 @@
     types: list[MachineType] = msgspec.field(name="hulls")
 
 
-class Listed(msgspec.Struct, frozen=True):
+class ListedMachine(msgspec.Struct, frozen=True):
     name: str = msgspec.field(name="ref")
     type: str = msgspec.field(name="hull", default="")
     zone: str = msgspec.field(name="yard", default="")
@@ -31,10 +31,10 @@
     age_s: float = msgspec.field(name="heldS", default=0.0)
 
 
-class MachineList(msgspec.Struct, frozen=True):
-    machines: list[Listed] = msgspec.field(name="hosts")
+class MachineListPage(msgspec.Struct, frozen=True):
+    machines: list[ListedMachine] = msgspec.field(name="hosts")
     more: bool = False
 
 
-class Rented(msgspec.Struct, frozen=True):
+class ProvisionedMachines(msgspec.Struct, frozen=True):
     machines: list[str] = msgspec.field(name="hosts")
--- a/hookwall/protocol/http_client.py
+++ b/hookwall/protocol/http_client.py
@@ -5,10 +5,10 @@
 import aiohttp
 import msgspec
 
-JSON = {"Content-Type": "application/json"}
+JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """Nothing usable came back; the request may have been executed."""
 
 
@@ -26,7 +26,7 @@
     data = msgspec.json.encode(body) if body is not None else None
     try:
         async with asyncio.timeout(timeout):
-            async with session.request(method, url, data=data, headers=JSON) as answer:
+            async with session.request(method, url, data=data, headers=JSON_HEADERS) as answer:
                 return answer.status, await answer.read()
     except (TimeoutError, aiohttp.ClientError, OSError) as e:
-        raise NoAnswer(type(e).__name__) from None
+        raise NoResponseError(type(e).__name__) from None
--- a/hookwall/protocol/job_messages.py
+++ b/hookwall/protocol/job_messages.py
@@ -6,18 +6,18 @@
 
 import msgspec
 
-from hookwall.protocol.json_messages import Amount, BadMessage
+from hookwall.protocol.json_messages import Amount, MalformedMessageError
 
 MAX_TASKS = 100_000
 
 
-REF = re.compile(r"run-[0-9]{1,18}\Z")
+JOB_REF_PATTERN = re.compile(r"run-[0-9]{1,18}\Z")
 
 
-NAME = re.compile(r"[^\s/]{1,120}\Z")
+IMAGE_NAME_PATTERN = re.compile(r"[^\s/]{1,120}\Z")
 
 
-KINDS = ("batch", "ensemble", "daemon")
+JOB_KINDS = ("batch", "ensemble", "daemon")
 
 
 RANKS = ("production", "urgent", "standard", "low")
@@ -26,27 +26,27 @@
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
     """What a user asks for. Stored as it came, under the same names."""
 
-    ref: str
+    job_id: str = msgspec.field(name="ref")
     job_class: str = msgspec.field(name="hookset")
     team: str = msgspec.field(name="owner")
     kind: str = msgspec.field(name="shape")
     rank: str
-    tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)] = msgspec.field(name="pieces")
+    task_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)] = msgspec.field(name="pieces")
     cpus: Amount = msgspec.field(name="cores")
     gpus: Amount = msgspec.field(name="cards")
-    memory: Amount = msgspec.field(name="memGb")
+    memory_gb: Amount = msgspec.field(name="memGb")
     image: str = msgspec.field(name="bundle")
     image_gb: Amount = msgspec.field(name="sizeGb")
     one_zone: bool = msgspec.field(name="samePlace")
     spread: bool
     spot: bool = msgspec.field(name="loaners")
-    estimate_s: Amount = msgspec.field(name="guessS")
-    checkpoint_s: Amount = msgspec.field(name="pinEveryS")
-    save_s: Amount = msgspec.field(name="pinCostS")
+    estimated_duration_s: Amount = msgspec.field(name="guessS")
+    checkpoint_interval_s: Amount = msgspec.field(name="pinEveryS")
+    checkpoint_cost_s: Amount = msgspec.field(name="pinCostS")
     types: list[str] | None = msgspec.field(name="hulls", default=None)
     zone: str | None = msgspec.field(name="yard", default=None)
     due_s: Amount | None = msgspec.field(name="dueS", default=None)
-    needs: list[str] | None = msgspec.field(name="awaits", default=None)  # jobs that have to be done before
+    dependencies: list[str] | None = msgspec.field(name="awaits", default=None)  # jobs that have to be done before
 
     @property
     def gang(self) -> bool:
@@ -66,34 +66,34 @@
     try:
         spec = _spec.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
-        raise BadMessage(str(e)) from None
-    if not REF.match(spec.ref):
-        raise BadMessage("ref: not a job id")
-    if spec.kind not in KINDS:
-        raise BadMessage("shape: unknown")
+        raise MalformedMessageError(str(e)) from None
+    if not JOB_REF_PATTERN.match(spec.job_id):
+        raise MalformedMessageError("ref: not a job id")
+    if spec.kind not in JOB_KINDS:
+        raise MalformedMessageError("shape: unknown")
     if spec.rank not in RANKS:
-        raise BadMessage("rank: unknown")
-    if not NAME.match(spec.image) or not spec.team or not spec.job_class:
-        raise BadMessage("bundle, owner or hookset: empty or too long")
+        raise MalformedMessageError("rank: unknown")
+    if not IMAGE_NAME_PATTERN.match(spec.image) or not spec.team or not spec.job_class:
+        raise MalformedMessageError("bundle, owner or hookset: empty or too long")
     if len(spec.team) > 120 or len(spec.job_class) > 120:
-        raise BadMessage("owner or hookset: too long")
+        raise MalformedMessageError("owner or hookset: too long")
     if spec.types is not None and (len(spec.types) > 64 or any(len(t) > 120 for t in spec.types)):
-        raise BadMessage("hulls: too long")
+        raise MalformedMessageError("hulls: too long")
     if spec.zone is not None and len(spec.zone) > 120:
-        raise BadMessage("yard: too long")
-    for value in (spec.cpus, spec.gpus, spec.memory, spec.image_gb, spec.estimate_s):
+        raise MalformedMessageError("yard: too long")
+    for value in (spec.cpus, spec.gpus, spec.memory_gb, spec.image_gb, spec.estimated_duration_s):
         if not math.isfinite(value):
-            raise BadMessage("an amount is not finite")
+            raise MalformedMessageError("an amount is not finite")
     if spec.cpus == 0 and spec.gpus == 0:
-        raise BadMessage("cores: a task takes neither cores nor cards")
-    if spec.needs is None:
+        raise MalformedMessageError("cores: a task takes neither cores nor cards")
+    if spec.dependencies is None:
         return spec
-    if not all(REF.match(name) for name in spec.needs):
-        raise BadMessage("awaits: not a list of job ids")
-    return msgspec.structs.replace(spec, needs=list(dict.fromkeys(spec.needs)) or None)
+    if not all(JOB_REF_PATTERN.match(name) for name in spec.dependencies):
+        raise MalformedMessageError("awaits: not a list of job ids")
+    return msgspec.structs.replace(spec, dependencies=list(dict.fromkeys(spec.dependencies)) or None)
 
 
-def job_answer(ref: str, phase: str, done: int | None = None, running: int | None = None) -> bytes:
+def encode_job_status(ref: str, phase: str, done: int | None = None, running: int | None = None) -> bytes:
     """What users are told about a job."""
     body: dict[str, object] = {"ref": ref, "phase": phase}
     if done is not None:
--- a/hookwall/protocol/json_messages.py
+++ b/hookwall/protocol/json_messages.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 
 Message = TypeVar("Message")
 
 
-class BadMessage(Exception):
+class MalformedMessageError(Exception):
     """A message is malformed; the text says how."""
 
 
@@ -20,9 +20,9 @@
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
 
-def convert(raw: object, kind: type[Message]) -> Message:
+def convert_message(raw: object, kind: type[Message]) -> Message:
     """A decoded body as one of the kinds above, or BadMessage."""
     try:
         return msgspec.convert(raw, kind, strict=False)
     except msgspec.ValidationError as e:
-        raise BadMessage(str(e)) from None
+        raise MalformedMessageError(str(e)) from None
--- a/hookwall/protocol/peer_messages.py
+++ b/hookwall/protocol/peer_messages.py
@@ -10,81 +10,103 @@
 import msgspec
 
 
-class Kind(StrEnum):
+class MessageKind(StrEnum):
     """What a message is for."""
 
-    PING = "ping"  # a leader asks for support; a follower says that it is there
+    HEARTBEAT = "ping"  # a leader asks for support; a follower says that it is there
     VOTE = "vote"  # a candidate asks for support before it replaces the leader key
-    RELEASE = "release"  # a leader or candidate gives support back
-    FIT = "fit"  # a leader asks whether the state service answers a peer
-    CANCELLED = "cancelled"  # a node tells of cancellations for its user's sake
+    RELEASE_VOTE = "release"  # a leader or candidate gives support back
+    STORE_CONTACT = "fit"  # a leader asks whether the state service answers a peer
+    CANCELLATIONS = "cancelled"  # a node tells of cancellations for its user's sake
 
 
-class About(msgspec.Struct, frozen=True):
+class PeerStatus(msgspec.Struct, frozen=True):
     """What a node says of itself in its pings and answers; older programs say nothing."""
 
-    format: int | None = None  # the newest format that its program knows
-    lowered: bool | None = None  # whether it has seen the state service's limits to come in force
+    storage_version: int | None = None  # the newest format that its program knows
+    limits_lowered: bool | None = None  # whether it has seen the state service's limits to come in force
 
 
 class PeerMessage(msgspec.Struct, kw_only=True):
     """A request from one node to another."""
 
     kind: str = msgspec.field(name="t")  # a `Kind`, or one that a newer program knows
-    node: str = msgspec.field(name="n")
-    state_ok: bool | None = msgspec.field(name="sok", default=None)  # whether the state service answers it
-    token: int | None = msgspec.field(name="tok", default=None)  # of the leadership; 0: it does not lead
-    format: int | None = None
-    lowered: bool | None = None
-    position: int | None = msgspec.field(name="pos", default=None)  # up to which a valid leader has read the records
-    hint: Any = None  # what the next leader would want to know (hints.py)
-    lent: Any = None  # requests and changes a second that the receiver may make beyond its share
-    replaces: int | None = None  # stamp of the leader key that a candidate is to replace
-    dead: bool | None = None  # whether a key that names the candidate proves that its leader is gone
-    campaign: int | None = None
-    unwritten: int | None = None  # a campaign whose key was not written and is not going to be
-    resign: str | None = None  # who is to lead next
-    jobs: Any = None  # cancellations: pairs of job and stamp
-
-    def about(self) -> About:
+    sender: str = msgspec.field(name="n")
+    store_reachable: bool | None = msgspec.field(name="sok", default=None)  # whether the state service answers it
+    fencing_token: int | None = msgspec.field(name="tok", default=None)  # of the leadership; 0: it does not lead
+    storage_version: int | None = msgspec.field(name="format", default=None)
+    limits_lowered: bool | None = msgspec.field(name="lowered", default=None)
+    revision: int | None = msgspec.field(name="pos", default=None)  # up to which a valid leader has read the records
+    successor_hint: Any = msgspec.field(name="hint", default=None)  # what the next leader would want to know (hints.py)
+    lent_rates: Any = msgspec.field(
+        name="lent", default=None
+    )  # requests and changes a second that the receiver may make beyond its share
+    replaces_version: int | None = msgspec.field(
+        name="replaces", default=None
+    )  # stamp of the leader key that a candidate is to replace
+    proves_leader_gone: bool | None = msgspec.field(
+        name="dead", default=None
+    )  # whether a key that names the candidate proves that its leader is gone
+    election: int | None = msgspec.field(name="campaign", default=None)
+    abandoned_election: int | None = msgspec.field(
+        name="unwritten", default=None
+    )  # a campaign whose key was not written and is not going to be
+    transfer_to: str | None = msgspec.field(name="resign", default=None)  # who is to lead next
+    cancellations: Any = msgspec.field(name="jobs", default=None)  # cancellations: pairs of job and stamp
+
+    def sender_status(self) -> PeerStatus:
         """What the sender says of itself."""
-        return About(self.format, self.lowered)
+        return PeerStatus(self.storage_version, self.limits_lowered)
 
 
-class PeerAnswer(msgspec.Struct, kw_only=True):
+class PeerResponse(msgspec.Struct, kw_only=True):
     """The answer to a `PeerMessage`."""
 
-    ok: bool = False
-    state_ok: bool = msgspec.field(name="sok", default=False)
-    top: int | None = None  # the highest token that the peer has promised support to
-    beats: int | None = None  # reports that reached it lately
-    want: Any = None  # requests and changes a second that it wants of the state service
-    format: int | None = None
-    lowered: bool | None = None
-    replaced: bool | None = None  # whether it has voted to replace the asking leader's key
-    fence: int | None = None  # stamp of the key that fences its votes
-    age: float | None = None  # how long ago the state service last answered it
-    cancelled: Any = None  # cancellations that the leader has not shown to know: pairs of job and stamp
-    complete: bool | None = None  # whether those are all that it knows
-    knows: bool | None = None  # whether it has taken in the cancellations that it was told
-    leads: bool | None = None  # whether it leads validly
-
-    def about(self) -> About:
+    granted: bool = msgspec.field(name="ok", default=False)
+    store_reachable: bool = msgspec.field(name="sok", default=False)
+    highest_token: int | None = msgspec.field(
+        name="top", default=None
+    )  # the highest token that the peer has promised support to
+    heartbeat_count: int | None = msgspec.field(name="beats", default=None)  # reports that reached it lately
+    wanted_rates: Any = msgspec.field(
+        name="want", default=None
+    )  # requests and changes a second that it wants of the state service
+    storage_version: int | None = msgspec.field(name="format", default=None)
+    limits_lowered: bool | None = msgspec.field(name="lowered", default=None)
+    voted_to_replace: bool | None = msgspec.field(
+        name="replaced", default=None
+    )  # whether it has voted to replace the asking leader's key
+    fence_version: int | None = msgspec.field(name="fence", default=None)  # stamp of the key that fences its votes
+    store_contact_age_s: float | None = msgspec.field(
+        name="age", default=None
+    )  # how long ago the state service last answered it
+    cancellations: Any = msgspec.field(
+        name="cancelled", default=None
+    )  # cancellations that the leader has not shown to know: pairs of job and stamp
+    cancellations_complete: bool | None = msgspec.field(
+        name="complete", default=None
+    )  # whether those are all that it knows
+    cancellations_applied: bool | None = msgspec.field(
+        name="knows", default=None
+    )  # whether it has taken in the cancellations that it was told
+    is_leader: bool | None = msgspec.field(name="leads", default=None)  # whether it leads validly
+
+    def sender_status(self) -> PeerStatus:
         """What the peer says of itself."""
-        return About(self.format, self.lowered)
+        return PeerStatus(self.storage_version, self.limits_lowered)
 
 
-class ToldCancellations(msgspec.Struct, frozen=True):
+class KnownCancellations(msgspec.Struct, frozen=True):
     """What a supporter tells its leader with a promise."""
 
-    jobs: Any  # pairs of job and stamp
+    cancellations: Any  # pairs of job and stamp
     complete: bool
 
 
-Message = TypeVar("Message", PeerMessage, PeerAnswer)
+Message = TypeVar("Message", PeerMessage, PeerResponse)
 
 
-def encode(message: PeerMessage | PeerAnswer) -> dict[str, Any]:
+def encode_message(message: PeerMessage | PeerResponse) -> dict[str, Any]:
     """What goes over the wire: all fields that say something."""
     return {
         field.encode_name: value
@@ -98,9 +120,9 @@
     return _decode(raw, PeerMessage)
 
 
-def decode_answer(raw: dict[str, Any]) -> PeerAnswer:
+def decode_response(raw: dict[str, Any]) -> PeerResponse:
     """A peer's answer."""
-    return _decode(raw, PeerAnswer) or PeerAnswer()
+    return _decode(raw, PeerResponse) or PeerResponse()
 
 
 def _decode(raw: dict[str, Any], kind: type[Message]) -> Message | None:
--- a/hookwall/storage/chunk_table.py
+++ b/hookwall/storage/chunk_table.py
@@ -3,58 +3,58 @@
 from hookwall.storage import job_records, keys
 
 
-class PartTable:
+class ChunkTable:
     """Parts of records that do not fit one value, as stored, and the records that wait for some."""
 
     def __init__(self) -> None:
         self.texts: dict[str, str] = {}
-        self.stamps: dict[str, int] = {}
-        self.by_job: dict[str, set[str]] = {}
-        self.incomplete: dict[str, tuple[object, int]] = {}  # job -> its newest record that can't be read yet
-        self.stale: set[str] = set()  # jobs that may have parts that their record does not name any more
+        self.versions: dict[str, int] = {}
+        self.keys_by_job: dict[str, set[str]] = {}
+        self.unreadable_records: dict[str, tuple[object, int]] = {}  # job -> its newest record that can't be read yet
+        self.jobs_to_collect: set[str] = set()  # jobs that may have parts that their record does not name any more
 
     def get(self, key: str) -> str | None:
         return self.texts.get(key)
 
     def add(self, key: str, text: object, stamp: int) -> str:
         """A part as read, watched or written; returns the job that it belongs to."""
-        ref = key[len(keys.PARTS) :].partition("/")[0]
+        ref = key[len(keys.CHUNK_PREFIX) :].partition("/")[0]
         if isinstance(text, str):
             self.texts[key] = text
-            self.stamps[key] = max(stamp, self.stamps.get(key, 0))
-            self.by_job.setdefault(ref, set()).add(key)
-            self.stale.add(ref)
+            self.versions[key] = max(stamp, self.versions.get(key, 0))
+            self.keys_by_job.setdefault(ref, set()).add(key)
+            self.jobs_to_collect.add(ref)
         return ref
 
     def remove(self, key: str, stamp: int) -> None:
         """A part was removed by the change `stamp`; it may have been written again since."""
-        if stamp < self.stamps.get(key, 0):
+        if stamp < self.versions.get(key, 0):
             return
-        self.stamps.pop(key, None)
-        ref = key[len(keys.PARTS) :].partition("/")[0]
+        self.versions.pop(key, None)
+        ref = key[len(keys.CHUNK_PREFIX) :].partition("/")[0]
         self.texts.pop(key, None)
-        of_job = self.by_job.get(ref, set())
+        of_job = self.keys_by_job.get(ref, set())
         of_job.discard(key)
         if not of_job:
-            self.by_job.pop(ref, None)
+            self.keys_by_job.pop(ref, None)
 
-    def await_parts(self, ref: str, value: object, stamp: int) -> None:
+    def await_chunks(self, ref: str, value: object, stamp: int) -> None:
         """A record names parts that have not been seen."""
-        if stamp > self.incomplete.get(ref, (None, -1))[1]:
-            self.incomplete[ref] = (value, stamp)
+        if stamp > self.unreadable_records.get(ref, (None, -1))[1]:
+            self.unreadable_records[ref] = (value, stamp)
 
-    def next_incomplete(self) -> str:
+    def next_unreadable_job(self) -> str:
         """One of the jobs whose record can't be read; each in turn, as one may stay unreadable for ever."""
-        ref = next(iter(self.incomplete))
-        self.incomplete[ref] = self.incomplete.pop(ref)
+        ref = next(iter(self.unreadable_records))
+        self.unreadable_records[ref] = self.unreadable_records.pop(ref)
         return ref
 
-    def complete(self, ref: str) -> None:
+    def mark_readable(self, ref: str) -> None:
         """A job's newest record could be read."""
-        self.incomplete.pop(ref, None)
-        if ref in self.by_job:
-            self.stale.add(ref)
+        self.unreadable_records.pop(ref, None)
+        if ref in self.keys_by_job:
+            self.jobs_to_collect.add(ref)
 
-    def unused(self, ref: str, value: object) -> list[str]:
+    def unreferenced_chunks(self, ref: str, value: object) -> list[str]:
         """The parts of a job that its record does not name."""
-        return sorted(self.by_job.get(ref, set()) - set(job_records.part_keys(ref, value)))
+        return sorted(self.keys_by_job.get(ref, set()) - set(job_records.chunk_keys(ref, value)))
--- a/hookwall/storage/job_records.py
+++ b/hookwall/storage/job_records.py
@@ -22,53 +22,53 @@
 
 LIMIT_SHARE = 0.9  # of a value's size limit: the service may count other white space than we write
 LIMIT_MARGIN = 64  # bytes; a cancellation changes the phase of a record in place
-PART_NAME_BYTES = 12
+CHUNK_NAME_BYTES = 12
 PLAIN_SHARE = 0.75  # of a value, for a record in its plain form
 DESCRIPTION_BYTES = 700
 FRAME_BYTES = 64  # of JSON around the packed texts
 MOST_UNPACKED = 4 * 1024 * 1024  # bytes; more than any legal record has
 
 
-class MalformedRecord(Exception):
+class MalformedRecordError(Exception):
     """A stored record can't be read."""
 
 
-class RecordTooLarge(Exception):
+class RecordTooLargeError(Exception):
     """No form of the record fits the service's limits."""
 
 
 @dataclass(slots=True)
-class MissingParts(Exception):
+class MissingChunksError(Exception):
     """The record names parts that are not known (yet)."""
 
     keys: list[str]
 
 
-Start = tuple[str, int, int, str]  # machine, tenure, attempt, task numbers as ranges
+StoredAllocation = tuple[str, int, int, str]  # machine, tenure, attempt, task numbers as ranges
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
     """What is stored about a job. `ended` is the time of day at which its last task was found done."""
 
     phase: str = "open"
-    tasks: int = msgspec.field(name="n", default=0)
+    task_count: int = msgspec.field(name="n", default=0)
     next_attempt: int = msgspec.field(name="next", default=1)
-    on: list[Start] = []
+    allocations: list[StoredAllocation] = msgspec.field(name="on", default=[])
     spec: JobSpec | None = None
-    at: float | None = None
-    done: str | None = None
-    ended: float | None = None
+    submitted_at: float | None = msgspec.field(name="at", default=None)
+    done_tasks: str | None = msgspec.field(name="done", default=None)
+    finished_at: float | None = msgspec.field(name="ended", default=None)
 
 
 @dataclass(slots=True)
-class Encoded:
+class EncodedRecord:
     """A record as it is written: the value of its own key, and the parts that the value names."""
 
     value: dict[str, Any]
-    parts: dict[str, str] = field(default_factory=dict)
+    chunks: dict[str, str] = field(default_factory=dict)
 
 
-def pack_numbers(numbers: Iterable[int]) -> str:
+def encode_ranges(numbers: Iterable[int]) -> str:
     """Ascending task numbers as ranges: `0-3,7`. A job of 100,000 tasks has to fit one value."""
     out: list[str] = []
     start = last = -2
@@ -84,7 +84,7 @@
     return ",".join(out)
 
 
-def unpack_numbers(text: str) -> list[int]:
+def decode_ranges(text: str) -> list[int]:
     """The numbers that `pack_numbers` wrote."""
     out: list[int] = []
     for part in text.split(",") if text else ():
@@ -93,12 +93,12 @@
     return out
 
 
-def value_limit(value_kb: float) -> int:
+def usable_value_bytes(value_kb: float) -> int:
     """How many bytes of JSON a value may have, with some room left."""
     return max(256, int(value_kb * 1024 * LIMIT_SHARE) - LIMIT_MARGIN)
 
 
-def plain_starts_bytes(value_kb: float) -> float:
+def plain_allocations_bytes(value_kb: float) -> float:
     """How many bytes of a value that holds a record in its plain form are left for its starts."""
     return value_kb * 1024 * PLAIN_SHARE - DESCRIPTION_BYTES
 
@@ -113,7 +113,7 @@
     try:
         return msgspec.json.decode(decompress_bytes(text), type=kind)
     except msgspec.DecodeError as error:
-        raise MalformedRecord(str(error)) from None
+        raise MalformedRecordError(str(error)) from None
 
 
 def compress_bytes(raw: bytes) -> str:
@@ -127,72 +127,72 @@
         stream = zlib.decompressobj()
         raw = stream.decompress(b64decode(text, validate=True), MOST_UNPACKED)
     except (ValueError, zlib.error) as error:
-        raise MalformedRecord(str(error)) from None
+        raise MalformedRecordError(str(error)) from None
     if not stream.eof:
-        raise MalformedRecord("packed text is cut off or too long")
+        raise MalformedRecordError("packed text is cut off or too long")
     return raw
 
 
-def plain(record: JobRecord) -> dict[str, Any]:
+def encode_plain(record: JobRecord) -> dict[str, Any]:
     """The form that every version reads; it says `on` even where it is empty."""
     value = msgspec.to_builtins(record)
-    value.setdefault("n", record.tasks)
+    value.setdefault("n", record.task_count)
     value.setdefault("phase", record.phase)
     value.setdefault("next", record.next_attempt)
     value.setdefault("on", [])
     return value
 
 
-def size(value: object) -> int:
+def json_bytes(value: object) -> int:
     """Bytes of a value's JSON."""
     return len(msgspec.json.encode(value))
 
 
-def part_key(ref: str, text: str) -> str:
+def chunk_key(ref: str, text: str) -> str:
     """The key of a part, named after its content."""
-    return f"{keys.PARTS}{ref}/{hashlib.blake2b(text.encode(), digest_size=PART_NAME_BYTES).hexdigest()}"
+    return f"{keys.CHUNK_PREFIX}{ref}/{hashlib.blake2b(text.encode(), digest_size=CHUNK_NAME_BYTES).hexdigest()}"
 
 
 def _split(ref: str, text: str, limit: int) -> dict[str, str]:
     """A text as parts that fit, in order."""
     step = limit - FRAME_BYTES
     pieces = [text[i : i + step] for i in range(0, len(text), step)]
-    return {part_key(ref, piece): piece for piece in pieces}
+    return {chunk_key(ref, piece): piece for piece in pieces}
 
 
 def _names(parts: dict[str, str]) -> list[str]:
     return [key.rpartition("/")[2] for key in parts]
 
 
-def encode(ref: str, record: JobRecord, limit: int | None) -> Encoded:
+def encode_record(ref: str, record: JobRecord, limit: int | None) -> EncodedRecord:
     """The shortest form that fits `limit` bytes a value; None: the plain form, whatever its size."""
-    value = plain(record)
+    value = encode_plain(record)
     if limit is None:
         value.pop("ended", None)  # older programs drop it
-        return Encoded(value)
-    if size(value) <= limit:
-        return Encoded(value)
-    head: dict[str, Any] = {"phase": record.phase, "n": record.tasks, "next": record.next_attempt}
-    if record.ended is not None:
-        head["ended"] = record.ended
-    fixed = compress([record.spec, record.at])
-    state = compress([record.on, record.done])
-    room = limit - size(head) - FRAME_BYTES
+        return EncodedRecord(value)
+    if json_bytes(value) <= limit:
+        return EncodedRecord(value)
+    head: dict[str, Any] = {"phase": record.phase, "n": record.task_count, "next": record.next_attempt}
+    if record.finished_at is not None:
+        head["ended"] = record.finished_at
+    fixed = compress([record.spec, record.submitted_at])
+    state = compress([record.allocations, record.done_tasks])
+    room = limit - json_bytes(head) - FRAME_BYTES
     if len(fixed) + len(state) <= room:
-        return Encoded({**head, "packed": {"fixed": fixed, "state": state}})
+        return EncodedRecord({**head, "packed": {"fixed": fixed, "state": state}})
     # The description never changes, so its parts are written once.
     parts = _split(ref, fixed, limit)
     names = _names(parts)
-    room -= size(names)
+    room -= json_bytes(names)
     if len(state) <= room:
-        return Encoded({**head, "packed": {"fixed": names, "state": state}}, parts)
+        return EncodedRecord({**head, "packed": {"fixed": names, "state": state}}, parts)
     more = _split(ref, state, limit)
-    if size(_names(more)) > room:
-        raise RecordTooLarge(ref)
-    return Encoded({**head, "packed": {"fixed": names, "state": _names(more)}}, {**parts, **more})
+    if json_bytes(_names(more)) > room:
+        raise RecordTooLargeError(ref)
+    return EncodedRecord({**head, "packed": {"fixed": names, "state": _names(more)}}, {**parts, **more})
 
 
-def part_keys(ref: str, value: object) -> list[str]:
+def chunk_keys(ref: str, value: object) -> list[str]:
     """The keys of the parts that a stored value names."""
     packed = value.get("packed") if isinstance(value, dict) else None
     if not isinstance(packed, dict):
@@ -200,30 +200,32 @@
     named: list[str] = []
     for names in (packed.get("fixed"), packed.get("state")):
         if isinstance(names, list):
-            named.extend(f"{keys.PARTS}{ref}/{name}" for name in names)
+            named.extend(f"{keys.CHUNK_PREFIX}{ref}/{name}" for name in names)
     return named
 
 
-def decode(ref: str, value: object, part: Callable[[str], str | None]) -> JobRecord:
+def decode_record(ref: str, value: object, part: Callable[[str], str | None]) -> JobRecord:
     """A stored record in any form. `part` gives a part's text, or None if it is not known."""
-    missing = [key for key in part_keys(ref, value) if part(key) is None]
+    missing = [key for key in chunk_keys(ref, value) if part(key) is None]
     if missing:
-        raise MissingParts(missing)
+        raise MissingChunksError(missing)
     try:
         record = msgspec.convert(value, JobRecord)
         packed = value.get("packed") if isinstance(value, dict) else None
         if isinstance(packed, dict):
-            record.spec, record.at = _unpack(ref, packed["fixed"], part, tuple[JobSpec | None, float | None])
-            record.on, record.done = _unpack(ref, packed["state"], part, tuple[list[Start], str | None])
+            record.spec, record.submitted_at = _unpack(ref, packed["fixed"], part, tuple[JobSpec | None, float | None])
+            record.allocations, record.done_tasks = _unpack(
+                ref, packed["state"], part, tuple[list[StoredAllocation], str | None]
+            )
         return record
     except (msgspec.ValidationError, KeyError, TypeError) as error:
-        raise MalformedRecord(str(error)) from None
+        raise MalformedRecordError(str(error)) from None
 
 
 def _unpack(ref: str, text: object, part: Callable[[str], str | None], kind: Any) -> Any:
     """One packed text, inline or in parts."""
     if isinstance(text, list):
-        text = "".join(part(f"{keys.PARTS}{ref}/{name}") or "" for name in text)
+        text = "".join(part(f"{keys.CHUNK_PREFIX}{ref}/{name}") or "" for name in text)
     if not isinstance(text, str):
-        raise MalformedRecord("packed text is missing")
+        raise MalformedRecordError("packed text is missing")
     return decompress(text, kind)
--- a/hookwall/storage/rate_limit.py
+++ b/hookwall/storage/rate_limit.py
@@ -6,37 +6,37 @@
 WANT_S = 2.0  # over which time the wish for requests and changes is smoothed
 
 
-class Bucket:
+class TokenBucket:
     """Paces requests: `rate` a second with a burst, first come first served."""
 
     def __init__(self, rate: float, burst: float, clock: Callable[[], float]) -> None:
         self.rate, self.burst, self.clock = rate, burst, clock
-        self.level, self.at = burst, clock()
+        self.tokens, self.updated_at = burst, clock()
 
-    def delay(self, cost: float, most: float = math.inf) -> float | None:
+    def reserve(self, cost: float, most: float = math.inf) -> float | None:
         """Take `cost` and say how long to wait first; None, and nothing taken, if that is over `most`.
 
         A refusal must cost nothing: when it did, a leader that retried a large write each quarter of
         a second sank ever deeper into debt and never wrote again.
         """
         now = self.clock()
-        self.level, self.at = self.level_now(), now
-        wait = max(0.0, (cost - self.level) / self.rate)
+        self.tokens, self.updated_at = self.available(), now
+        wait = max(0.0, (cost - self.tokens) / self.rate)
         if wait > most:
             return None
-        self.level -= cost
+        self.tokens -= cost
         return wait
 
-    def level_now(self) -> float:
+    def available(self) -> float:
         """What could be taken at once."""
-        return min(self.burst, self.level + (self.clock() - self.at) * self.rate)
+        return min(self.burst, self.tokens + (self.clock() - self.updated_at) * self.rate)
 
     def set_share(self, rate: float, burst: float) -> None:
         """Change the pace; what has been taken stays taken."""
         self.rate, self.burst = rate, burst
 
 
-class Want:
+class DemandEstimate:
     """How many requests and changes a second this node would make, those included that were refused for pace."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -44,10 +44,10 @@
         self.at = clock()
         self.rates = [0.0, 0.0]
 
-    def add(self, requests: float, changes: float) -> None:
-        self.rates = [r + n / WANT_S for r, n in zip(self.now(), (requests, changes), strict=True)]
+    def record(self, requests: float, changes: float) -> None:
+        self.rates = [r + n / WANT_S for r, n in zip(self.rates_per_s(), (requests, changes), strict=True)]
 
-    def now(self) -> list[float]:
+    def rates_per_s(self) -> list[float]:
         """Decayed up to this moment."""
         now = self.clock()
         decay = math.exp(-max(0.0, now - self.at) / WANT_S)
--- a/hookwall/storage/read_confirmation.py
+++ b/hookwall/storage/read_confirmation.py
@@ -3,26 +3,32 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from hookwall.storage.client import CONDITIONS_PER_CHANGE, Conflict, Refused, Store, Unknown
+from hookwall.storage.client import (
+    PRECONDITIONS_PER_CHANGE,
+    KeyValueClient,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+    RequestRejectedError,
+)
 
 
-class Confirmer:
+class ReadConfirmation:
     """Proves that cached versions are still current, many in one comparison.
 
     An answer from a cache could be older than what another node has told the same user, so nothing
     but a final state leaves a node unconfirmed.
     """
 
-    def __init__(self, store: Store, refresh: Callable[[str], Awaitable[None]]) -> None:
+    def __init__(self, store: KeyValueClient, refresh: Callable[[str], Awaitable[None]]) -> None:
         self.store = store
         self.refresh = refresh
-        self.most = max(1, store.limits.least_txn_ops() * CONDITIONS_PER_CHANGE - 1)
-        self.waiting: dict[str, tuple[int, list[asyncio.Future]]] = {}
+        self.max_batch_size = max(1, store.limits.lowest_txn_ops() * PRECONDITIONS_PER_CHANGE - 1)
+        self.pending: dict[str, tuple[int, list[asyncio.Future]]] = {}
         self.wake = asyncio.Event()
 
     async def confirm(self, key: str, stamp: int) -> bool:
         """True: the key still has this stamp. False: it was read again. Raises if neither is known."""
-        entry = self.waiting.get(key)
+        entry = self.pending.get(key)
         future: asyncio.Future = asyncio.get_running_loop().create_future()
         if entry is not None and entry[0] == stamp:
             entry[1].append(future)
@@ -31,7 +37,7 @@
             await self.refresh(key)
             return False
         else:
-            self.waiting[key] = (stamp, [future])
+            self.pending[key] = (stamp, [future])
             self.wake.set()
         async with asyncio.timeout(1.5):
             return await future
@@ -41,8 +47,8 @@
             await self.wake.wait()
             await asyncio.sleep(0.03)
             self.wake.clear()
-            while self.waiting:
-                batch = {k: self.waiting.pop(k) for k in list(self.waiting)[: self.most]}
+            while self.pending:
+                batch = {k: self.pending.pop(k) for k in list(self.pending)[: self.max_batch_size]}
                 await self._ask(batch)
 
     async def _ask(self, batch: dict[str, tuple[int, list[asyncio.Future]]]) -> None:
@@ -50,16 +56,16 @@
             while batch:
                 try:
                     await self.store.commit([(k, s) for k, (s, _) in batch.items()], timeout=1.0)
-                except Conflict as c:
-                    changed = [k for k in c.failed if k in batch]
+                except PreconditionFailedError as c:
+                    changed = [k for k in c.keys if k in batch]
                     if not changed:
-                        raise Unknown("conflict without keys") from None
+                        raise OutcomeUnknownError("conflict without keys") from None
                     # The list might name only some of the keys, so the rest are asked about again.
                     for k in changed:
                         _, futures = batch.pop(k)
                         try:
                             await self.refresh(k)
-                        except (Refused, Unknown) as e:
+                        except (RequestRejectedError, OutcomeUnknownError) as e:
                             _settle(futures, e)
                         else:
                             _settle(futures, False)
@@ -67,7 +73,7 @@
                     for _, futures in batch.values():
                         _settle(futures, True)
                     return
-        except (Refused, Unknown) as e:
+        except (RequestRejectedError, OutcomeUnknownError) as e:
             for _, futures in batch.values():
                 _settle(futures, e)
 
--- a/hookwall/storage/storage_version.py
+++ b/hookwall/storage/storage_version.py
@@ -17,86 +17,86 @@
 from enum import IntEnum
 
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict, Refused, Store, Unknown
+from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.5
 
 
-class Format(IntEnum):
+class StorageVersion(IntEnum):
     """What programs may write, each with what it added."""
 
     PLAIN = 1  # no markers, plain records only
-    PIPELINES = 2  # dependent jobs, packed records, packed keepers' keys
-    NUMBERED = 3  # keepers' keys that name machines by their numbers; keys that fence votes (voter.py)
+    DEPENDENCIES = 2  # dependent jobs, packed records, packed keepers' keys
+    NUMBERED_MACHINES = 3  # keepers' keys that name machines by their numbers; keys that fence votes (voter.py)
 
     DRAINS = 4  # drains: keys that keep new work off machines (drains/)
 
 
-CURRENT = Format.DRAINS
+CURRENT_VERSION = StorageVersion.DRAINS
 
 
 @dataclass(slots=True, frozen=True)
 class Marker:
     """The newest format that a node's program knows, as stored; stamp 0: nothing is stored."""
 
-    known: int = 0
-    stamp: int = 0
+    storage_version: int = 0
+    version: int = 0
 
 
-class FormatGate:
+class StorageVersionGate:
     """What this node knows about the programs of all nodes."""
 
-    def __init__(self, me: str, nodes: Iterable[str], store: Store, current: int = CURRENT) -> None:
-        self.store, self.current = store, int(current)
+    def __init__(self, me: str, nodes: Iterable[str], store: KeyValueClient, current: int = CURRENT_VERSION) -> None:
+        self.store, self.current_version = store, int(current)
         self.nodes = frozenset((me, *nodes))
         self.markers: dict[str, Marker] = {}
-        self.heard_of = {me: self.current}  # the newest format that each node's program said it knows
+        self.reported_versions = {me: self.current_version}  # the newest format that each node's program said it knows
         self._wake = asyncio.Event()
 
-    def all_know(self, wanted: int) -> bool:
+    def supported_by_all(self, wanted: int) -> bool:
         """Whether every node that may read or write knows a format."""
-        return all(node in self.markers and self.markers[node].known >= wanted for node in self.nodes)
+        return all(node in self.markers and self.markers[node].storage_version >= wanted for node in self.nodes)
 
-    def pipelines(self) -> bool:
+    def allows_dependencies(self) -> bool:
         """Whether dependent jobs and packed records may be written."""
-        return self.all_know(Format.PIPELINES)
+        return self.supported_by_all(StorageVersion.DEPENDENCIES)
 
-    def numbered(self) -> bool:
+    def allows_numbered_machines(self) -> bool:
         """Whether keepers' keys may name machines by their numbers."""
-        return self.all_know(Format.NUMBERED)
+        return self.supported_by_all(StorageVersion.NUMBERED_MACHINES)
 
-    def drains(self) -> bool:
+    def allows_drains(self) -> bool:
         """Whether drains may be carried out: programs that don't know them place work on machines that are drained."""
-        return self.all_know(Format.DRAINS)
+        return self.supported_by_all(StorageVersion.DRAINS)
 
-    def saw(self, key: str, value: object, stamp: int) -> None:
+    def apply_marker(self, key: str, value: object, stamp: int) -> None:
         """A marker as stored. An older state of it changes nothing."""
-        node = key[len(keys.FORMAT) :]
+        node = key[len(keys.STORAGE_VERSION_PREFIX) :]
         known = value.get("format") if isinstance(value, dict) else None
         before = self.markers.get(node, Marker())
-        if node not in self.nodes or not isinstance(known, int) or stamp <= before.stamp:
+        if node not in self.nodes or not isinstance(known, int) or stamp <= before.version:
             return
-        complete = self.all_know(self.current)
+        complete = self.supported_by_all(self.current_version)
         # What a program has once said to know stays known, whatever a later value says.
-        self.markers[node] = Marker(max(known, before.known), stamp)
-        if not complete and self.all_know(self.current):
-            log.info("all nodes know format %d", self.current)
+        self.markers[node] = Marker(max(known, before.storage_version), stamp)
+        if not complete and self.supported_by_all(self.current_version):
+            log.info("all nodes know format %d", self.current_version)
 
-    def heard(self, node: str, known: object) -> None:
+    def record_reported_version(self, node: str, known: object) -> None:
         """A node has said which format it knows; programs of format 1 say nothing."""
-        if isinstance(known, int) and node in self.nodes and known > self.heard_of.get(node, 0):
-            self.heard_of[node] = known
+        if isinstance(known, int) and node in self.nodes and known > self.reported_versions.get(node, 0):
+            self.reported_versions[node] = known
             self._wake.set()
 
     async def run(self) -> None:
         """Store the markers that are missing or too low, as far as this node can vouch for more."""
         while True:
-            for node, known in sorted(self.heard_of.items()):
-                if known > self.markers.get(node, Marker()).known:
-                    await self._mark(node, known)
-            complete = self.all_know(self.current)
+            for node, known in sorted(self.reported_versions.items()):
+                if known > self.markers.get(node, Marker()).storage_version:
+                    await self._store_marker(node, known)
+            complete = self.supported_by_all(self.current_version)
             try:
                 async with asyncio.timeout(None if complete else RETRY_S):
                     await self._wake.wait()
@@ -104,22 +104,22 @@
                 pass
             self._wake.clear()
 
-    async def _mark(self, node: str, known: int) -> None:
+    async def _store_marker(self, node: str, known: int) -> None:
         """Store a marker on the condition that nobody else has meanwhile."""
-        key, value = keys.FORMAT + node, {"format": known}
-        stamp = self.markers.get(node, Marker()).stamp
+        key, value = keys.STORAGE_VERSION_PREFIX + node, {"format": known}
+        stamp = self.markers.get(node, Marker()).version
         try:
-            self.saw(key, value, await self.store.commit([(key, stamp)], [(key, value)]))
-        except Conflict:
+            self.apply_marker(key, value, await self.store.commit([(key, stamp)], [(key, value)]))
+        except PreconditionFailedError:
             await self._read(key)
-        except (Refused, Unknown) as error:
+        except (RequestRejectedError, OutcomeUnknownError) as error:
             log.debug("marker of %s: %s", node, error)
 
     async def _read(self, key: str) -> None:
         """Somebody else has stored the marker."""
         try:
             got = await self.store.get(key)
-        except (Refused, Unknown):
+        except (RequestRejectedError, OutcomeUnknownError):
             return
         if got is not None:
-            self.saw(key, *got)
+            self.apply_marker(key, *got)
--- a/hookwall/workers/delegated_leases.py
+++ b/hookwall/workers/delegated_leases.py
@@ -9,7 +9,7 @@
 log = logging.getLogger(__name__)
 
 
-class Kept:
+class DelegatedLeases:
     """The leader's view of what followers keep.
 
     `on_named` is called with machines that a key is seen to name and that no key named before: what was decided
@@ -18,54 +18,54 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.keys: dict[str, tuple[int, frozenset[str] | None]] = {}  # stamp and names; None: any machine
-        self.released: dict[str, float] = {}  # machine -> when its keeping was seen to be over
-        self.all_released = -1e9
-        self.on_named: Callable[[frozenset[str] | None], None] = lambda machines: None
+        self.delegations: dict[str, tuple[int, frozenset[str] | None]] = {}  # stamp and names; None: any machine
+        self.released_at: dict[str, float] = {}  # machine -> when its keeping was seen to be over
+        self.all_released_at = -1e9
+        self.on_machines_delegated: Callable[[frozenset[str] | None], None] = lambda machines: None
 
-    def take(self, key: str, value: object, stamp: int) -> None:
+    def apply_key(self, key: str, value: object, stamp: int) -> None:
         """A keeper's key as read or watched; stamp 0: it is gone."""
-        old = self.keys.get(key)
+        old = self.delegations.get(key)
         if stamp and old is not None and stamp <= old[0]:
             return
         before = old[1] if old is not None else frozenset()
-        names = _machines(value) if stamp else frozenset()
+        names = decode_machines(value) if stamp else frozenset()
         self._release(before, names)
         if stamp:
-            self.keys[key] = (stamp, names)
+            self.delegations[key] = (stamp, names)
         else:
-            self.keys.pop(key, None)
+            self.delegations.pop(key, None)
         if names is None:
-            self.on_named(None)
+            self.on_machines_delegated(None)
         elif named := names - (before or frozenset()):
-            self.on_named(named)
+            self.on_machines_delegated(named)
 
     def _release(self, before: frozenset[str] | None, names: frozenset[str] | None) -> None:
         """Machines that a key named and does not name any more have been kept until now."""
         if before is None:
-            self.missed()
+            self.record_missed_changes()
         elif names is not None:
             now = self.clock()
-            self.released.update((name, now) for name in before - names)
+            self.released_at.update((name, now) for name in before - names)
 
-    def missed(self) -> None:
+    def record_missed_changes(self) -> None:
         """A key may have come and gone unseen: anyone may have been kept until now."""
-        self.all_released = self.clock()
+        self.all_released_at = self.clock()
 
-    def kept(self, machine: str) -> bool:
+    def is_delegated(self, machine: str) -> bool:
         """Whether some key names the machine now."""
-        return any(names is None or machine in names for _, names in self.keys.values())
+        return any(names is None or machine in names for _, names in self.delegations.values())
 
-    def heard(self, machine: str) -> float:
+    def last_possible_renewal(self, machine: str) -> float:
         """Until when a keeper may have answered this machine, as far as it is over."""
-        return max(self.all_released, self.released.get(machine, -1e9))
+        return max(self.all_released_at, self.released_at.get(machine, -1e9))
 
-    def conditions(self, keys: list[str]) -> list[tuple[str, int]]:
+    def preconditions(self, keys: list[str]) -> list[tuple[str, int]]:
         """What each write of the leader is conditional on."""
-        return [(k, self.keys[k][0] if k in self.keys else 0) for k in keys]
+        return [(k, self.delegations[k][0] if k in self.delegations else 0) for k in keys]
 
 
-def _machines(value: object) -> frozenset[str] | None:
+def decode_machines(value: object) -> frozenset[str] | None:
     """The machines that a keeper's key names; None, which stands for any, where that can't be read."""
     if not isinstance(value, dict):
         log.error("a keeper's key is not an object")
@@ -76,7 +76,7 @@
             names = job_records.decompress(value["packed"], list[str])
         elif "numbered" in value:
             names = name_codec.decode(value["numbered"])
-    except job_records.MalformedRecord as error:
+    except job_records.MalformedRecordError as error:
         log.error("a keeper's key is malformed: %s", error)
         return None
     if not isinstance(names, list):
--- a/hookwall/workers/name_codec.py
+++ b/hookwall/workers/name_codec.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from hookwall.storage import job_records
-from hookwall.storage.job_records import MalformedRecord
+from hookwall.storage.job_records import MalformedRecordError
 
-NUMBERED = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL | re.ASCII)
-MOST_NAMES = 1_000_000
+NUMBERED_NAME = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL | re.ASCII)
+MAX_NAMES = 1_000_000
 
 
-class Group(msgspec.Struct, array_like=True):
+class NameGroup(msgspec.Struct, array_like=True):
     """Names that differ in their number only: the text before it, its digits, and the packed gaps."""
 
     prefix: str
@@ -27,7 +27,7 @@
 class NumberedNames(msgspec.Struct):
     """All names as they are stored: those in groups, and those that end in no number."""
 
-    groups: list[Group]
+    groups: list[NameGroup]
     others: list[str]
 
 
@@ -36,13 +36,13 @@
     numbers: dict[tuple[str, int], set[int]] = {}
     others: list[str] = []
     for name in names:
-        found = NUMBERED.fullmatch(name)
+        found = NUMBERED_NAME.fullmatch(name)
         if found is None:
             others.append(name)
             continue
         prefix, digits = found.groups()
         numbers.setdefault((prefix, len(digits)), set()).add(int(digits))
-    groups = [Group(prefix, digits, _pack(found)) for (prefix, digits), found in sorted(numbers.items())]
+    groups = [NameGroup(prefix, digits, _pack(found)) for (prefix, digits), found in sorted(numbers.items())]
     return msgspec.to_builtins(NumberedNames(groups, sorted(others)))
 
 
@@ -51,7 +51,7 @@
     try:
         numbered = msgspec.convert(value, NumberedNames)
     except msgspec.ValidationError as error:
-        raise MalformedRecord(str(error)) from None
+        raise MalformedRecordError(str(error)) from None
     names = list(numbered.others)
     for group in numbered.groups:
         names.extend(f"{group.prefix}{number:0{group.digits}d}" for number in _unpack(group.gaps))
@@ -73,9 +73,9 @@
     try:
         gaps = msgspec.msgpack.decode(job_records.decompress_bytes(text), type=list[int])
     except msgspec.DecodeError as error:
-        raise MalformedRecord(str(error)) from None
-    if len(gaps) > MOST_NAMES or any(gap < 1 for gap in gaps):
-        raise MalformedRecord("gaps between numbers of machines")
+        raise MalformedRecordError(str(error)) from None
+    if len(gaps) > MAX_NAMES or any(gap < 1 for gap in gaps):
+        raise MalformedRecordError("gaps between numbers of machines")
     numbers: list[int] = []
     last = -1
     for gap in gaps:
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -8,25 +8,25 @@
 from aiohttp import ClientSession
 from conftest import CATALOG, Clock, FakeState, description
 
-from hookwall.api.job_service import UserApi
-from hookwall.api.server import MOST_AT_ONCE, Door, listen
-from hookwall.config.platform import Params
+from hookwall.api.job_service import JobService
+from hookwall.api.server import MAX_USER_REQUESTS, HttpServer, listen
+from hookwall.config.platform import PlatformParameters
 from hookwall.jobs.job_table import JobTable
-from hookwall.storage.read_confirmation import Confirmer
+from hookwall.storage.read_confirmation import ReadConfirmation
 
 
 def talk(params, state: FakeState, clock: Clock, script):
     async def main():
         table = JobTable(clock)
-        confirmer = Confirmer(state, None)
-        api = UserApi(params, table, state, confirmer)
-        confirmer.refresh = api.refresh
+        confirmer = ReadConfirmation(state, None)
+        api = JobService(params, table, state, confirmer)
+        confirmer.refresh = api.reload_record
         api.catalog = CATALOG
 
         async def beat(body):
             return 421, b"{}"
 
-        door = Door(api, beat, lambda: True, params.machine_limits.sockets, clock=clock)
+        door = HttpServer(api, beat, lambda: True, params.machine_limits.sockets, clock=clock)
         server = await listen(door, "127.0.0.1", 0)
         confirming = asyncio.create_task(confirmer.run())
         base = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -55,28 +55,30 @@
         ("GET", "/elsewhere", None, 404),
     ],
 )
-def test_what_is_answered_at_the_door(params: Params, state: FakeState, clock: Clock, method, path, body, status):
-    async def script(session: ClientSession, base, door: Door):
+def test_what_is_answered_at_the_door(
+    params: PlatformParameters, state: FakeState, clock: Clock, method, path, body, status
+):
+    async def script(session: ClientSession, base, door: HttpServer):
         async with session.request(method, base + path, data=body) as answer:
             return answer.status
 
     assert talk(params, state, clock, script) == status
 
 
-def test_a_body_without_a_length_is_cut_off_at_the_limit(params: Params, state: FakeState, clock: Clock):
+def test_a_body_without_a_length_is_cut_off_at_the_limit(params: PlatformParameters, state: FakeState, clock: Clock):
     async def endless():
         for _ in range(40):
             yield b"x" * 4096
 
-    async def script(session: ClientSession, base, door: Door):
+    async def script(session: ClientSession, base, door: HttpServer):
         async with session.post(base + "/v1/jobs", data=endless()) as answer:
             return answer.status
 
     assert talk(params, state, clock, script) == 413
 
 
-def test_a_job_over_http(params: Params, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: Door):
+def test_a_job_over_http(params: PlatformParameters, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: HttpServer):
         seen = []
         for method, path, body in (
             ("POST", "/v1/jobs", description(1)),
@@ -94,17 +96,17 @@
     ]  # fmt: skip
 
 
-def test_overload_is_told_at_once_with_when_to_come_back(params: Params, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: Door):
-        door.at_once = MOST_AT_ONCE
+def test_overload_is_told_at_once_with_when_to_come_back(params: PlatformParameters, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: HttpServer):
+        door.at_once = MAX_USER_REQUESTS
         async with session.get(base + "/v1/jobs/run-000001") as answer:
             return answer.status, answer.headers.get("Retry-After")
 
     assert talk(params, state, clock, script) == (429, "1")
 
 
-def test_a_surprise_in_a_handler_does_not_end_the_node(params: Params, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: Door):
+def test_a_surprise_in_a_handler_does_not_end_the_node(params: PlatformParameters, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: HttpServer):
         async def broken(ref):
             raise RuntimeError("surprise")
 
@@ -117,9 +119,11 @@
     assert talk(params, state, clock, script) == (503, 200)
 
 
-def test_a_connection_on_which_nothing_is_asked_any_more_is_closed(params: Params, state: FakeState, clock: Clock):
+def test_a_connection_on_which_nothing_is_asked_any_more_is_closed(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
     # Machines that are gone say nothing; their connections stayed, and sockets are limited.
-    async def script(session: ClientSession, base, door: Door):
+    async def script(session: ClientSession, base, door: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -137,9 +141,9 @@
     assert talk(params, state, clock, script) == (b"200", 0, b"")
 
 
-def test_at_the_limit_of_sockets_the_longest_idle_go_first(params: Params, state: FakeState, clock: Clock):
+def test_at_the_limit_of_sockets_the_longest_idle_go_first(params: PlatformParameters, state: FakeState, clock: Clock):
     # Workers leave connections behind; those of the nodes' own, and new ones, must go on being had.
-    async def script(session: ClientSession, base, door: Door):
+    async def script(session: ClientSession, base, door: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         door.most = 2
         opened = []
@@ -159,14 +163,14 @@
 
     # The newest two are there; the limit leaves room for what waits and for the node's own connections.
     assert talk(params, state, clock, script) == (2, [b"", b""], [2, 0])
-    door = Door(None, None, None, 1563)
+    door = HttpServer(None, None, None, 1563)
     assert door.most + door.backlog + 72 + 4 < 1563 and door.most > 860
 
 
-def test_a_body_that_does_not_come_gives_its_place_back(params: Params, state: FakeState, clock: Clock):
+def test_a_body_that_does_not_come_gives_its_place_back(params: PlatformParameters, state: FakeState, clock: Clock):
     # Behind a cut the rest of a request never comes; 200 of them would have kept all users out. Now such a
     # request takes no place at all before it has come whole.
-    async def script(session: ClientSession, base, door: Door):
+    async def script(session: ClientSession, base, door: HttpServer):
         door.body_s = 0.2
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -181,9 +185,11 @@
     assert talk(params, state, clock, script) == (0, b"408", 0)
 
 
-def test_requests_on_one_connection_are_answered_in_their_order(params: Params, state: FakeState, clock: Clock):
+def test_requests_on_one_connection_are_answered_in_their_order(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
     # Nobody should send a second one before the first is answered; whoever does gets no answer to the other.
-    async def script(session: ClientSession, base, door: Door):
+    async def script(session: ClientSession, base, door: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         slow = b"GET /v1/jobs/run-000009 HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -199,8 +205,10 @@
 @pytest.mark.parametrize(
     "raw", [b"nonsense\r\n\r\n", b"GET / HTTP/1.1\r\nbad header\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"]
 )
-def test_what_is_not_http_is_refused_and_ends_no_one_else(params: Params, state: FakeState, clock: Clock, raw):
-    async def script(session: ClientSession, base, door: Door):
+def test_what_is_not_http_is_refused_and_ends_no_one_else(
+    params: PlatformParameters, state: FakeState, clock: Clock, raw
+):
+    async def script(session: ClientSession, base, door: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(raw)
@@ -213,8 +221,8 @@
     assert talk(params, state, clock, script) == (b"400", 200)
 
 
-def test_a_report_is_answered_without_a_task(params: Params, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: Door):
+def test_a_report_is_answered_without_a_task(params: PlatformParameters, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, door: HttpServer):
         made: list[object] = []
         loop = asyncio.get_running_loop()
         door.beat = lambda body: made.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
--- a/tests/autoscaling/test_machine_list.py
+++ b/tests/autoscaling/test_machine_list.py
@@ -6,12 +6,12 @@
 from conftest import Cluster
 from world import VirtualLoop
 
-from hookwall.autoscaling.cloud_client import Trouble
-from hookwall.autoscaling.inventory import MachineList
-from hookwall.config.platform import Params
+from hookwall.autoscaling.cloud_client import CloudUnavailableError
+from hookwall.autoscaling.inventory import Inventory
+from hookwall.config.platform import PlatformParameters
 from hookwall.protocol import cloud_messages
 
-LISTED = [cloud_messages.Listed(name="vm-1", type="g4", zone="east", phase="running")]
+LISTED = [cloud_messages.ListedMachine(name="vm-1", type="g4", zone="east", phase="running")]
 
 
 class Cloud:
@@ -28,17 +28,17 @@
         self.asked += 1
         await asyncio.sleep(self.takes_s)
         if self.fails:
-            raise Trouble("503")
+            raise CloudUnavailableError("503")
         return LISTED
 
 
 @pytest.fixture
-def play(cluster: Cluster, params: Params):
+def play(cluster: Cluster, params: PlatformParameters):
     """Runs a scenario beside the loop of a list, on one fake clock."""
     loop = VirtualLoop()
 
     def run(scenario, valid=lambda: True):
-        lists = MachineList(cluster.fleet, Cloud(), params.cloud, loop.time)
+        lists = Inventory(cluster.fleet, Cloud(), params.cloud, loop.time)
 
         async def main():
             lists.reset()
@@ -53,23 +53,23 @@
 
 
 def test_a_list_counts_from_when_it_was_asked_for(play, cluster: Cluster):
-    async def scenario(lists: MachineList):
-        while not lists.listed_once:
+    async def scenario(lists: Inventory):
+        while not lists.has_listing:
             await asyncio.sleep(0.1)
         assert lists.clock() - lists.listed_at >= lists.client.takes_s
-        assert cluster.fleet.machines["vm-1"].listed_at == lists.listed_at
+        assert cluster.fleet.machines["vm-1"].last_listed_at == lists.listed_at
 
     play(scenario)
 
 
 def test_a_list_that_an_earlier_leadership_asked_for_is_not_taken(play, cluster: Cluster):
-    async def scenario(lists: MachineList):
+    async def scenario(lists: Inventory):
         while not lists.client.asked:
             await asyncio.sleep(0.1)
         lists.reset()
         lists.client.takes_s = 60.0
         await asyncio.sleep(2.0)
-        assert not lists.listed_once and "vm-1" not in cluster.fleet.machines
+        assert not lists.has_listing and "vm-1" not in cluster.fleet.machines
 
     play(scenario)
 
@@ -77,23 +77,23 @@
 def test_a_list_is_neither_asked_for_nor_taken_without_validity(play, cluster: Cluster):
     valid = [True]
 
-    async def scenario(lists: MachineList):
+    async def scenario(lists: Inventory):
         while not lists.client.asked:
             await asyncio.sleep(0.1)
         valid[0] = False
         await asyncio.sleep(10.0)
-        assert lists.client.asked == 1 and not lists.listed_once
+        assert lists.client.asked == 1 and not lists.has_listing
 
     play(scenario, lambda: valid[0])
 
 
 def test_a_list_that_fails_is_asked_for_again_soon(play):
-    async def scenario(lists: MachineList):
+    async def scenario(lists: Inventory):
         lists.client.fails = True
         await asyncio.sleep(10.0)
-        assert lists.client.asked >= 4 and not lists.listed_once
+        assert lists.client.asked >= 4 and not lists.has_listing
         lists.client.fails = False
         await asyncio.sleep(3.0)
-        assert lists.listed_once
+        assert lists.has_listing
 
     play(scenario)
--- a/tests/cluster/test_meetings.py
+++ b/tests/cluster/test_meetings.py
@@ -573,7 +573,7 @@
         for down in (False, True):
             w.service.outage(down)
             for name in w.names:
-                api = w.nodes[name].api
+                api = w.nodes[name].job_service
                 assert [await w.cancel(name, done), await w.cancel(name, off)] == [(200, "done"), (200, "withdrawn")]
                 assert [await w.submit(name, r) for r in (done, off)] == [200, 200]
                 assert (await api.submit(json.dumps({**lacking, "ref": "run-000778"}).encode()))[0] == 400
--- a/tests/cluster/test_pipeline_meetings.py
+++ b/tests/cluster/test_pipeline_meetings.py
@@ -6,7 +6,7 @@
 from pipelines import becomes_done, becomes_withdrawn, chain
 from world import World, play
 
-from hookwall.config.platform import NextState, State
+from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
 from hookwall.storage import keys
 
 
@@ -158,12 +158,12 @@
             lead = (await w.led()).settings.node_name
             w.crash(lead)
             w.start(lead)
-            jobs = (await w.led()).table
+            jobs = (await w.led()).job_table
             await asyncio.sleep(3.0)
             for ref in seconds:
                 # Both alike, in whatever order the records were read.
-                assert ended - 8.0 < jobs.jobs[ref].arrival <= ended
-                latest_end = jobs.graph.latest_start(ref) + jobs.jobs[ref].spec.estimate_s
+                assert ended - 8.0 < jobs.jobs[ref].queued_at <= ended
+                latest_end = jobs.dependencies.latest_start(ref) + jobs.jobs[ref].spec.estimated_duration_s
                 assert abs(latest_end - submitted - 500.0) < 2.0
 
     play(scenario)
@@ -172,7 +172,9 @@
 @pytest.mark.parametrize("lowered_after", [0, 1, 2, 3])
 def test_limits_are_lowered_between_two_parts_of_one_record(lowered_after):
     """Its parts were stored under the limits of before; the rest, and the record, fit those of then."""
-    limits = State(rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(value_kb=1.0, txn_ops=4))
+    limits = StoreLimits(
+        rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=1.0, txn_ops=4)
+    )
 
     async def scenario(w: World) -> None:
         names = []
@@ -185,7 +187,7 @@
         commit = w.service.commit
 
         def counted(body: dict):
-            if any(change.get("set", "").startswith(keys.PARTS) for change in body.get("apply", ())):
+            if any(change.get("set", "").startswith(keys.CHUNK_PREFIX) for change in body.get("apply", ())):
                 if len(writes) == lowered_after:
                     w.service.lower()
                 writes.append(len(body["apply"]))
@@ -202,7 +204,9 @@
 
 
 def test_a_wide_fan_and_a_long_chain_end_in_order_under_the_smallest_transactions():
-    tiny = State(rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(write_rps=20.0, txn_ops=4))
+    tiny = StoreLimits(
+        rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(write_rps=20.0, txn_ops=4)
+    )
 
     async def scenario(w: World) -> None:
         first = w.job(1, run_s=8.0)
