--- a/tests/cluster/test_pipelines.py
+++ b/tests/cluster/test_pipelines.py
@@ -6,10 +6,12 @@
 from pipelines import becomes_done, becomes_withdrawn, chain
 from world import World, play
 
-from hookwall.config.platform import NextState, State, Team
+from hookwall.config.platform import StoreLimits, TeamQuota, UpcomingStoreLimits
 from hookwall.storage import keys
 
-SMALL = State(rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(write_rps=21.0, txn_ops=4))
+SMALL = StoreLimits(
+    rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(write_rps=21.0, txn_ops=4)
+)
 
 
 # -- ready ----------------------------------------------------------------------------------------
@@ -75,7 +77,7 @@
         assert wide not in w.leader().scheduler.waiting and len(w.workers) == before
         await becomes_done(w, [first, other, wide], 60.0)
 
-    play(scenario, teams=[Team("red", gpus=8.0, gpus_max=8.0), Team("grey")])
+    play(scenario, teams=[TeamQuota("red", gpus=8.0, gpus_max=8.0), TeamQuota("grey")])
 
 
 def test_earlier_jobs_take_the_rank_of_the_job_at_the_end():
@@ -229,7 +231,9 @@
             for ref in w.random.sample(refs, 10):
                 await w.poll(w.random.choice(list(w.nodes)), ref)
         await w.until(
-            lambda: all(w.service.keys[keys.JOBS + ref][0]["phase"] == "withdrawn" for ref in refs), 60.0, "too slow"
+            lambda: all(w.service.keys[keys.JOB_PREFIX + ref][0]["phase"] == "withdrawn" for ref in refs),
+            60.0,
+            "too slow",
         )
 
     play(scenario, state=SMALL)
@@ -298,7 +302,7 @@
         w.nodes[node].store.commit = counted
         names = [f"run-{n}" for n in range(10**6, 10**6 + 4000)]
         assert await w.ask(node, w.description(1, awaits=names)) == 422
-        assert sum(asked) < 2 * w.nodes[node].confirmer.most + 5
+        assert sum(asked) < 2 * w.nodes[node].read_confirmation.max_batch_size + 5
 
     play(scenario)
 
@@ -317,15 +321,20 @@
         last = w.job(5000, run_s=3.0, awaits=names)
         await w.accepted(last, w.followers()[0], within_s=60.0)
         await becomes_done(w, [a, last], 60.0)
-        parts = [k for k in w.service.keys if k.startswith(keys.PARTS)]
+        parts = [k for k in w.service.keys if k.startswith(keys.CHUNK_PREFIX)]
         await w.until(lambda: not any(k in w.service.keys for k in parts), 60.0, "parts stay for ever")
 
-    play(scenario, state=State(rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(value_kb=2.0)))
+    play(
+        scenario,
+        state=StoreLimits(rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=2.0)),
+    )
 
 
 def test_records_in_parts_survive_late_writes_and_changes_of_leader():
     """Parts are written, replaced and removed while a fifth of the transactions come late, after newer ones."""
-    tiny = State(rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=NextState(value_kb=0.5, txn_ops=4))
+    tiny = StoreLimits(
+        rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=0.5, txn_ops=4)
+    )
 
     async def scenario(w: World) -> None:
         await asyncio.sleep(2.0)
@@ -340,7 +349,7 @@
         w.service.late = lambda node, body: w.random.uniform(2.0, 12.0) if w.random.random() < 0.2 else None
         for _ in range(3):
             await asyncio.sleep(9.0)
-            assert any(k.startswith(keys.PARTS) for k in w.service.keys)
+            assert any(k.startswith(keys.CHUNK_PREFIX) for k in w.service.keys)
             lead = (await w.led()).settings.node_name
             w.crash(lead)
             w.start(lead)
@@ -348,7 +357,7 @@
         await w.led()
         await becomes_done(w, [*refs, last], 120.0)
         assert w.service.refusals[400] == 0
-        left = [k for k in w.service.keys if k.startswith(keys.PARTS)]
+        left = [k for k in w.service.keys if k.startswith(keys.CHUNK_PREFIX)]
         await w.until(lambda: not any(k in w.service.keys for k in left), 180.0, "parts stay for ever")
 
     play(scenario, machines=24, state=tiny)
--- a/tests/cluster/test_ran_twice.py
+++ b/tests/cluster/test_ran_twice.py
@@ -6,7 +6,7 @@
 from histories import Invariants
 from world import Worker, World, play
 
-from hookwall.leadership.vote_grant import VOTE_S
+from hookwall.leadership.vote_grant import VOTE_GRANT_S
 from hookwall.storage import keys
 
 
@@ -53,7 +53,7 @@
     writes: list[tuple[str, float]] = []
 
     def late(node: str, body: dict) -> float | None:
-        sets_key = any(change.get("set") == keys.LEADER for change in body.get("apply", ()))
+        sets_key = any(change.get("set") == keys.LEADER_KEY for change in body.get("apply", ()))
         if not sets_key or writes:
             return None
         writes.append((node, world.now()))
@@ -90,7 +90,9 @@
         end = await comes_to_keeper(world, worker, keeper, before_end_s)
         await world.until(lambda: world.now() > end - before_end_s - 0.5 + refused_s, 20.0, "the clock stands")
         world.service.refused.discard(lead)
-        await world.until(lambda: keys.KEEP + keeper in world.service.keys, 5.0, "the lease is not kept")
+        await world.until(
+            lambda: keys.LEASE_DELEGATE_PREFIX + keeper in world.service.keys, 5.0, "the lease is not kept"
+        )
         await asyncio.sleep(20.0)
         assert any(p.startswith(ref) for p in worker.tasks), "the kept task is gone"
 
@@ -110,7 +112,7 @@
         world.freeze(lead)
         await world.until(lambda: bool(writes), 12.0, "nobody takes over")
         candidate, at = writes[0]
-        await asyncio.sleep(at + VOTE_S + 0.01 - world.now())
+        await asyncio.sleep(at + VOTE_GRANT_S + 0.01 - world.now())
         world.apart |= world.links_of(candidate)
         world.service.refused.add(lead)
         world.thaw(lead)
--- a/tests/cluster/test_upgrade.py
+++ b/tests/cluster/test_upgrade.py
@@ -9,12 +9,16 @@
 import pytest
 from world import World, play
 
-from hookwall.config.platform import NextState, State
+from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
 from hookwall.storage import job_records, keys
-from hookwall.storage.storage_version import CURRENT
-
-LIMITS = State(
-    rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=NextState(write_rps=30.0, value_kb=2.0, txn_ops=4)
+from hookwall.storage.storage_version import CURRENT_VERSION
+
+LIMITS = StoreLimits(
+    rps=150.0,
+    write_rps=50.0,
+    value_kb=16.0,
+    txn_ops=12,
+    next=UpcomingStoreLimits(write_rps=30.0, value_kb=2.0, txn_ops=4),
 )
 NAMES = ("n0", "n1", "n2")
 any_old = pytest.mark.parametrize("old", [1, 2])
@@ -22,7 +26,9 @@
 
 async def all_new(w: World, within_s: float = 10.0) -> None:
     await w.until(
-        lambda: all(n.formats.all_know(CURRENT) for n in w.nodes.values()), within_s, "not all nodes know all are new"
+        lambda: all(n.storage_version.supported_by_all(CURRENT_VERSION) for n in w.nodes.values()),
+        within_s,
+        "not all nodes know all are new",
     )
 
 
@@ -134,7 +140,11 @@
         w.service.refused.add("n2")
         await w.upgrade("n0", "n1")
         await w.upgrade("n2")
-        await w.until(lambda: w.nodes["n0"].formats.all_know(CURRENT), 15.0, "no marker for the node that is refused")
+        await w.until(
+            lambda: w.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
+            15.0,
+            "no marker for the node that is refused",
+        )
         first = w.job(1, run_s=3.0)
         await w.accepted(first, "n0")
         await w.accepted(w.job(2, run_s=3.0, awaits=[first]), "n1", within_s=2.0)
@@ -151,7 +161,11 @@
         await asyncio.sleep(3.0)
         w.crash("n2")
         await w.upgrade("n0")
-        await w.until(lambda: w.nodes["n0"].formats.all_know(CURRENT), 10.0, "waits for a node that is marked")
+        await w.until(
+            lambda: w.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
+            10.0,
+            "waits for a node that is marked",
+        )
 
     play(scenario, old=old)
 
@@ -202,8 +216,8 @@
             await w.upgrade(name)
             await asyncio.sleep(2.0)
         await all_new(w)
-        values = [v for k, (v, _, _) in w.service.keys.items() if k.startswith(keys.JOBS)]
-        assert any(job_records.size(v) > 1500 for v in values)
+        values = [v for k, (v, _, _) in w.service.keys.items() if k.startswith(keys.JOB_PREFIX)]
+        assert any(job_records.json_bytes(v) > 1500 for v in values)
         w.service.lower()
         await w.cancel(w.followers()[0], refs[0])
         first = w.job(10, run_s=3.0)
@@ -245,10 +259,12 @@
     async def scenario(w: World) -> None:
         await w.upgrade("n0")
         await asyncio.sleep(4.0)
-        assert w.service.keys[keys.FORMAT + "n0"][0] == {"format": CURRENT}
+        assert w.service.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
         ref = w.job(1, run_s=3.0)
         await w.accepted(ref, "n1")
         await ended(w, [ref])
-        assert w.service.keys.get(keys.FORMAT + "n1", (None,))[0] == (None if old == 1 else {"format": 2})
+        assert w.service.keys.get(keys.STORAGE_VERSION_PREFIX + "n1", (None,))[0] == (
+            None if old == 1 else {"format": 2}
+        )
 
     play(scenario, old=old)
--- a/tests/config/test_wire_settings.py
+++ b/tests/config/test_wire_settings.py
@@ -48,8 +48,8 @@
 def test_settings_ignore_what_is_unknown(tmp_path: Path):
     f = tmp_path / "s.toml"
     f.write_text(GOOD)
-    s = platform.load(str(f))
-    assert s.settings.workers.lease_s == 12.0
+    s = platform.load_settings(str(f))
+    assert s.platform.workers.lease_s == 12.0
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
 
 def test_a_submission_survives_the_round_trip_and_unknown_fields():
     spec = job_messages.decode_job(json.dumps({**description(7), "extra": [1]}).encode())
-    assert (spec.ref, spec.gang, spec.gpus) == ("run-000007", False, 1.0)
+    assert (spec.job_id, spec.gang, spec.gpus) == ("run-000007", False, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -90,13 +90,13 @@
     ],
 )  # fmt: skip
 def test_bad_fields_are_malformed(changes):
-    with pytest.raises(json_messages.BadMessage):
+    with pytest.raises(json_messages.MalformedMessageError):
         job_messages.decode_job(json.dumps({**description(), **changes}).encode())
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"3", b"{", b"\xff\xfe", b'{"ref":"run-1"}', b"[" * 3000])
 def test_what_is_no_submission_is_malformed(body):
-    with pytest.raises(json_messages.BadMessage):
+    with pytest.raises(json_messages.MalformedMessageError):
         job_messages.decode_job(body)
 
 
@@ -104,11 +104,11 @@
 def test_every_field_that_cannot_be_null_is_needed(name):
     d = description()
     del d[name]
-    with pytest.raises(json_messages.BadMessage):
+    with pytest.raises(json_messages.MalformedMessageError):
         job_messages.decode_job(json.dumps(d).encode())
 
 
 def test_task_names():
-    assert heartbeat_messages.split_task("run-000412/3") == ("run-000412", 3)
-    assert heartbeat_messages.split_task("run-000412") is None
-    assert heartbeat_messages.split_task("run-000412/x") is None
+    assert heartbeat_messages.parse_task_id("run-000412/3") == ("run-000412", 3)
+    assert heartbeat_messages.parse_task_id("run-000412") is None
+    assert heartbeat_messages.parse_task_id("run-000412/x") is None
--- a/tests/drain_world.py
+++ b/tests/drain_world.py
@@ -8,20 +8,20 @@
 
 from hookwall import cli
 from hookwall.autoscaling.cloud_client import CloudClient
-from hookwall.config.operations import Budget, DrainSettings, Operations
-from hookwall.config.platform import External, Seed, Settings, Team
+from hookwall.config.operations import DisruptionBudget, DrainSettings, Operations
+from hookwall.config.platform import ExternalServices, PeerSeed, Settings, TeamQuota
 from hookwall.drains.command import DrainCommand, ExitCode, execute
 from hookwall.drains.records import DrainRecord, decode
 from hookwall.storage import keys
-from hookwall.storage.client import Store
+from hookwall.storage.client import KeyValueClient
 
 PERIOD_S = 20.0
-TEAMS = [Team("red"), Team("blue")]
+TEAMS = [TeamQuota("red"), TeamQuota("blue")]
 
 
 def operations(**jobs: int) -> Operations:
     """Budgets by team, as numbers of jobs."""
-    budgets = [Budget(team, jobs=most, period_s=PERIOD_S) for team, most in jobs.items()]
+    budgets = [DisruptionBudget(team, jobs=most, period_s=PERIOD_S) for team, most in jobs.items()]
     return Operations(DrainSettings(True, budgets))
 
 
@@ -74,7 +74,7 @@
             machines += [
                 w.name for w in self.world.workers.values() if any(p.rpartition("/")[0] == ref for p in w.tasks)
             ]
-        return any(keys.CORDON + machine in stored for machine in machines)
+        return any(keys.CORDON_PREFIX + machine in stored for machine in machines)
 
     def ended(self, worker: Worker, piece: str, task: Task, cause: str) -> None:
         """A running task is over: a loss unless it is done or its user cancelled it."""
@@ -127,16 +127,16 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        seeds = [Seed(name, f"127.0.0.1:{7000 + i}") for i, name in enumerate(world.names) if i]
-        services = External("127.0.0.1:1", "127.0.0.1:2")
+        seeds = [PeerSeed(name, f"127.0.0.1:{7000 + i}") for i, name in enumerate(world.names) if i]
+        services = ExternalServices("127.0.0.1:1", "127.0.0.1:2")
         self.settings = Settings(world.names[0], "127.0.0.1:7100", "127.0.0.1:7200", services, world.params, seeds)
 
     async def __call__(self, *words: str) -> tuple[int, Any]:
         """Exit code and printed value."""
         w = self.world
-        store = Store("127.0.0.1:2", w.params.state, w.params.size, w.now)
+        store = KeyValueClient("127.0.0.1:2", w.params.state, w.params.size, w.now)
         client = CloudClient("127.0.0.1:1", 100.0, w.now)
-        store.call = lambda s, method, url, body, t: w.service.call("operator", method, path(url), body, t)
+        store.send_request = lambda s, method, url, body, t: w.service.call("operator", method, path(url), body, t)
         client.call = lambda s, method, url, body, t: w.cloud.call("operator", method, path(url), body, t)
         said: list[str] = []
         command = DrainCommand(
@@ -157,7 +157,7 @@
 
     def record(self, name: str) -> DrainRecord:
         """What is stored, without asking anybody."""
-        return decode(self.world.service.keys[keys.DRAIN + name][0], DrainRecord)
+        return decode(self.world.service.keys[keys.DRAIN_PREFIX + name][0], DrainRecord)
 
     async def ends(self, name: str, within_s: float, phase: str = "finished") -> None:
         await self.world.until(
@@ -172,8 +172,8 @@
 
 def cordoned(world: World) -> set[str]:
     """The machines that are out of service for a drain, as stored."""
-    return {key.removeprefix(keys.CORDON) for key in world.service.keys if key.startswith(keys.CORDON)}
+    return {key.removeprefix(keys.CORDON_PREFIX) for key in world.service.keys if key.startswith(keys.CORDON_PREFIX)}
 
 
 def drain_phases(world: World) -> set[str]:
-    return {value["phase"] for key, (value, _, _) in world.service.keys.items() if key.startswith(keys.DRAIN)}
+    return {value["phase"] for key, (value, _, _) in world.service.keys.items() if key.startswith(keys.DRAIN_PREFIX)}
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -11,9 +11,9 @@
 from test_drains import BLUE, LONG_S, RED, WHOLE, drained, machine_of, running_jobs
 from world import World, play
 
-from hookwall.config.operations import Operations, check
-from hookwall.config.operations import load as load_operations
-from hookwall.config.platform import BadSettings, Params
+from hookwall.config.operations import Operations, validate_operations
+from hookwall.config.operations import load_operations as load_operations
+from hookwall.config.platform import InvalidSettingsError, PlatformParameters
 from hookwall.drains.bound import Load, LoadedJob, fewest_waves
 from hookwall.drains.command import ExitCode
 from hookwall.storage import keys
@@ -76,12 +76,12 @@
     async def scenario(w: World, operator):
         await running_jobs(w, RED, **WHOLE)
         await operator.start("kernel", "--zone", "east")
-        before = w.service.keys[keys.DRAIN + "kernel"]
+        before = w.service.keys[keys.DRAIN_PREFIX + "kernel"]
         code, told = await operator("start", "kernel", "--zone", "east")
         assert code == ExitCode.OK and told["drains"][0]["name"] == "kernel"
         assert (await operator("start", "kernel", "--zone", "west"))[0] == ExitCode.BAD_INPUT
         assert "exists already with other terms" in capsys.readouterr().err
-        assert w.service.keys[keys.DRAIN + "kernel"][0]["request"] == before[0]["request"]
+        assert w.service.keys[keys.DRAIN_PREFIX + "kernel"][0]["request"] == before[0]["request"]
 
     drained(scenario)
 
@@ -106,7 +106,7 @@
         commit = w.service.commit
         w.service.commit = lambda body: (400, {"error": "malformed"})
         assert (await operator("start", "other", "--zone", "west"))[0] == ExitCode.REFUSED
-        w.service.commit = lambda body: (409, {"failed": [keys.DRAIN + "kernel"], "epoch": 1})
+        w.service.commit = lambda body: (409, {"failed": [keys.DRAIN_PREFIX + "kernel"], "epoch": 1})
         assert (await operator("abort", "kernel"))[0] == ExitCode.CONFLICT
         w.service.commit = commit
 
@@ -126,7 +126,11 @@
         assert sorted(ref for wave in told["waves"] for jobs in wave["jobs"].values() for ref in jobs) == sorted(refs)
         assert all(len(jobs) <= 1 for wave in told["waves"] for jobs in wave["jobs"].values())
         assert [len(wave["machines"]) for wave in told["waves"]] == [1, 1, 1], "one free machine at a time"
-        drains = {k: v for k, v in w.service.keys.items() if k.startswith((keys.DRAIN, keys.CORDON, keys.DISRUPTED))}
+        drains = {
+            k: v
+            for k, v in w.service.keys.items()
+            if k.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX))
+        }
         assert not drains and before.keys() == w.service.keys.keys()
 
     drained(scenario)
@@ -221,21 +225,21 @@
         ("[drain", "not TOML"),
     ],
 )
-def test_a_bad_operators_file_is_refused_by_name(tmp_path: Path, params: Params, text, says):
-    with pytest.raises(BadSettings, match="(?s).*" + says.replace("'", ".")):
+def test_a_bad_operators_file_is_refused_by_name(tmp_path: Path, params: PlatformParameters, text, says):
+    with pytest.raises(InvalidSettingsError, match="(?s).*" + says.replace("'", ".")):
         read(tmp_path, text, params)
 
 
-def test_unknown_settings_are_ignored_and_without_a_file_all_is_off(tmp_path: Path, params: Params):
+def test_unknown_settings_are_ignored_and_without_a_file_all_is_off(tmp_path: Path, params: PlatformParameters):
     own = read(tmp_path, "colour = 1\n[drain]\nenabled = true\nlater = 2\n", params)
     assert own.drain.enabled and not load_operations(None, params).drain.enabled
-    with pytest.raises(BadSettings, match="cannot read"):
+    with pytest.raises(InvalidSettingsError, match="cannot read"):
         load_operations(str(tmp_path / "none.toml"), params)
 
 
-def test_the_deployed_file_holds_for_any_teams(params: Params):
+def test_the_deployed_file_holds_for_any_teams(params: PlatformParameters):
     own = load_operations(str(ROOT / "deploy" / "operations.toml"), params)
-    assert own.drain.enabled and check(own, params) == own
+    assert own.drain.enabled and validate_operations(own, params) == own
 
 
 def test_the_program_refuses_a_bad_file_with_status_2(tmp_path: Path):
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -8,19 +8,19 @@
 from leading_node import leading, report
 from test_drain_ledger import PERIOD_S
 
-from hookwall.config.platform import Params
+from hookwall.config.platform import PlatformParameters
 from hookwall.drains import records
 from hookwall.drains.records import Afterwards, DisruptionPage, DrainPhase, StepPhase, StepRecord
 from hookwall.drains.request import DrainRequest, Selection, aborted, new_record
 from hookwall.node.node import Node
-from hookwall.scheduling.image_affinity import STARVES_S
+from hookwall.scheduling.image_affinity import STARVATION_S
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict, Refused, Unknown
-from hookwall.workers.machine import Phase
+from hookwall.storage.client import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.workers.machine import MachinePhase
 
 MACHINES = 4
 FIRST, SECOND = "vm-000000", "vm-000001"
-DRAIN = keys.DRAIN + "kernel"
+DRAIN = keys.DRAIN_PREFIX + "kernel"
 
 
 class Leader:
@@ -29,7 +29,7 @@
     def __init__(self, params, clock: Clock, state: FakeState) -> None:
         self.clock, self.state = clock, state
         state.epoch = 20
-        state.keys[keys.LEADER] = ({}, 5)
+        state.keys[keys.LEADER_KEY] = ({}, 5)
         self.node = self._node(params)
         self.written: list[str] = []  # the keys of each commit in turn
         self.before: dict[str, object] = {}  # what happens just before a key is written
@@ -50,10 +50,12 @@
         node = leading(params, self.clock, MACHINES)
         self._switch_on(node)
         for number in range(MACHINES, 2 * MACHINES):
-            node.beats.take(report(number, 1).replace(b'"phase":"running"', b'"phase":"exited","cause":"done"'))
+            node.heartbeat_router.respond(
+                report(number, 1).replace(b'"phase":"running"', b'"phase":"exited","cause":"done"')
+            )
         self.clock.tick(1.0)
         for number in range(2 * MACHINES):
-            node.beats.take(report(number, 2) if number < MACHINES else _idle(number))
+            node.heartbeat_router.respond(report(number, 2) if number < MACHINES else _idle(number))
         return node
 
     def _switch_on(self, node: Node) -> None:
@@ -61,10 +63,10 @@
 
         own = operations(grey=1)
         node.drains.controller = DrainController(
-            own.drain, node.settings.settings, node.fleet, node.scheduler, self.state, node.leadership,
+            own.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
             self.clock, self.clock,
         )  # fmt: skip
-        node.drains.controller.is_gone = node.renting.is_gone
+        node.drains.controller.is_confirmed_deleted = node.scale_out.is_gone
         node.fleet.set_catalog(_catalog())
 
     def asks(self, *machines: str, batch: int = 2, **terms) -> None:
@@ -83,10 +85,14 @@
         asyncio.run(self.node.drains.controller.tick())
 
     def stopping(self) -> set[str]:
-        return {ref for ref, job in self.node.table.jobs.items() if any(a.stop_grace for a in job.active.values())}
+        return {
+            ref
+            for ref, job in self.node.job_table.jobs.items()
+            if any(a.stop_grace_s for a in job.allocations.values())
+        }
 
     def step(self, machine: str) -> StepRecord | None:
-        stored = self.state.keys.get(keys.CORDON + machine)
+        stored = self.state.keys.get(keys.CORDON_PREFIX + machine)
         return None if stored is None else records.decode(stored[0], StepRecord)
 
     def used(self) -> int:
@@ -105,7 +111,7 @@
 
 
 @pytest.fixture
-def leader(params: Params, clock: Clock, state: FakeState) -> Leader:
+def leader(params: PlatformParameters, clock: Clock, state: FakeState) -> Leader:
     assert [team.name for team in TEAMS] == ["red", "blue"]
     return Leader(params, clock, state)
 
@@ -115,16 +121,18 @@
     seen: list[tuple[bool, bool]] = []
     leader.tick()
     assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping()
-    step = keys.CORDON + FIRST
-    leader.before[step] = lambda: seen.append((keys.DISRUPTED + "0" in leader.state.keys, bool(leader.stopping())))
+    step = keys.CORDON_PREFIX + FIRST
+    leader.before[step] = lambda: seen.append(
+        (keys.DISRUPTION_PREFIX + "0" in leader.state.keys, bool(leader.stopping()))
+    )
     leader.tick()
     assert seen == [(True, False)] and leader.stopping() == {"run-000000"}
-    page = records.decode(leader.state.keys[keys.DISRUPTED + "0"][0], DisruptionPage)
+    page = records.decode(leader.state.keys[keys.DISRUPTION_PREFIX + "0"][0], DisruptionPage)
     assert [entry.ref for entry in page.entries] == ["run-000000"]
     assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted == 1
 
 
-def test_a_new_leader_knows_what_was_spent(leader: Leader, params: Params, clock: Clock, state: FakeState):
+def test_a_new_leader_knows_what_was_spent(leader: Leader, params: PlatformParameters, clock: Clock, state: FakeState):
     leader.asks(FIRST, SECOND)
     for _ in range(3):
         leader.tick()
@@ -143,9 +151,9 @@
 def test_a_leader_that_was_replaced_changes_nothing(leader: Leader, state: FakeState):
     leader.asks(FIRST)
     leader.tick()
-    state.keys[keys.LEADER] = ({}, 6)
+    state.keys[keys.LEADER_KEY] = ({}, 6)
     before = dict(state.keys)
-    with pytest.raises(Conflict):
+    with pytest.raises(PreconditionFailedError):
         leader.tick()
     assert state.keys == before and not leader.stopping()
 
@@ -162,11 +170,11 @@
         leader.state.epoch += 1
         leader.state.keys[DRAIN] = (records.encode(aborted(record, leader.clock())), leader.state.epoch)
 
-    leader.before[keys.CORDON + FIRST] = abort
-    with pytest.raises(Conflict) as conflict:
+    leader.before[keys.CORDON_PREFIX + FIRST] = abort
+    with pytest.raises(PreconditionFailedError) as conflict:
         leader.tick()
     assert not leader.stopping()
-    asyncio.run(leader.node.drains.controller.writes.refresh(conflict.value.failed))
+    asyncio.run(leader.node.drains.controller.writes.refresh(conflict.value.keys))
     leader.tick()
     assert leader.step(FIRST) is None and not leader.stopping() and not leader.node.fleet.cordoned
     assert leader.node.drains.controller.table.drains["kernel"].record.phase is DrainPhase.ABORTED
@@ -178,10 +186,10 @@
 
     def cordon() -> None:
         leader.state.epoch += 1
-        leader.state.keys[keys.CORDON + FIRST] = (records.encode(other), leader.state.epoch)
+        leader.state.keys[keys.CORDON_PREFIX + FIRST] = (records.encode(other), leader.state.epoch)
 
-    leader.before[keys.CORDON + FIRST] = cordon
-    with pytest.raises(Conflict):
+    leader.before[keys.CORDON_PREFIX + FIRST] = cordon
+    with pytest.raises(PreconditionFailedError):
         leader.tick()
     assert leader.step(FIRST) == other
 
@@ -191,11 +199,11 @@
     leader.tick()
 
     def fail() -> None:
-        raise Refused("503")
+        raise RequestRejectedError("503")
 
     for _ in range(3):
-        leader.before[keys.CORDON + FIRST] = fail
-        with pytest.raises(Refused):
+        leader.before[keys.CORDON_PREFIX + FIRST] = fail
+        with pytest.raises(RequestRejectedError):
             leader.tick()
         assert leader.used() == 1 and not leader.stopping()
     leader.tick()
@@ -205,52 +213,54 @@
 def test_a_page_that_was_written_without_an_answer_is_written_again(leader: Leader, state: FakeState):
     leader.asks(FIRST)
     leader.tick()
-    page = keys.DISRUPTED + "0"
+    page = keys.DISRUPTION_PREFIX + "0"
     leader.before[page] = lambda: setattr(state, "mode", "ghost")
-    with pytest.raises(Unknown):
+    with pytest.raises(OutcomeUnknownError):
         leader.tick()
     state.mode = "ok"
-    with pytest.raises(Conflict) as conflict:
+    with pytest.raises(PreconditionFailedError) as conflict:
         leader.tick()
-    asyncio.run(leader.node.drains.controller.writes.refresh(conflict.value.failed))
+    asyncio.run(leader.node.drains.controller.writes.refresh(conflict.value.keys))
     leader.tick()
     assert leader.stopping() == {"run-000000"} and leader.used() == 1
 
 
 def test_a_disruption_by_other_causes_is_stored_soon(leader: Leader):
-    leader.node.fleet.stop(leader.node.table.jobs["run-000002"], *_starts(leader, "run-000002"), 1.0, "room")
+    leader.node.fleet.request_stop(
+        leader.node.job_table.jobs["run-000002"], *_starts(leader, "run-000002"), 1.0, "room"
+    )
     leader.tick(3.0)
-    assert [key for key in leader.written if key.startswith(keys.DISRUPTED)] == [keys.DISRUPTED + "0"]
+    assert [key for key in leader.written if key.startswith(keys.DISRUPTION_PREFIX)] == [keys.DISRUPTION_PREFIX + "0"]
     leader.clock.tick(PERIOD_S)
     assert leader.used() == 1, "its tasks do not run yet"
 
 
 def _starts(leader: Leader, ref: str) -> list:
-    return list(leader.node.table.jobs[ref].active.values())
+    return list(leader.node.job_table.jobs[ref].allocations.values())
 
 
 def test_a_cordoned_machine_gets_no_work_from_the_next_round_on(leader: Leader):
     """A free machine is to be drained, and another job comes before it is returned."""
     fleet, free = leader.node.fleet, f"vm-{MACHINES:06d}"
-    assert fleet.usable(fleet.machines[free], leader.clock())
+    assert fleet.is_schedulable(fleet.machines[free], leader.clock())
     leader.asks(free, afterwards=Afterwards.HOLD)
     leader.tick()
-    assert not fleet.usable(fleet.machines[free], leader.clock())
-    standing, _ = leader.node.renting.supply.standing(leader.clock())
+    assert not fleet.is_schedulable(fleet.machines[free], leader.clock())
+    standing, _ = leader.node.scale_out.capacity.machine_counts(leader.clock())
     assert standing == 2 * MACHINES - 1, "a replacement is rented where need says so"
 
 
 def test_a_start_that_is_stored_but_not_launched_is_not_launched_on_a_cordoned_machine(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
-    job = node.table.jobs["run-000002"]
-    (start,) = _starts(leader, job.ref)
-    record = {**job.raw, "on": [[free, 1, 2, "0"]], "next": 3}
-    node.table.apply(keys.JOBS + job.ref, record, 90)
-    assert job.active[0].machine == free != start.machine
-    leader.put(keys.CORDON + free, records.encode(StepRecord(
+    job = node.job_table.jobs["run-000002"]
+    (start,) = _starts(leader, job.job_id)
+    record = {**job.stored_value, "on": [[free, 1, 2, "0"]], "next": 3}
+    node.job_table.apply_record(keys.JOB_PREFIX + job.job_id, record, 90)
+    assert job.allocations[0].machine == free != start.machine
+    leader.put(keys.CORDON_PREFIX + free, records.encode(StepRecord(
         drain="kernel", phase=StepPhase.CORDONED, since=1.0, changed_at=1.0)))  # fmt: skip
-    _, answer = node.beats.take(_idle(MACHINES).replace(b'"tick":2', b'"tick":3'))
-    assert b"launch" not in answer and not job.active, "it is placed elsewhere"
+    _, answer = node.heartbeat_router.respond(_idle(MACHINES).replace(b'"tick":2', b'"tick":3'))
+    assert b"launch" not in answer and not job.allocations, "it is placed elsewhere"
 
 
 def test_a_machine_that_is_held_is_not_let_go_as_beyond_need(leader: Leader):
@@ -260,17 +270,17 @@
         leader.tick()
     assert leader.step(free).phase is StepPhase.EMPTY
     leader.clock.tick(200.0)
-    node.fleet.machines[free].up_at = 0.0
-    node.renting.returning.trim(leader.clock())
-    assert node.fleet.machines[free].phase is Phase.UP
-    others = [m for m in node.fleet.machines.values() if m.phase is Phase.DRAINING]
+    node.fleet.machines[free].first_heartbeat_at = 0.0
+    node.scale_out.scale_in.drain_excess_machines(leader.clock())
+    assert node.fleet.machines[free].phase is MachinePhase.UP
+    others = [m for m in node.fleet.machines.values() if m.phase is MachinePhase.DRAINING]
     assert others, "idle machines beside it are beyond need"
 
 
 def test_a_machine_of_another_drain_is_named_and_left_to_it(leader: Leader):
-    leader.put(keys.CORDON + FIRST, records.encode(StepRecord(
+    leader.put(keys.CORDON_PREFIX + FIRST, records.encode(StepRecord(
         drain="other", phase=StepPhase.CORDONED, since=leader.clock(), changed_at=1.0)))  # fmt: skip
-    leader.put(keys.DRAIN + "other", records.encode(new_record(
+    leader.put(keys.DRAIN_PREFIX + "other", records.encode(new_record(
         DrainRequest(selection=Selection(machines=(FIRST,)), finish_s=600.0), [FIRST], leader.clock())))  # fmt: skip
     leader.asks(FIRST)
     leader.tick()
@@ -285,13 +295,13 @@
     leader.asks(FIRST)
     for _ in range(2):
         leader.tick()
-    job = leader.node.table.jobs["run-000000"]
-    assert job.ref in scheduler.relocated and scheduler._starves(job, leader.clock())
+    job = leader.node.job_table.jobs["run-000000"]
+    assert job.job_id in scheduler.relocated and scheduler._starves(job, leader.clock())
     scheduler._wait_for_room(
-        job, scheduler.ask(job, 1), scheduler.view(leader.clock()), 1, False, False, leader.clock()
+        job, scheduler.resource_request(job, 1), scheduler.round_state(leader.clock()), 1, False, False, leader.clock()
     )
-    assert scheduler.waiting[job.ref].served < leader.clock() - STARVES_S
-    other = leader.node.table.jobs["run-000001"]
+    assert scheduler.waiting[job.job_id].last_served_at < leader.clock() - STARVATION_S
+    other = leader.node.job_table.jobs["run-000001"]
     assert not scheduler._starves(other, leader.clock())
 
 
--- a/tests/drains/test_drain_ledger.py
+++ b/tests/drains/test_drain_ledger.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from hookwall.config.operations import Budget
+from hookwall.config.operations import DisruptionBudget
 from hookwall.drains import records
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.ledger import Ledger, allowance
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
-from hookwall.storage.job_records import MalformedRecord
+from hookwall.storage.job_records import MalformedRecordError
 from hookwall.workers import name_codec
 
 GOLDEN = json.loads((Path(__file__).parent.parent / "golden" / "drains_1.json").read_text())
@@ -19,19 +19,19 @@
 
 @pytest.fixture
 def ledger() -> Ledger:
-    return Ledger([Budget("red", jobs=2, period_s=PERIOD_S)], value_limit=2048, margin_s=0.5)
+    return Ledger([DisruptionBudget("red", jobs=2, period_s=PERIOD_S)], value_limit=2048, margin_s=0.5)
 
 
 @pytest.mark.parametrize(
     ("budget", "running", "allowed"),
     [
-        (Budget("red", jobs=3), 100, 3),
-        (Budget("red", jobs=0), 100, 0),
-        (Budget("red", share=0.1), 39, 3),
-        (Budget("red", share=0.1), 4, 1),
-        (Budget("red", share=0.0), 100, 0),
-        (Budget("red", jobs=2, share=0.5), 100, 2),
-        (Budget("red", jobs=50, share=0.1), 100, 10),
+        (DisruptionBudget("red", jobs=3), 100, 3),
+        (DisruptionBudget("red", jobs=0), 100, 0),
+        (DisruptionBudget("red", share=0.1), 39, 3),
+        (DisruptionBudget("red", share=0.1), 4, 1),
+        (DisruptionBudget("red", share=0.0), 100, 0),
+        (DisruptionBudget("red", jobs=2, share=0.5), 100, 2),
+        (DisruptionBudget("red", jobs=50, share=0.1), 100, 10),
     ],
 )
 def test_a_share_is_rounded_down_but_not_to_nothing_and_the_smaller_limit_holds(budget, running, allowed):
@@ -117,7 +117,7 @@
     table = DrainTable(Ledger([], 2048, 0.0))
     table.take("hookwall/drain/kernel", {**GOLDEN["drain"], **change}, 5)
     assert not table.drains
-    with pytest.raises(MalformedRecord):
+    with pytest.raises(MalformedRecordError):
         records.decode({**GOLDEN["step"], "version": 2}, StepRecord)
 
 
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -32,7 +32,7 @@
         named = [part for machine in machines for part in ("--machine", machine)]
         code, told = await w.call("drain", "plan", *named, "--batch", "2")
         assert code == ExitCode.OK and told["disrupted"] == {"blue": 2, "red": 2}
-        assert not any(key.startswith(keys.DRAIN) for key in w.service.keys)
+        assert not any(key.startswith(keys.DRAIN_PREFIX) for key in w.service.keys)
         code, _ = await w.call("drain", "start", "kernel", *named, "--batch", "2")
         assert code == ExitCode.OK
         await w.until(lambda: bool(cordoned(w)), 30.0, "no cordon")
@@ -41,7 +41,7 @@
         await replaced(w, w.leader_name())
         code, told = await w.call("drain", "status", "kernel", "--wait", "150")
         assert code == ExitCode.OK and told["drains"][0]["phase"] == "finished", told
-        record = decode(w.service.keys[keys.DRAIN + "kernel"][0], DrainRecord)
+        record = decode(w.service.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
         assert record.counts == {"returned": 4} and not set(machines) & w.workers.keys() and not cordoned(w)
         for ref in refs:
             await w.runs(ref, 60.0)
--- a/tests/drains/test_drain_planner.py
+++ b/tests/drains/test_drain_planner.py
@@ -1,13 +1,13 @@
 """The planner of drains: a pure function of machines, budgets and room."""
 
 from hookwall.drains.planner import Budgets, Candidate, Occupant, Terms, WaitKind, plan
-from hookwall.scheduling.placement import Ask, Room
+from hookwall.scheduling.placement import FreeCapacity, ResourceRequest
 
 ONE = Terms(batch=1, finish_s=0.0)
 
 
-def ask(tasks: int = 1, gpus: float = 4.0) -> Ask:
-    return Ask(tasks, tasks, False, 1.0, gpus, 1.0)
+def ask(tasks: int = 1, gpus: float = 4.0) -> ResourceRequest:
+    return ResourceRequest(tasks, tasks, False, 1.0, gpus, 1.0)
 
 
 def job(n: int, team: str = "red", cost: float = 1.0, **more) -> Occupant:
@@ -22,8 +22,8 @@
     return Budgets(dict(left), dict.fromkeys(left, 2))
 
 
-def rooms(count: int) -> list[Room]:
-    return [Room(100 + i, 0, 0, False, 32.0, 4.0, 256.0) for i in range(count)]
+def rooms(count: int) -> list[FreeCapacity]:
+    return [FreeCapacity(100 + i, 0, 0, False, 32.0, 4.0, 256.0) for i in range(count)]
 
 
 def kinds(decided) -> set[WaitKind]:
@@ -96,12 +96,12 @@
 
 
 def test_a_gang_may_use_again_what_it_leaves_on_other_machines():
-    gang = Ask(2, 2, True, 1.0, 4.0, 1.0)
+    gang = ResourceRequest(2, 2, True, 1.0, 4.0, 1.0)
     occupant = job(1, ask=gang, frees=((100, 1),))
-    taken = Room(100, 0, 0, False, 31.0, 0.0, 255.0)
+    taken = FreeCapacity(100, 0, 0, False, 31.0, 0.0, 255.0)
     decided = plan(ONE, [machine(1, occupant)], budgets(red=1), [taken, *rooms(2)[1:]], 0.0)
     assert decided.stops
-    taken = Room(100, 0, 0, False, 31.0, 0.0, 255.0)
+    taken = FreeCapacity(100, 0, 0, False, 31.0, 0.0, 255.0)
     assert not plan(ONE, [machine(1, job(1, ask=gang))], budgets(red=1), [taken, *rooms(2)[1:]], 0.0).stops
 
 
--- a/tests/drains/test_drains.py
+++ b/tests/drains/test_drains.py
@@ -178,7 +178,7 @@
         code, told = await operator("abort", "kernel")
         assert code == ExitCode.OK and told["drains"][0]["phase"] == "aborted"
         await w.until(lambda: not cordoned(w), 10.0, "still cordoned")
-        assert w.leader().fleet.usable(w.leader().fleet.machines[machine], w.now()) and not w.oracle.losses
+        assert w.leader().fleet.is_schedulable(w.leader().fleet.machines[machine], w.now()) and not w.oracle.losses
         assert (await operator("abort", "kernel"))[0] == ExitCode.BAD_INPUT
         w.cloud.room = 2
         assert (await operator("resume", "kernel"))[0] == ExitCode.OK
@@ -278,7 +278,7 @@
 def drain_writes(body: dict) -> bool:
     """Whether a transaction changes a drain."""
     names = [change.get("set") or change.get("delete") for change in body.get("apply", [])]
-    return any(name.startswith((keys.DRAIN, keys.CORDON, keys.DISRUPTED)) for name in names)
+    return any(name.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX)) for name in names)
 
 
 @pytest.mark.parametrize("late", [False, True])
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -26,7 +26,7 @@
 from world import Task, Worker, World, play
 
 from hookwall.storage import job_records, keys
-from hookwall.storage.job_records import MalformedRecord, MissingParts
+from hookwall.storage.job_records import MalformedRecordError, MissingChunksError
 
 MACHINES = 6
 JOBS = 5
@@ -76,12 +76,12 @@
     def _stored_starts(self, ref: str) -> set[tuple[str, int, int, int]] | None:
         """What the newest record names; None where it can't be read."""
         stored = self.world.service.keys
-        value = stored.get(keys.JOBS + ref, ({}, 0, None))[0]
+        value = stored.get(keys.JOB_PREFIX + ref, ({}, 0, None))[0]
         try:
-            record = job_records.decode(ref, value, lambda key: stored.get(key, (None, 0, None))[0])
-        except (MissingParts, MalformedRecord):
+            record = job_records.decode_record(ref, value, lambda key: stored.get(key, (None, 0, None))[0])
+        except (MissingChunksError, MalformedRecordError):
             return None
-        return {(m, s, a, task) for m, s, a, tasks in record.on for task in job_records.unpack_numbers(tasks)}
+        return {(m, s, a, task) for m, s, a, tasks in record.allocations for task in job_records.decode_ranges(tasks)}
 
     def check_launch(self, worker: Worker, piece: str, attempt: int) -> None:
         """A worker executes a launch for the first time."""
@@ -110,7 +110,7 @@
 
     def node(self) -> str:
         """A node, the leader as often as all others together."""
-        lead = next((n for n, node in self.world.nodes.items() if node.leadership.role.leads()), None)
+        lead = next((n for n, node in self.world.nodes.items() if node.leadership.role.holds_leader_key()), None)
         if lead is not None and self.random.random() < 0.5:
             return lead
         return self.random.choice(self.world.names)
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -48,12 +48,12 @@
         graph = chain(*edges)
     else:
         graph.add("b", ["a"])
-    graph.settle("a", Outcome.WITHDRAWN)
+    graph.settle("a", Outcome.CANCELLED)
     if late:
         for ref, needs in edges:
             graph.add(ref, needs)
     assert sorted(graph.take_changes().cancelled) == ["b", "c", "d"]
-    assert [graph.cancelled_with(ref) for ref in "abcde"] == [False, True, True, True, False]
+    assert [graph.has_cancelled_dependency(ref) for ref in "abcde"] == [False, True, True, True, False]
     graph.settle("x", Outcome.DONE)
     assert graph.take_changes().ready == ["e"]
 
@@ -61,8 +61,8 @@
 def test_nothing_is_cancelled_with_a_job_that_is_done():
     graph = chain(("b", ["a"]))
     graph.settle("a", Outcome.DONE)
-    graph.settle("a", Outcome.WITHDRAWN)
-    assert not graph.cancelled_with("b") and not graph.blocked("b")
+    graph.settle("a", Outcome.CANCELLED)
+    assert not graph.has_cancelled_dependency("b") and not graph.blocked("b")
 
 
 def test_rank_and_latest_start_go_backwards_along_the_longest_path():
@@ -77,7 +77,7 @@
     assert graph.latest_start("a") == 932.0
     assert set(graph.take_changes().more_urgent) == set("abcd")
     # A job that is over is not urgent for anybody any more.
-    graph.settle("d", Outcome.WITHDRAWN)
+    graph.settle("d", Outcome.CANCELLED)
     assert [graph.rank(ref, 3) for ref in "abc"] == [2, 3, 2] and graph.latest_start("a") == math.inf
 
 
@@ -94,7 +94,7 @@
     graph.settle("j0", Outcome.DONE)
     assert len(looked) < 20
     looked.clear()
-    graph.settle("j1000", Outcome.WITHDRAWN)
+    graph.settle("j1000", Outcome.CANCELLED)
     assert len(looked) < 10 * 1000
 
 
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -8,100 +8,104 @@
 import pytest
 from conftest import Clock, FakeState, description
 
-from hookwall.config.platform import State
-from hookwall.jobs.job import Active
+from hookwall.config.platform import StoreLimits
+from hookwall.jobs.job import Allocation
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
 from hookwall.leadership.roles import Role
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.scheduling.round_state import MACHINE_BYTES, START_BYTES
+from hookwall.scheduling.round_state import BYTES_PER_MACHINE, BYTES_PER_START
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict, Unknown
-from hookwall.storage.job_records import JobRecord, encode, size, value_limit
-from hookwall.workers.delegated_leases import Kept
+from hookwall.storage.client import OutcomeUnknownError, PreconditionFailedError
+from hookwall.storage.job_records import JobRecord, encode_record, json_bytes, usable_value_bytes
+from hookwall.workers.delegated_leases import DelegatedLeases
 
-KEY = keys.JOBS + "run-000001"
+KEY = keys.JOB_PREFIX + "run-000001"
 
 
 @pytest.fixture
 def writer(state: FakeState, clock: Clock) -> JobWriter:
     """A leader's writer that knows a job in parts, and a part that its record does not name."""
-    state.spare = lambda: True
+    state.has_spare_changes = lambda: True
     spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
-    encoded = encode(spec.ref, JobRecord(tasks=1, spec=spec, at=1.0, done=""), 1700)
+    encoded = encode_record(spec.job_id, JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks=""), 1700)
     table = JobTable(clock)
     state.epoch = 9
-    state.keys = {k: (v, 9) for k, v in {**encoded.parts, KEY: encoded.value, f"{keys.PARTS}{spec.ref}/x": "y"}.items()}
-    state.keys[keys.LEADER] = ({"node": "n0"}, 5)
+    state.keys = {
+        k: (v, 9) for k, v in {**encoded.chunks, KEY: encoded.value, f"{keys.CHUNK_PREFIX}{spec.job_id}/x": "y"}.items()
+    }
+    state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
     for key, (value, stamp) in state.keys.items():
-        if key.startswith(keys.PARTS):
-            table.take_part(key, value, stamp)
+        if key.startswith(keys.CHUNK_PREFIX):
+            table.apply_chunk(key, value, stamp)
         elif key == KEY:
-            table.apply(key, value, stamp)
-    return JobWriter(table, state, SimpleNamespace(token=5), Kept(clock), [], clock)
+            table.apply_record(key, value, stamp)
+    return JobWriter(table, state, SimpleNamespace(fencing_token=5), DelegatedLeases(clock), [], clock)
 
 
 def parts(state: FakeState) -> list[str]:
-    return [key for key in state.keys if key.startswith(keys.PARTS)]
+    return [key for key in state.keys if key.startswith(keys.CHUNK_PREFIX)]
 
 
 def test_a_part_that_the_record_does_not_name_is_removed_and_no_other(writer: JobWriter, state: FakeState):
     before = len(parts(state))
-    asyncio.run(writer.collector.collect())
-    assert len(parts(state)) == before - 1 and f"{keys.PARTS}run-000001/x" not in state.keys
+    asyncio.run(writer.chunk_collector.collect())
+    assert len(parts(state)) == before - 1 and f"{keys.CHUNK_PREFIX}run-000001/x" not in state.keys
 
 
-@pytest.mark.parametrize("changed", [KEY, keys.LEADER])
+@pytest.mark.parametrize("changed", [KEY, keys.LEADER_KEY])
 def test_parts_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, state: FakeState, changed):
     """Carried out late, the removal could take a part that a newer record names again."""
     state.keys[changed] = (state.keys[changed][0], 10)
     before = parts(state)
-    asyncio.run(writer.collector.collect())
-    assert parts(state) == before and "run-000001" in writer.table.parts.stale
+    asyncio.run(writer.chunk_collector.collect())
+    assert parts(state) == before and "run-000001" in writer.table.chunks.jobs_to_collect
 
 
 def test_parts_of_a_job_that_has_no_record_yet_stay(writer: JobWriter, state: FakeState):
-    writer.table.jobs["run-000001"].stamp = 0
+    writer.table.jobs["run-000001"].version = 0
     before = parts(state)
-    asyncio.run(writer.collector.collect())
+    asyncio.run(writer.chunk_collector.collect())
     assert parts(state) == before
 
 
 # -- decisions that rest on what followers keep ------------------------------------------------------
 
-KEEPER = keys.KEEP + "n1"
+KEEPER = keys.LEASE_DELEGATE_PREFIX + "n1"
 
 
 @pytest.fixture
 def leads(state: FakeState, clock: Clock) -> JobWriter:
     """A leader's writer whose job runs on vm-1, as stored, and has just been moved to vm-2."""
-    state.spare = lambda: True
+    state.has_spare_changes = lambda: True
     state.epoch = 9
     spec = msgspec.convert(description(2), JobSpec)
-    record = JobRecord(tasks=1, next_attempt=2, on=[("vm-1", 1, 1, "0")], spec=spec, at=1.0, done="")
-    value = encode(spec.ref, record, None).value
-    state.keys = {keys.LEADER: ({"node": "n0"}, 5), keys.JOBS + spec.ref: (value, 9)}
+    record = JobRecord(
+        task_count=1, next_attempt=2, allocations=[("vm-1", 1, 1, "0")], spec=spec, submitted_at=1.0, done_tasks=""
+    )
+    value = encode_record(spec.job_id, record, None).value
+    state.keys = {keys.LEADER_KEY: ({"node": "n0"}, 5), keys.JOB_PREFIX + spec.job_id: (value, 9)}
     table = JobTable(clock)
-    table.apply(keys.JOBS + spec.ref, value, 9)
-    lead = SimpleNamespace(token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda why: None)
-    writer = JobWriter(table, state, lead, Kept(clock), [KEEPER], clock)
-    move(table.jobs[spec.ref])
+    table.apply_record(keys.JOB_PREFIX + spec.job_id, value, 9)
+    lead = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda why: None)
+    writer = JobWriter(table, state, lead, DelegatedLeases(clock), [KEEPER], clock)
+    move(table.jobs[spec.job_id])
     return writer
 
 
 def move(job) -> None:
-    job.remove(0)
-    job.active[0] = Active(0, "vm-2", 1, job.next_attempt, 0.0)
+    job.remove_allocation(0)
+    job.allocations[0] = Allocation(0, "vm-2", 1, job.next_attempt, 0.0)
     job.next_attempt += 1
-    job.dirty = job.fresh = True
+    job.has_unsaved_changes = job.has_unsaved_starts = True
 
 
 def machines(writer: JobWriter) -> list[str]:
-    return [a.machine for a in writer.table.jobs["run-000002"].active.values()]
+    return [a.machine for a in writer.table.jobs["run-000002"].allocations.values()]
 
 
 def write(writer: JobWriter) -> None:
-    asyncio.run(writer._write(list(writer.table.open.values())))
+    asyncio.run(writer._write(list(writer.table.open_jobs.values())))
 
 
 @pytest.mark.parametrize("mode", ["lost", "down"])
@@ -112,19 +116,19 @@
     commit = state.commit
 
     async def meanwhile(*args, **options):
-        leads.table.revert()
+        leads.table.revert_unsaved()
         return await commit(*args, **options)
 
     state.commit, state.mode = meanwhile, mode
     write(leads)
-    assert machines(leads) == ["vm-1"] and not leads.table.jobs["run-000002"].dirty
+    assert machines(leads) == ["vm-1"] and not leads.table.jobs["run-000002"].has_unsaved_changes
 
 
 def test_a_decision_that_was_stored_stays_although_it_became_void_meanwhile(leads: JobWriter, state: FakeState):
     commit = state.commit
 
     async def meanwhile(*args, **options):
-        leads.table.revert()
+        leads.table.revert_unsaved()
         return await commit(*args, **options)
 
     state.commit = meanwhile
@@ -133,26 +137,33 @@
     move(leads.table.jobs["run-000002"])
     state.commit, state.mode = commit, "lost"
     write(leads)
-    assert machines(leads) == ["vm-2"] and leads.table.jobs["run-000002"].dirty, "void only what was under way"
+    assert machines(leads) == ["vm-2"] and leads.table.jobs["run-000002"].has_unsaved_changes, (
+        "void only what was under way"
+    )
 
 
 def test_a_read_of_a_keeper_s_key_does_not_show_who_was_kept_before(leads: JobWriter, state: FakeState, clock: Clock):
     """The key named vm-1, was gone and now names vm-9: only the watch tells of the first."""
     state.keys[KEEPER] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
-    leads.keepers._watched = _not
+    leads.delegation_guard._watched = _not
     write(leads)
     assert machines(leads) == ["vm-1"]
-    assert leads.keepers.kept.kept("vm-9") and leads.keepers.kept.heard("vm-1") == clock()
+    assert (
+        leads.delegation_guard.delegated_leases.is_delegated("vm-9")
+        and leads.delegation_guard.delegated_leases.last_possible_renewal("vm-1") == clock()
+    )
 
 
 def test_where_the_watch_has_told_of_all_leases_count_as_before(leads: JobWriter, state: FakeState, clock: Clock):
     state.keys[KEEPER] = ({"machines": ["vm-9"]}, 9)
-    leads.keepers.kept.take(KEEPER, {"machines": ["vm-9"]}, 8)
-    leads.keepers.watched = lambda: 9
+    leads.delegation_guard.delegated_leases.apply_key(KEEPER, {"machines": ["vm-9"]}, 8)
+    leads.delegation_guard.watched_revision = lambda: 9
     state.commit = _conflict
     write(leads)
-    assert machines(leads) == ["vm-1"] and leads.keepers.kept.heard("vm-1") < clock()
+    assert (
+        machines(leads) == ["vm-1"] and leads.delegation_guard.delegated_leases.last_possible_renewal("vm-1") < clock()
+    )
     assert "get " + KEEPER not in state.requests
 
 
@@ -161,7 +172,7 @@
 
 
 async def _conflict(*args, **options):
-    raise Conflict([KEEPER], 9)
+    raise PreconditionFailedError([KEEPER], 9)
 
 
 def test_a_record_seen_while_a_write_was_under_way_is_taken_although_the_leadership_ended(
@@ -171,19 +182,19 @@
     job = leads.table.jobs["run-000002"]
 
     async def meanwhile(*args, **options):
-        leads.table.apply(keys.JOBS + job.ref, {"phase": "withdrawn", "n": 1, "next": 2, "on": []}, 12)
-        leads.lead.role = Role.FOLLOWER
-        raise Conflict([keys.LEADER], 12)
+        leads.table.apply_record(keys.JOB_PREFIX + job.job_id, {"phase": "withdrawn", "n": 1, "next": 2, "on": []}, 12)
+        leads.leadership.role = Role.FOLLOWER
+        raise PreconditionFailedError([keys.LEADER_KEY], 12)
 
     state.commit = meanwhile
     write(leads)
-    assert job.stamp == 12 and job.parked is None and job.final()
+    assert job.version == 12 and job.deferred_record is None and job.is_final()
 
 
 def test_a_leader_reads_a_record_with_missing_parts_again_by_itself(leads: JobWriter, state: FakeState):
     """Nothing of the job is started before, so it must not wait for somebody to ask."""
     read = []
-    leads.lead.valid = lambda: not read
+    leads.leadership.valid = lambda: not read
 
     async def refresh(key):
         read.append(key)
@@ -193,11 +204,11 @@
             async with asyncio.timeout(0.3):
                 await leads.run()
 
-    leads.refresh = refresh
-    leads.table.jobs["run-000002"].dirty = False
-    leads.table.parts.await_parts("run-000002", {}, 12)
+    leads.reload_record = refresh
+    leads.table.jobs["run-000002"].has_unsaved_changes = False
+    leads.table.chunks.await_chunks("run-000002", {}, 12)
     asyncio.run(run())
-    assert read == [keys.JOBS + "run-000002"]
+    assert read == [keys.JOB_PREFIX + "run-000002"]
 
 
 def test_a_record_that_stays_unreadable_holds_up_no_other(writer: JobWriter):
@@ -206,42 +217,47 @@
 
     async def refresh(key):
         asked.append(key)
-        raise Unknown("parts of a record are missing")
+        raise OutcomeUnknownError("parts of a record are missing")
 
-    writer.refresh = refresh
+    writer.reload_record = refresh
     for n in (1, 2, 3):
-        writer.table.parts.await_parts(f"run-{n:06d}", {"packed": {"fixed": ["gone"], "state": "x"}}, 20)
+        writer.table.chunks.await_chunks(f"run-{n:06d}", {"packed": {"fixed": ["gone"], "state": "x"}}, 20)
 
     async def several():
         for _ in range(4):
             await writer._read_incomplete()
 
     asyncio.run(several())
-    assert asked == [f"{keys.JOBS}run-{n:06d}" for n in (1, 2, 3, 1)]
+    assert asked == [f"{keys.JOB_PREFIX}run-{n:06d}" for n in (1, 2, 3, 1)]
 
 
 def on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
     """A leader's writer, and a job that is on as many machines as it may use, but no more than a large fleet has."""
-    limits = State(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
-    state.limits, state.txn_ops, state.value_limit = limits, txn_ops, value_limit(value_kb)
-    state.pace = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
-    state.keys[keys.LEADER] = ({"node": "n0"}, 5)
+    limits = StoreLimits(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
+    state.limits, state.max_transaction_changes, state.max_value_bytes = limits, txn_ops, usable_value_bytes(value_kb)
+    state.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
+    state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
     table = JobTable(clock)
     writer = JobWriter(
-        table, state, SimpleNamespace(token=5, role=Role.LEADER), Kept(clock), [KEEPER, KEEPER + "x"], clock
+        table,
+        state,
+        SimpleNamespace(fencing_token=5, role=Role.LEADER),
+        DelegatedLeases(clock),
+        [KEEPER, KEEPER + "x"],
+        clock,
     )
-    writer.new_formats = lambda: True
-    machines = min(4000, int(writer.start_room().most / (MACHINE_BYTES + START_BYTES)))
+    writer.packing_enabled = lambda: True
+    machines = min(4000, int(writer.start_record_budget().maximum_bytes / (BYTES_PER_MACHINE + BYTES_PER_START)))
     spec = description(1, pieces=machines)
     record = {"phase": "open", "n": machines, "next": 2, "on": [], "spec": spec, "at": 1.0, "done": ""}
     state.keys[KEY] = (record, 9)
     state.epoch = 9
-    table.apply(KEY, record, 9)
+    table.apply_record(KEY, record, 9)
     job = table.jobs["run-000001"]
     names = random.Random(5)
     for n in range(machines):
-        job.active[n] = Active(n, f"vm-{names.getrandbits(64):016x}", 1 + n % 3, 1 + n % 5, clock())
-    job.dirty = job.fresh = True
+        job.allocations[n] = Allocation(n, f"vm-{names.getrandbits(64):016x}", 1 + n % 3, 1 + n % 5, clock())
+    job.has_unsaved_changes = job.has_unsaved_starts = True
     return writer, job
 
 
@@ -257,15 +273,15 @@
     write = state.commit
 
     async def commit(when, put=(), **more):
-        assert max(size(value) for _, value in put) <= value_kb * 1024
-        sent.append((len(when), len(put), sum(size(value) for _, value in put)))
+        assert max(json_bytes(value) for _, value in put) <= value_kb * 1024
+        sent.append((len(when), len(put), sum(json_bytes(value) for _, value in put)))
         return await write(when, put, **more)
 
     state.commit = commit
     writer, job = on_many_machines(state, clock, value_kb, txn_ops)
-    assert job.tasks >= least
+    assert job.task_count >= least
     asyncio.run(writer._write([job]))
-    assert not job.dirty and len(job.stored_on) == job.tasks
+    assert not job.has_unsaved_changes and len(job.stored_starts) == job.task_count
     for conditions, puts, length in sent:
         assert conditions <= 4 * txn_ops and puts <= txn_ops and length < 62 * 1024
 
@@ -284,4 +300,4 @@
 
     state.commit = commit
     asyncio.run(writer._write([job]))
-    assert len(writes) > 2 and job.dirty and not job.stored_on and state.keys[KEY][1] == 9
+    assert len(writes) > 2 and job.has_unsaved_changes and not job.stored_starts and state.keys[KEY][1] == 9
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -7,15 +7,15 @@
 import pytest
 from conftest import CATALOG, Clock, Cluster, FakeState, description
 
-from hookwall.api.job_service import UserApi
-from hookwall.config.platform import Params
-from hookwall.jobs.job import write_order
+from hookwall.api.job_service import JobService
+from hookwall.config.platform import PlatformParameters
+from hookwall.jobs.job import jobs_to_write
 from hookwall.jobs.job_table import JobTable
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.storage import keys
-from hookwall.storage.client import Conflict
-from hookwall.storage.job_records import JobRecord, encode, pack_numbers, plain, unpack_numbers
-from hookwall.storage.read_confirmation import Confirmer
+from hookwall.storage.client import PreconditionFailedError
+from hookwall.storage.job_records import JobRecord, decode_ranges, encode_plain, encode_ranges, encode_record
+from hookwall.storage.read_confirmation import ReadConfirmation
 
 
 class Nodes:
@@ -25,16 +25,16 @@
         self.apis = []
         for _ in range(2):
             table = JobTable(clock)
-            confirmer = Confirmer(state, None)
-            api = UserApi(params, table, state, confirmer)
-            confirmer.refresh = api.refresh
+            confirmer = ReadConfirmation(state, None)
+            api = JobService(params, table, state, confirmer)
+            confirmer.refresh = api.reload_record
             api.catalog = CATALOG
             self.apis.append(api)
 
 
 def play(nodes: Nodes, script):
     async def main():
-        loops = [asyncio.create_task(a.confirmer.run()) for a in nodes.apis]
+        loops = [asyncio.create_task(a.read_confirmation.run()) for a in nodes.apis]
         try:
             return await script(*nodes.apis)
         finally:
@@ -45,7 +45,7 @@
 
 
 @pytest.fixture
-def nodes(params: Params, state: FakeState, clock: Clock) -> Nodes:
+def nodes(params: PlatformParameters, state: FakeState, clock: Clock) -> Nodes:
     return Nodes(params, state, clock)
 
 
@@ -54,7 +54,7 @@
 
 
 def test_accepted_only_once_stored(nodes: Nodes, state: FakeState):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         state.mode = "lost"
         first = await a.submit(body())
         state.mode = "ok"
@@ -66,7 +66,7 @@
 
 
 def test_a_write_that_happened_without_an_answer_is_found_on_the_retry(nodes: Nodes, state: FakeState):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         state.mode = "ghost"
         first = await a.submit(body())
         state.mode = "ok"
@@ -76,7 +76,7 @@
 
 
 def test_a_cached_answer_is_confirmed_before_it_is_given(nodes: Nodes):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body())
         assert b"pending" in (await b.get("run-000001"))[1]
         await a.cancel("run-000001")
@@ -86,30 +86,30 @@
 
 
 def test_a_poll_that_is_confirmed_while_a_new_leader_loads_is_not_answered_404(nodes: Nodes):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         poll = asyncio.create_task(a.get("run-000001"))
         await asyncio.sleep(0.01)
-        a.table.void_decisions()
+        a.table.invalidate_decisions()
         return (await poll)[0]
 
     assert play(nodes, script) == 200
 
 
 def test_a_new_leader_takes_the_records_again_even_if_it_knows_their_stamps(nodes: Nodes, clock: Clock):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         job = a.table.jobs["run-000001"]
-        job.next_attempt, job.dirty = 7, True
-        a.table.void_decisions()
-        await a.refresh("hookwall/job/run-000001")
-        return job.next_attempt, job.dirty
+        job.next_attempt, job.has_unsaved_changes = 7, True
+        a.table.invalidate_decisions()
+        await a.reload_record("hookwall/job/run-000001")
+        return job.next_attempt, job.has_unsaved_changes
 
     assert play(nodes, script) == (1, False)
 
 
 def test_404_is_confirmed_too(nodes: Nodes):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         before = await b.get("run-000001")
         await a.submit(body())
         return before[0], (await b.get("run-000001"))[0]
@@ -118,7 +118,7 @@
 
 
 def test_unconfirmed_is_503_at_once_but_final_states_are_served(nodes: Nodes, state: FakeState):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         await a.submit(body(2))
         await a.cancel("run-000002")
@@ -129,7 +129,7 @@
 
 
 def test_polls_share_one_comparison(nodes: Nodes, state: FakeState):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         for n in range(1, 9):
             await a.submit(body(n))
         state.requests.clear()
@@ -140,7 +140,7 @@
 
 
 def test_cancel_is_final_and_does_not_undo_done(nodes: Nodes, state: FakeState):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         key = "hookwall/job/run-000001"
         state.epoch += 1
@@ -154,7 +154,7 @@
 def test_a_cancellation_that_loses_against_the_last_task_s_end_says_done(nodes: Nodes, state: FakeState):
     """The leader stores the end just between the cancellation's reading and its writing."""
 
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         key, read = "hookwall/job/run-000001", state.get
 
@@ -174,10 +174,10 @@
 
 
 def test_a_cancellation_seen_while_the_leader_writes_is_not_answered_with_running(nodes: Nodes):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         job = a.table.jobs["run-000001"]
-        job.writing = True  # the leader's own write of the same job is under way
+        job.write_in_flight = True  # the leader's own write of the same job is under way
         await b.cancel("run-000001")
         return json.loads((await a.get("run-000001"))[1])["phase"]
 
@@ -197,14 +197,14 @@
     ],
 )
 def test_what_can_never_run(nodes: Nodes, changes, status):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         return (await a.submit(body(**changes)))[0]
 
     assert play(nodes, script) == status
 
 
 def test_an_accepted_job_is_not_refused_when_it_is_repeated(nodes: Nodes):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         await a.submit(body())
         return (await b.submit(body(owner="nobody")))[0]
 
@@ -212,7 +212,7 @@
 
 
 def test_without_machine_types_nothing_is_decided(nodes: Nodes):
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         a.catalog = None
         return (await a.submit(body()))[0]
 
@@ -221,65 +221,65 @@
 
 def test_ranges_round_trip_and_stay_small():
     for numbers in ([], [0], [3, 4, 5], [0, 2, 4, 5, 6, 99_999]):
-        assert unpack_numbers(pack_numbers(numbers)) == numbers
-    assert pack_numbers(range(100_000)) == "0-99999"
+        assert decode_ranges(encode_ranges(numbers)) == numbers
+    assert encode_ranges(range(100_000)) == "0-99999"
 
 
-def test_a_record_of_100_000_tasks_fits_a_value(cluster: Cluster, params: Params):
+def test_a_record_of_100_000_tasks_fits_a_value(cluster: Cluster, params: PlatformParameters):
     job = cluster.submit(1, pieces=100_000, cards=0.0, cores=0.01, memGb=0.0)
     for name in ("vm-1", "vm-2"):
         cluster.beat(name)
     for _ in range(5):
-        cluster.scheduler.round()
-    assert job.active
-    assert len(json.dumps(plain(job.record()))) < params.state.value_kb * 1024
+        cluster.scheduler.run_round()
+    assert job.allocations
+    assert len(json.dumps(encode_plain(job.record()))) < params.state.value_kb * 1024
 
 
 def test_starts_are_stored_before_ends_that_nobody_waits_for(cluster: Cluster):
     ended, started_, over = cluster.submit(1, pieces=2), cluster.submit(2), cluster.submit(3)
     cluster.beat("vm-1")
     now = cluster.clock()
-    ended.mark_done(0)
-    cluster.fleet.put(started_, 0, cluster.fleet.machines["vm-1"], 1, now)
-    over.phase, over.dirty = "done", True
-    assert write_order(cluster.table.open.values(), now, spare=True) == [over, started_]
+    ended.mark_task_done(0)
+    cluster.fleet.allocate(started_, 0, cluster.fleet.machines["vm-1"], 1, now)
+    over.phase, over.has_unsaved_changes = "done", True
+    assert jobs_to_write(cluster.table.open_jobs.values(), now, spare=True) == [over, started_]
     later = [now + 2.0, now + 16.0]
-    assert write_order(cluster.table.open.values(), later[0], spare=True) == [over, started_, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=True) == [over, started_, ended]
     # Not while changes are scarce, but not for ever either.
-    assert write_order(cluster.table.open.values(), later[0], spare=False) == [over, started_]
-    assert write_order(cluster.table.open.values(), later[1], spare=False) == [over, started_, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=False) == [over, started_]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], spare=False) == [over, started_, ended]
 
 
 def test_a_start_that_waits_longer_is_stored_first_whatever_arrived_earlier(cluster: Cluster):
     old, new = cluster.submit(1), cluster.submit(2)
     cluster.beat("vm-1")
     m = cluster.fleet.machines["vm-1"]
-    cluster.fleet.put(new, 0, m, 1, cluster.clock())
-    write_order(cluster.table.open.values(), cluster.clock(), spare=False)
+    cluster.fleet.allocate(new, 0, m, 1, cluster.clock())
+    jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), spare=False)
     cluster.clock.tick(1.0)
-    cluster.fleet.put(old, 0, m, 1, cluster.clock())
-    assert write_order(cluster.table.open.values(), cluster.clock(), spare=False) == [new, old]
+    cluster.fleet.allocate(old, 0, m, 1, cluster.clock())
+    assert jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), spare=False) == [new, old]
 
 
 def large_record(clock: Clock):
     """An accepted job whose record needs parts, with its value and them."""
     spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
-    record = JobRecord(tasks=1, spec=spec, at=1.0, done="")
-    encoded = encode(spec.ref, record, 1700)
-    return JobTable(clock), keys.JOBS + spec.ref, encoded
+    record = JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks="")
+    encoded = encode_record(spec.job_id, record, 1700)
+    return JobTable(clock), keys.JOB_PREFIX + spec.job_id, encoded
 
 
 @pytest.mark.parametrize("head_first", [True, False])
 def test_a_record_is_known_once_its_parts_are_in_whatever_order_they_come(clock: Clock, head_first):
     table, key, encoded = large_record(clock)
     if head_first:
-        table.apply(key, encoded.value, 9)
-        assert table.jobs["run-000001"].stamp == 0 and len(table.missing_parts("run-000001")) == len(encoded.parts)
-    for part, text in encoded.parts.items():
-        table.take_part(part, text, 1)
+        table.apply_record(key, encoded.value, 9)
+        assert table.jobs["run-000001"].version == 0 and len(table.missing_chunks("run-000001")) == len(encoded.chunks)
+    for part, text in encoded.chunks.items():
+        table.apply_chunk(part, text, 1)
     if not head_first:
-        table.apply(key, encoded.value, 9)
-    assert table.jobs["run-000001"].stamp == 9 and table.jobs["run-000001"].spec.needs
+        table.apply_record(key, encoded.value, 9)
+    assert table.jobs["run-000001"].version == 9 and table.jobs["run-000001"].spec.dependencies
 
 
 def test_a_job_whose_parts_are_not_known_yet_is_not_answered_404(nodes: Nodes, state: FakeState, clock: Clock):
@@ -287,9 +287,9 @@
     state.keys[key] = (encoded.value, 9)
     state.epoch = 9
 
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         first = (await a.get("run-000001"))[0]
-        for part, text in encoded.parts.items():
+        for part, text in encoded.chunks.items():
             state.keys[part] = (text, 8)
         return first, (await a.get("run-000001"))[0]
 
@@ -298,19 +298,19 @@
 
 def test_a_cancellation_that_is_seen_without_its_parts_counts_at_once(clock: Clock):
     table, key, encoded = large_record(clock)
-    table.apply(key, {**encoded.value, "phase": "withdrawn"}, 9)
-    assert table.withdrawn("run-000001")
+    table.apply_record(key, {**encoded.value, "phase": "withdrawn"}, 9)
+    assert table.is_cancelled("run-000001")
 
 
 def test_a_job_is_queued_as_of_the_end_of_the_last_job_that_it_needs(clock: Clock):
     table = JobTable(clock)
     needed = {"phase": "open", "n": 1, "next": 1, "on": [], "spec": description(1), "at": 10.0, "done": ""}
     waiting = {**needed, "spec": description(2, awaits=["run-000001"]), "at": 20.0}
-    table.apply("hookwall/job/run-000001", needed, 5)
-    table.apply("hookwall/job/run-000002", waiting, 6)
-    assert table.jobs["run-000002"].arrival == 20.0 and "run-000002" in table.blocked
-    table.apply("hookwall/job/run-000001", {"phase": "done", "n": 1, "next": 2, "on": [], "ended": 50.0}, 7)
-    assert table.jobs["run-000002"].arrival == 50.0 and "run-000002" in table.open
+    table.apply_record("hookwall/job/run-000001", needed, 5)
+    table.apply_record("hookwall/job/run-000002", waiting, 6)
+    assert table.jobs["run-000002"].queued_at == 20.0 and "run-000002" in table.blocked_jobs
+    table.apply_record("hookwall/job/run-000001", {"phase": "done", "n": 1, "next": 2, "on": [], "ended": 50.0}, 7)
+    assert table.jobs["run-000002"].queued_at == 50.0 and "run-000002" in table.open_jobs
 
 
 @pytest.mark.parametrize("gone", [False, True])
@@ -320,7 +320,7 @@
     """A leader may remove parts that no record names, so the write that names them is conditional on them."""
     _, key, encoded = large_record(clock)
     state.keys[key], state.epoch = ({"phase": "open", "n": 1, "next": 1, "on": []}, 9), 9
-    state.txn_ops = 2
+    state.max_transaction_changes = 2
     writes: list[list[str]] = []
     write = state.commit
 
@@ -330,11 +330,11 @@
         writes.append([name for name, _ in put])
         return await write(when, put, **more)
 
-    async def script(a: UserApi, b: UserApi):
+    async def script(a: JobService, b: JobService):
         state.commit = commit
         try:
             return await a._store(key, 9, encoded, state.keys[key][0])
-        except Conflict:
+        except PreconditionFailedError:
             return None
 
     stored = play(nodes, script)
@@ -343,14 +343,18 @@
 
 
 def test_a_large_description_is_not_stored_in_parts_while_an_older_program_may_read_it(nodes: Nodes, state: FakeState):
-    async def script(a: UserApi, b: UserApi):
-        a.new_formats = lambda: False
+    async def script(a: JobService, b: JobService):
+        a.packing_enabled = lambda: False
         needs = [f"type-{n * 7919**4:030d}" * 3 for n in range(60)]
         first = await a.submit(json.dumps(description(1, hulls=["g4", *needs], pieces=2)).encode())
-        stored = {key for key in state.keys if key.startswith((keys.PARTS, keys.JOBS))}
+        stored = {key for key in state.keys if key.startswith((keys.CHUNK_PREFIX, keys.JOB_PREFIX))}
         plain_form = [state.keys[key][0] for key in stored]
-        return first[0], [key for key in stored if key.startswith(keys.PARTS)], ["packed" in v for v in plain_form]
+        return (
+            first[0],
+            [key for key in stored if key.startswith(keys.CHUNK_PREFIX)],
+            ["packed" in v for v in plain_form],
+        )
 
-    state.value_limit = 1700  # of the limits to come
+    state.max_value_bytes = 1700  # of the limits to come
     status, parts, packed = play(nodes, script)
     assert status == 201 and not parts and packed == [False]
--- a/tests/leadership/test_voter.py
+++ b/tests/leadership/test_voter.py
@@ -7,12 +7,12 @@
 
 from hookwall.leadership.roles import Role
 from hookwall.leadership.state_machine import Leadership
-from hookwall.leadership.vote_fence import VoterFence
-from hookwall.leadership.vote_grant import PROMISE_S
+from hookwall.leadership.vote_fence import VoteFence
+from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 from hookwall.storage import keys
-from hookwall.storage.client import Unknown
+from hookwall.storage.client import OutcomeUnknownError
 
-MY_KEY = keys.VOTER + "n0"
+MY_KEY = keys.VOTE_FENCE_PREFIX + "n0"
 
 
 class Peer:
@@ -35,19 +35,19 @@
 
     peers = [Peer("n1", fence=3), Peer("n2")]
     lead = Leadership("n0", 3, peers, state, clock, load, lambda role: None)
-    lead.fence = VoterFence("n0", state, lead.saw_key_behind_fence)
+    lead.vote_fence = VoteFence("n0", state, lead.observe_fenced_leader_key)
     state.epoch = 3
-    state.keys[keys.VOTER + "n1"] = ({"process": 1}, 3)
-    clock.tick(PROMISE_S * 2)
-    lead.saw_key({}, 0, 3)
+    state.keys[keys.VOTE_FENCE_PREFIX + "n1"] = ({"process": 1}, 3)
+    clock.tick(QUORUM_LEASE_S * 2)
+    lead.observe_leader_key({}, 0, 3)
     return lead
 
 
 async def put_up(fence, for_s=0.05):
     """Let the fence's loop run until it holds, or for a while."""
-    running = asyncio.get_running_loop().create_task(fence.run())
+    running = asyncio.get_running_loop().create_task(fence.establish())
     async with asyncio.timeout(2.0):
-        while not fence.stamp and for_s > 0:
+        while not fence.version and for_s > 0:
             await asyncio.sleep(0.01)
             for_s -= 0.01
     running.cancel()
@@ -55,24 +55,28 @@
 
 def test_nobody_is_supported_before_the_key_is_written(lead: Leadership):
     vote, ping = {"t": "vote", "n": "n1", "campaign": 1}, {"t": "ping", "n": "n1", "tok": 4}
-    assert not lead.handle(vote)["ok"] and not lead.handle(ping)["ok"] and not lead.campaign.may_begin()
-    asyncio.run(put_up(lead.fence))
-    assert lead.campaign.may_begin() and lead.handle(vote)["ok"]
+    assert (
+        not lead.handle_peer_message(vote)["ok"]
+        and not lead.handle_peer_message(ping)["ok"]
+        and not lead.election.may_start()
+    )
+    asyncio.run(put_up(lead.vote_fence))
+    assert lead.election.may_start() and lead.handle_peer_message(vote)["ok"]
 
 
 def test_a_node_that_the_service_refuses_votes_and_supports_all_the_same(lead: Leadership, state: FakeState):
     """Nobody could lead if nodes restarted in an outage."""
     state.mode = "down"
-    asyncio.run(put_up(lead.fence))
-    assert not lead.fence.stamp
-    answer = lead.handle({"t": "vote", "n": "n1", "campaign": 1})
+    asyncio.run(put_up(lead.vote_fence))
+    assert not lead.vote_fence.version
+    answer = lead.handle_peer_message({"t": "vote", "n": "n1", "campaign": 1})
     assert answer["ok"] and answer["fence"] == 0
-    assert lead.handle({"t": "ping", "n": "n1", "tok": 4})["ok"]
+    assert lead.handle_peer_message({"t": "ping", "n": "n1", "tok": 4})["ok"]
 
 
 def test_a_vote_names_the_stamp_of_the_voter_s_key(lead: Leadership, state: FakeState):
-    asyncio.run(put_up(lead.fence))
-    answer = lead.handle({"t": "vote", "n": "n1", "campaign": 1})
+    asyncio.run(put_up(lead.vote_fence))
+    answer = lead.handle_peer_message({"t": "vote", "n": "n1", "campaign": 1})
     assert answer["ok"] and answer["fence"] == state.keys[MY_KEY][1] > 0
 
 
@@ -81,15 +85,15 @@
     """n2 runs an older program and names no key; n1's and the candidate's own are conditions."""
 
     async def campaign():
-        await put_up(lead.fence)
+        await put_up(lead.vote_fence)
         if restarted is not None:
             state.epoch += 1
-            state.keys[keys.VOTER + restarted] = ({"process": 9}, state.epoch)
-        await lead.campaign.run()
+            state.keys[keys.VOTE_FENCE_PREFIX + restarted] = ({"process": 9}, state.epoch)
+        await lead.election.run_once()
 
     asyncio.run(campaign())
     assert (lead.role is Role.LEADER) == (restarted in (None, "n2"))
-    assert (keys.LEADER in state.keys) == (restarted in (None, "n2"))
+    assert (keys.LEADER_KEY in state.keys) == (restarted in (None, "n2"))
 
 
 def test_the_leader_key_is_read_after_the_fence_and_before_anybody_is_supported(lead: Leadership, state: FakeState):
@@ -99,22 +103,22 @@
     async def commit_after_a_late_write(when, put=(), **more):
         if put[0][0] == MY_KEY:
             state.epoch += 1
-            state.keys[keys.LEADER] = ({"node": "n2", "mode": "promise"}, state.epoch)
+            state.keys[keys.LEADER_KEY] = ({"node": "n2", "mode": "promise"}, state.epoch)
         return await write(when, put, **more)
 
     state.commit = commit_after_a_late_write
-    asyncio.run(put_up(lead.fence))
-    assert lead.key.node == "n2"
-    assert not lead.handle({"t": "ping", "n": "n1", "tok": lead.key.stamp - 1})["ok"]
-    assert lead.handle({"t": "ping", "n": "n2", "tok": lead.key.stamp})["ok"]
+    asyncio.run(put_up(lead.vote_fence))
+    assert lead.leader_key.leader == "n2"
+    assert not lead.handle_peer_message({"t": "ping", "n": "n1", "tok": lead.leader_key.version - 1})["ok"]
+    assert lead.handle_peer_message({"t": "ping", "n": "n2", "tok": lead.leader_key.version})["ok"]
 
 
 def test_a_leader_whose_key_is_gone_behind_the_fence_is_not_supported_again(lead: Leadership, state: FakeState):
     """A forgotten vote's write may have replaced its key, and be gone again."""
     state.epoch = 40
-    asyncio.run(put_up(lead.fence))
-    assert not lead.handle({"t": "ping", "n": "n1", "tok": 30})["ok"]
-    assert lead.handle({"t": "ping", "n": "n1", "tok": 42})["ok"]
+    asyncio.run(put_up(lead.vote_fence))
+    assert not lead.handle_peer_message({"t": "ping", "n": "n1", "tok": 30})["ok"]
+    assert lead.handle_peer_message({"t": "ping", "n": "n1", "tok": 42})["ok"]
 
 
 def test_the_key_is_written_on_the_condition_of_what_was_read(lead: Leadership, state: FakeState):
@@ -128,17 +132,17 @@
         return await write(when, put, **more)
 
     state.commit = commit
-    asyncio.run(put_up(lead.fence))
-    assert seen == [[(MY_KEY, 2)]] and state.keys[MY_KEY][0] == {"process": lead.fence.process}
+    asyncio.run(put_up(lead.vote_fence))
+    assert seen == [[(MY_KEY, 2)]] and state.keys[MY_KEY][0] == {"process": lead.vote_fence.incarnation}
 
 
 def test_a_write_without_an_answer_is_known_by_its_process_number(lead: Leadership, state: FakeState):
     async def scenario():
         state.mode = "ghost"
-        with pytest.raises(Unknown):
-            await lead.fence._write()
+        with pytest.raises(OutcomeUnknownError):
+            await lead.vote_fence._write()
         state.mode = "ok"
         before = state.keys[MY_KEY]
-        assert await lead.fence._write() == before[1] and state.keys[MY_KEY] == before
+        assert await lead.vote_fence._write() == before[1] and state.keys[MY_KEY] == before
 
     asyncio.run(scenario())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,8 +20,8 @@
 from aiohttp import web
 from world import World
 
-from hookwall.config.platform import Workers
-from hookwall.protocol.http_client import NoAnswer
+from hookwall.config.platform import WorkerTimings
+from hookwall.protocol.http_client import NoResponseError
 from hookwall.storage import keys
 
 ROOT = Path(__file__).parent.parent
@@ -77,7 +77,7 @@
                 status, raw = await call(
                     name, request.method, request.path_qs, json.loads(body) if body else None, 70.0
                 )
-            except NoAnswer:
+            except NoResponseError:
                 status, raw = 504, b"{}"
             return web.Response(status=status, body=raw, content_type="application/json")
 
@@ -129,7 +129,7 @@
 
     def leader_name(self) -> str | None:
         """Who is named by the leader key."""
-        stored = self.service.keys.get(keys.LEADER)
+        stored = self.service.keys.get(keys.LEADER_KEY)
         return None if stored is None else stored[0].get("node")
 
     async def call(self, *words: str) -> tuple[int, Any]:
@@ -173,7 +173,7 @@
             await runner.cleanup()
 
 
-WORKERS = Workers(report_s=1.0, lease_s=12.0, gang_wait_s=40.0, gang_peer_s=8.0, cancel_s=37.0)
+WORKERS = WorkerTimings(report_s=1.0, lease_s=12.0, gang_wait_s=40.0, gang_peer_s=8.0, cancel_s=37.0)
 
 
 def play_loopback(
--- a/tests/node/test_cost.py
+++ b/tests/node/test_cost.py
@@ -7,8 +7,8 @@
 from conftest import Clock
 from leading_node import leading, report
 
-from hookwall.config.platform import Params
-from hookwall.leadership.peer_transport import MAX_FRAME, frame
+from hookwall.config.platform import PlatformParameters
+from hookwall.leadership.peer_transport import MAX_FRAME_BYTES, encode_frame
 from hookwall.node.node import Node
 
 FLEETS = (400, 4000)
@@ -31,18 +31,18 @@
 
 
 @pytest.fixture
-def fleets(params: Params, clock: Clock):
+def fleets(params: PlatformParameters, clock: Clock):
     return [leading(params, clock, machines) for machines in FLEETS]
 
 
 def test_a_report_costs_the_same_in_any_fleet(fleets):
-    small, large = (operations(lambda node=node: node.beats.take(report(7, 2))) for node in fleets)
+    small, large = (operations(lambda node=node: node.heartbeat_router.respond(report(7, 2))) for node in fleets)
     assert 0 < large <= small
 
 
 def test_a_poll_costs_the_same_in_any_fleet(fleets):
     def poll(node: Node) -> None:
-        answer = node.api._state(node.table.jobs["run-000007"])
+        answer = node.job_service.job_response(node.job_table.jobs["run-000007"])
         with pytest.raises(StopIteration):
             answer.send(None)
 
@@ -52,32 +52,32 @@
 
 def test_an_answer_to_a_ping_costs_the_same_in_any_fleet(fleets):
     ping = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3}
-    small, large = (operations(lambda node=node: node.leadership.handle(ping)) for node in fleets)
+    small, large = (operations(lambda node=node: node.leadership.handle_peer_message(ping)) for node in fleets)
     assert 0 < large <= small
 
 
 def test_a_kept_lease_costs_the_same_in_any_fleet(fleets):
     """A follower answers a worker whose name its key has already."""
     for node in fleets:
-        node.keeper.kept = set(node.fleet.machines)
-    small, large = (operations(lambda node=node: node.keeper.valid("vm-000007")) for node in fleets)
+        node.lease_delegate.delegated = set(node.fleet.machines)
+    small, large = (operations(lambda node=node: node.lease_delegate.covers("vm-000007")) for node in fleets)
     assert 0 < large <= small
 
 
-def test_the_machine_list_takes_half_of_the_cloud_s_requests_at_most(fleets, params: Params):
+def test_the_machine_list_takes_half_of_the_cloud_s_requests_at_most(fleets, params: PlatformParameters):
     for node in fleets:
-        lists = node.renting.lists
+        lists = node.scale_out.inventory
         pages = -(-len(node.fleet.machines) // lists.client.page_size)
-        assert lists.every_s() >= max(4.0, 2 * pages / params.cloud.rps)
-    assert fleets[0].renting.lists.every_s() == 4.0, "small fleets are listed as often as before"
+        assert lists.interval_s() >= max(4.0, 2 * pages / params.cloud.rps)
+    assert fleets[0].scale_out.inventory.interval_s() == 4.0, "small fleets are listed as often as before"
 
 
 def test_rounds_of_a_full_fleet_cost_a_few_operations_a_machine(fleets):
     """A round looks at each machine's free capacity. What it does beside that is bounded by its budget of time."""
     costs = []
     for node in fleets:
-        node.fleet.expire(node.clock())
-        costs.append(operations(lambda node=node: node.fleet.expire(node.clock())))
+        node.fleet.expire_leases(node.clock())
+        costs.append(operations(lambda node=node: node.fleet.expire_leases(node.clock())))
     assert costs[1] <= 5 * FLEETS[1]
 
 
@@ -85,5 +85,5 @@
     for node in fleets:
         for machine in node.fleet.machines.values():
             for image in range(12):
-                machine.images[node.fleet.images.of(f"img-{image:03d}")] = 4.0
-        assert len(frame({"t": "ping", "hint": node.fleet.hints.tell()})) < MAX_FRAME
+                machine.cached_images[node.fleet.image_names.index_of(f"img-{image:03d}")] = 4.0
+        assert len(encode_frame({"t": "ping", "hint": node.fleet.successor_hints.next_message()})) < MAX_FRAME_BYTES
--- a/tests/pipeline_histories.py
+++ b/tests/pipeline_histories.py
@@ -19,13 +19,17 @@
 from histories import History, Invariants, broken_in, play_range
 from world import World
 
-from hookwall.config.platform import NextState, State
-from hookwall.storage.storage_version import Format
+from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
+from hookwall.storage.storage_version import StorageVersion
 
 MACHINES = 8
 FORMATS = [0, 0, 1, 2, 2]  # that the nodes begin with; 0: the current program
-SMALL_STATE = State(
-    rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(write_rps=21.0, value_kb=1.0, txn_ops=4)
+SMALL_STATE = StoreLimits(
+    rps=150.0,
+    write_rps=30.0,
+    value_kb=16.0,
+    txn_ops=12,
+    next=UpcomingStoreLimits(write_rps=21.0, value_kb=1.0, txn_ops=4),
 )
 TRAFFIC_S = 45.0
 QUIET_S = 20.0  # after the last trouble
@@ -174,7 +178,7 @@
         asking.cancel()
         await self._all_end(world)
         for node in world.nodes.values():
-            if not node.formats.all_know(Format.NUMBERED):
+            if not node.storage_version.supported_by_all(StorageVersion.NUMBERED_MACHINES):
                 world.broken.append("a node does not know that all are new")
 
     async def _begin(self, trouble) -> None:
--- a/tests/production.py
+++ b/tests/production.py
@@ -14,9 +14,9 @@
 from conftest import Clock
 
 from hookwall.node.node import Node
-from hookwall.protocol.peer_messages import About
+from hookwall.protocol.peer_messages import PeerStatus
 from hookwall.storage import keys
-from hookwall.storage.storage_version import Format, FormatGate
+from hookwall.storage.storage_version import StorageVersion, StorageVersionGate
 
 SPEC_FIELDS = {
     "ref": str, "hookset": str, "owner": str, "shape": str, "rank": str, "pieces": int, "cores": float,
@@ -60,36 +60,39 @@
     """A node that writes and says only what programs of format 1 do, and reports what they would misread."""
 
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
-        limits = settings.settings
+        limits = settings.platform
         limits = msgspec.structs.replace(limits, state=msgspec.structs.replace(limits.state, next=None))
-        super().__init__(msgspec.structs.replace(settings, settings=limits), clock, wall)
+        super().__init__(msgspec.structs.replace(settings, platform=limits), clock, wall)
         self.broken = broken
-        self.leadership.about, self.leadership.on_about = About, lambda node, about: None
-        self.leadership.fence = None
-        self.formats.heard_of.clear()
-        self.writer.new_formats = self.api.new_formats = lambda: False
-        self.keeper.packs = self.keeper.numbers = lambda: False
-        submit = self.api.submit
-        self.api.submit = lambda body: submit(without_needs(body))
+        self.leadership.local_status, self.leadership.on_peer_status = PeerStatus, lambda node, about: None
+        self.leadership.vote_fence = None
+        self.storage_version.reported_versions.clear()
+        self.job_writer.packing_enabled = self.job_service.packing_enabled = lambda: False
+        self.lease_delegate.packed_names = self.lease_delegate.numbered_names = lambda: False
+        submit = self.job_service.submit
+        self.job_service.submit = lambda body: submit(without_needs(body))
 
     def _take_key(self, key: str, value: Any, stamp: int) -> None:
-        if key.startswith(keys.JOBS):
+        if key.startswith(keys.JOB_PREFIX):
             wrong = misread(value)
             if wrong:
                 self.broken.append(f"format 1 misreads {key}: {wrong}")
-        if key.startswith((keys.JOBS, keys.LEADER, keys.KEEP, keys.CATALOG)):
+        if key.startswith((keys.JOB_PREFIX, keys.LEADER_KEY, keys.LEASE_DELEGATE_PREFIX, keys.CATALOG_KEY)):
             super()._take_key(key, value, stamp)
 
 
-class Format2Gate(FormatGate):
+class Format2Gate(StorageVersionGate):
     """Markers as programs of format 2 know them: they never replace one, whatever it says."""
 
-    def heard(self, node: str, known: object) -> None:
-        super().heard(node, Format.PIPELINES if isinstance(known, int) and known >= Format.PIPELINES else None)
+    def record_reported_version(self, node: str, known: object) -> None:
+        super().record_reported_version(
+            node,
+            StorageVersion.DEPENDENCIES if isinstance(known, int) and known >= StorageVersion.DEPENDENCIES else None,
+        )
 
-    async def _mark(self, node: str, known: int) -> None:
+    async def _store_marker(self, node: str, known: int) -> None:
         if node not in self.markers:
-            await super()._mark(node, known)
+            await super()._store_marker(node, known)
 
 
 class Format2Node(Node):
@@ -98,19 +101,21 @@
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
         self.broken = broken
-        self.leadership.fence = None
-        self.formats = Format2Gate(settings.node_name, [s.node_name for s in settings.seeds], self.store, 2)
-        self.writer.new_formats = self.api.new_formats = self.keeper.packs = self.formats.pipelines
-        self.keeper.numbers = lambda: False
+        self.leadership.vote_fence = None
+        self.storage_version = Format2Gate(settings.node_name, [s.node_name for s in settings.seeds], self.store, 2)
+        self.job_writer.packing_enabled = self.job_service.packing_enabled = self.lease_delegate.packed_names = (
+            self.storage_version.allows_dependencies
+        )
+        self.lease_delegate.numbered_names = lambda: False
 
     def _take_key(self, key: str, value: Any, stamp: int) -> None:
-        if key.startswith(keys.JOBS):
+        if key.startswith(keys.JOB_PREFIX):
             unknown = value.keys() - RECORD_FIELDS - FORMAT_2_FIELDS
             if unknown:
                 self.broken.append(f"format 2 misreads {key}: {unknown}")
-        if key.startswith(keys.KEEP) and not {"machines", "packed"} & value.keys():
+        if key.startswith(keys.LEASE_DELEGATE_PREFIX) and not {"machines", "packed"} & value.keys():
             self.broken.append(f"format 2 takes {key} to name any machine")
-        if not key.startswith(keys.VOTER):
+        if not key.startswith(keys.VOTE_FENCE_PREFIX):
             super()._take_key(key, value, stamp)
 
 
@@ -119,8 +124,8 @@
 
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
-        self.formats.current = Format.NUMBERED
-        self.formats.heard_of = {settings.node_name: int(Format.NUMBERED)}
+        self.storage_version.current_version = StorageVersion.NUMBERED_MACHINES
+        self.storage_version.reported_versions = {settings.node_name: int(StorageVersion.NUMBERED_MACHINES)}
 
 
 OLD_NODES = {1: Format1Node, 2: Format2Node, 3: Format3Node}
--- a/tests/protocol/test_messages.py
+++ b/tests/protocol/test_messages.py
@@ -4,7 +4,15 @@
 from conftest import Clock, FakeState
 
 from hookwall.leadership.state_machine import Leadership
-from hookwall.protocol.peer_messages import About, Kind, PeerAnswer, PeerMessage, decode_answer, decode_message, encode
+from hookwall.protocol.peer_messages import (
+    MessageKind,
+    PeerMessage,
+    PeerResponse,
+    PeerStatus,
+    decode_message,
+    decode_response,
+    encode_message,
+)
 
 PING = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3, "format": 2, "lowered": False}
 
@@ -12,16 +20,22 @@
 def test_a_message_is_read_as_it_was_sent():
     message = decode_message(PING)
     assert message == PeerMessage(
-        kind=Kind.PING, node="n1", token=4, state_ok=True, position=3, format=2, lowered=False
-    )  # fmt: skip
-    assert encode(message) == PING and message.about() == About(2, False)
+        kind=MessageKind.HEARTBEAT,
+        sender="n1",
+        fencing_token=4,
+        store_reachable=True,
+        revision=3,
+        storage_version=2,
+        limits_lowered=False,
+    )
+    assert encode_message(message) == PING and message.sender_status() == PeerStatus(2, False)
 
 
 @pytest.mark.parametrize("name", ["tok", "sok", "pos", "format", "lowered"])
 @pytest.mark.parametrize("nonsense", ["four", [], {"a": 1}, 1.5])
 def test_a_field_that_can_t_be_read_counts_as_missing(name, nonsense):
     expected = {key: value for key, value in PING.items() if key != name}
-    assert encode(decode_message({**PING, name: nonsense})) == expected
+    assert encode_message(decode_message({**PING, name: nonsense})) == expected
 
 
 @pytest.mark.parametrize("change", [{"t": 3}, {"n": None}, {"t": None}])
@@ -30,11 +44,16 @@
 
 
 def test_a_kind_that_only_newer_programs_know_is_refused_but_tells_how_this_node_is(clock: Clock, state: FakeState):
-    state.last_ok = clock()
+    state.last_response_at = clock()
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
-    lead.about = lambda: About(4, False)
-    answer = decode_answer(lead.handle({"t": "sing", "n": "n1"}))
-    assert not answer.ok and answer.state_ok and answer.top == 0 and answer.about() == About(4, False)
+    lead.local_status = lambda: PeerStatus(4, False)
+    answer = decode_response(lead.handle_peer_message({"t": "sing", "n": "n1"}))
+    assert (
+        not answer.granted
+        and answer.store_reachable
+        and answer.highest_token == 0
+        and answer.sender_status() == PeerStatus(4, False)
+    )
 
 
 def test_unknown_fields_are_ignored():
@@ -42,10 +61,10 @@
 
 
 def test_an_answer_that_says_nothing_refuses():
-    assert decode_answer({}) == PeerAnswer() and not decode_answer({"ok": "yes"}).ok
-    assert encode(PeerAnswer()) == {"ok": False, "sok": False}
+    assert decode_response({}) == PeerResponse() and not decode_response({"ok": "yes"}).granted
+    assert encode_message(PeerResponse()) == {"ok": False, "sok": False}
 
 
 def test_that_the_state_service_fails_is_sent_too():
     """A peer that hears nothing of it goes on believing what it heard last."""
-    assert encode(PeerMessage(kind=Kind.PING, node="n1", state_ok=False))["sok"] is False
+    assert encode_message(PeerMessage(kind=MessageKind.HEARTBEAT, sender="n1", store_reachable=False))["sok"] is False
--- a/tests/scheduling/test_fit.py
+++ b/tests/scheduling/test_fit.py
@@ -4,7 +4,7 @@
 import pytest
 from conftest import CATALOG, Cluster
 
-from hookwall.scheduling.fit import fit_of
+from hookwall.scheduling.fit import task_fit
 
 
 @pytest.mark.parametrize(
@@ -20,13 +20,13 @@
     ],
 )
 def test_what_a_task_takes_of_a_machine(cluster: Cluster, needs, weight, whole):
-    fit = fit_of(cluster.submit(1, **needs), cluster.fleet)
-    assert (fit.weight, fit.whole, fit.wait_s) == (weight, whole, 25.0 + 5.0 / 0.5)
+    fit = task_fit(cluster.submit(1, **needs), cluster.fleet)
+    assert (fit.machine_share, fit.needs_whole_machine, fit.startup_s) == (weight, whole, 25.0 + 5.0 / 0.5)
 
 
 def test_a_new_catalog_is_taken_into_account(cluster: Cluster):
     job = cluster.submit(1, cards=1.0)
-    assert fit_of(job, cluster.fleet).weight == 0.25
-    larger = msgspec.structs.replace(CATALOG.types[0], gpus=8.0, cpus=64.0, memory=512.0, boot_s=40.0)
+    assert task_fit(job, cluster.fleet).machine_share == 0.25
+    larger = msgspec.structs.replace(CATALOG.types[0], gpus=8.0, cpus=64.0, memory_gb=512.0, boot_s=40.0)
     cluster.fleet.set_catalog(msgspec.structs.replace(CATALOG, types=[larger]))
-    assert (fit_of(job, cluster.fleet).weight, fit_of(job, cluster.fleet).wait_s) == (0.125, 50.0)
+    assert (task_fit(job, cluster.fleet).machine_share, task_fit(job, cluster.fleet).startup_s) == (0.125, 50.0)
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -4,15 +4,22 @@
 
 import pytest
 
-from hookwall.scheduling.placement import Ask, Room, _tie, idle, place, units
+from hookwall.scheduling.placement import (
+    FreeCapacity,
+    ResourceRequest,
+    idle_capacity,
+    place,
+    placeable_task_count,
+    tie_break_key,
+)
 
 
-def room(i, gpus, zone=0, spot=False, cpus=100.0, memory=1000.0, warm=(), type_=0, price=1.0) -> Room:
-    return Room(i, type_, zone, spot, cpus, float(gpus), memory, price, 0.0, frozenset(warm))
+def room(i, gpus, zone=0, spot=False, cpus=100.0, memory=1000.0, warm=(), type_=0, price=1.0) -> FreeCapacity:
+    return FreeCapacity(i, type_, zone, spot, cpus, float(gpus), memory, price, 0.0, frozenset(warm))
 
 
-def ask(count, gang=True, gpus=1.0, **more) -> Ask:
-    return Ask(count, more.pop("total", count), gang, more.pop("cpus", 1.0), gpus, 1.0, **more)
+def ask(count, gang=True, gpus=1.0, **more) -> ResourceRequest:
+    return ResourceRequest(count, more.pop("total", count), gang, more.pop("cpus", 1.0), gpus, 1.0, **more)
 
 
 def test_the_tightest_machine_that_holds_the_whole_job_takes_it():
@@ -55,14 +62,14 @@
     assert {i for i, _ in place(ask(5, one_zone=True), rooms)} == {1, 2}
     assert place(ask(6, one_zone=True), rooms) == []
     # A task that may still be somewhere binds the others to its zone.
-    assert place(ask(1, one_zone=True, gang=False, in_zone={0: 1}), rooms) == [(0, 1)]
+    assert place(ask(1, one_zone=True, gang=False, tasks_by_zone={0: 1}), rooms) == [(0, 1)]
 
 
 def test_spread_counts_tasks_that_may_still_be_somewhere():
     rooms = [room(0, 9, zone=0), room(1, 9, zone=1)]
     got = dict(place(ask(9, spread=True), rooms))
     assert max(got.values()) == 5 and sum(got.values()) == 9
-    got = dict(place(ask(4, gang=False, spread=True, total=9, in_zone={0: 5}), rooms))
+    got = dict(place(ask(4, gang=False, spread=True, total=9, tasks_by_zone={0: 5}), rooms))
     assert got == {1: 4}
 
 
@@ -118,7 +125,7 @@
 
 def test_among_machines_with_the_image_the_one_that_others_need_least_is_taken():
     rooms = [room(0, 4, warm=[7, 8]), room(1, 4, warm=[7])]
-    rooms[0].stock, rooms[1].stock = 30.0, 10.0
+    rooms[0].on_demand_image_gb, rooms[1].on_demand_image_gb = 30.0, 10.0
     assert place(ask(4, image=7), rooms) == [(1, 4)]
 
 
@@ -126,14 +133,14 @@
     """HAS as the paper states it, one machine at a time."""
     result, left, rooms = [], ask.count, list(rooms)
     while left > 0:
-        able = [(r, min(left, units(ask, r))) for r in rooms if units(ask, r) > 0]
+        able = [(r, min(left, placeable_task_count(ask, r))) for r in rooms if placeable_task_count(ask, r) > 0]
         if not able:
             break
         holders = [r for r, n in able if n >= left]
         if holders:
-            room, take = min(holders, key=lambda r: (idle(ask, r), *_tie(ask, r))), left
+            room, take = min(holders, key=lambda r: (idle_capacity(ask, r), *tie_break_key(ask, r))), left
         else:
-            room, take = min(able, key=lambda p: (-p[1], -idle(ask, p[0]), *_tie(ask, p[0])))
+            room, take = min(able, key=lambda p: (-p[1], -idle_capacity(ask, p[0]), *tie_break_key(ask, p[0])))
         rooms.remove(room)
         result.append((room.index, take))
         left -= take
@@ -144,12 +151,23 @@
 def test_any_job_is_placed_as_the_paper_says(seed):
     rng = random.Random(seed)
     rooms = [
-        Room(i, 0, i % 2, rng.random() < 0.4, rng.randint(0, 48), rng.randint(0, 8), rng.choice([16.0, 64.0, 192.0]),
-             rng.choice([4.0, 10.0]), 0.0, {1} if rng.random() < 0.3 else set(), rng.choice([0.0, 9.0]))
+        FreeCapacity(
+            i,
+            0,
+            i % 2,
+            rng.random() < 0.4,
+            rng.randint(0, 48),
+            rng.randint(0, 8),
+            rng.choice([16.0, 64.0, 192.0]),
+            rng.choice([4.0, 10.0]),
+            0.0,
+            {1} if rng.random() < 0.3 else set(),
+            rng.choice([0.0, 9.0]),
+        )
         for i in range(60)
-    ]  # fmt: skip
+    ]
     for _ in range(20):
-        ask = Ask(
+        ask = ResourceRequest(
             rng.choice([1, 2, 4, 30]), 30, rng.random() < 0.5, rng.choice([0.5, 5.0, 43.0]),
             rng.choice([0.0, 1.0, 8.0]), rng.choice([3.2, 18.0, 150.0]), image=2, spot=True,
         )  # fmt: skip
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -5,10 +5,10 @@
 from conftest import Cluster
 from pytest import MonkeyPatch
 
-from hookwall.config.platform import MachineLimits, Params
+from hookwall.config.platform import MachineLimits, PlatformParameters
 from hookwall.scheduling import scheduler as sched
-from hookwall.scheduling.round_state import MACHINE_BYTES, START_BYTES, StartRoom
-from hookwall.storage.job_records import plain
+from hookwall.scheduling.round_state import BYTES_PER_MACHINE, BYTES_PER_START, StartRecordBudget
+from hookwall.storage.job_records import encode_plain
 
 
 def up(cluster: Cluster, *names, **kw):
@@ -20,71 +20,71 @@
     up(cluster, "vm-1")
     late = cluster.submit(3, pieces=4, rank="urgent")
     early = cluster.submit(1, pieces=4)
-    cluster.scheduler.round()
-    assert len(late.active) == 4 and not early.active
+    cluster.scheduler.run_round()
+    assert len(late.allocations) == 4 and not early.allocations
 
 
 def test_a_teams_limit_counts_tasks_that_may_still_run(cluster: Cluster):
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4", "vm-5")
     a = cluster.submit(1, owner="red", pieces=12)
     b = cluster.submit(2, owner="red", pieces=12)
-    cluster.scheduler.round()
-    assert len(a.active) + len(b.active) == 16
+    cluster.scheduler.run_round()
+    assert len(a.allocations) + len(b.allocations) == 16
     a.phase = "withdrawn"
-    cluster.scheduler.round()
-    assert len(a.active) + len(b.active) == 16
+    cluster.scheduler.run_round()
+    assert len(a.allocations) + len(b.allocations) == 16
 
 
 def test_urgent_work_stops_lower_work_in_order_and_gets_its_place(cluster: Cluster):
     up(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.store()
-    report = [(f"{low.ref}/{i}", 1, "running", None) for i in range(4)]
+    report = [(f"{low.job_id}/{i}", 1, "running", None) for i in range(4)]
     cluster.beat("vm-1")
     cluster.beat("vm-1", report)
     high = cluster.submit(2, shape="ensemble", cards=4.0, cores=20.0, rank="urgent")
     other = cluster.submit(3, pieces=4, rank="low")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     assert [o[0] for o in cluster.beat("vm-1", report)] == ["stop"] * 4
     cluster.beat("vm-1", [(p, a, "exited", "halted") for p, a, _, _ in report])
-    cluster.scheduler.round()
-    assert len(high.active) == 1 and not other.active and not low.active
+    cluster.scheduler.run_round()
+    assert len(high.allocations) == 1 and not other.allocations and not low.allocations
 
 
 def test_equal_rank_is_not_stopped_without_a_guarantee(cluster: Cluster):
     up(cluster, "vm-1")
     first = cluster.submit(1, pieces=4)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.submit(2, pieces=4)
-    cluster.scheduler.round()
-    assert all(a.stop_grace is None for a in first.active.values())
+    cluster.scheduler.run_round()
+    assert all(a.stop_grace_s is None for a in first.allocations.values())
 
 
 def test_a_guarantee_takes_back_only_what_was_borrowed(cluster: Cluster):
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     blue = cluster.submit(1, owner="blue", pieces=12)
     grey = cluster.submit(2, owner="grey", pieces=4)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     red = cluster.submit(3, owner="red", pieces=8)
-    cluster.scheduler.round()
-    stopped = {j.ref: sum(a.stop_grace is not None for a in j.active.values()) for j in (blue, grey)}
-    assert stopped == {blue.ref: 4, grey.ref: 4}
-    assert red.ref in cluster.scheduler.waiting
+    cluster.scheduler.run_round()
+    stopped = {j.job_id: sum(a.stop_grace_s is not None for a in j.allocations.values()) for j in (blue, grey)}
+    assert stopped == {blue.job_id: 4, grey.job_id: 4}
+    assert red.job_id in cluster.scheduler.waiting
 
 
 def test_a_waiting_gang_is_not_starved_by_later_small_jobs(cluster: Cluster):
     up(cluster, "vm-1")
     small = cluster.submit(1, pieces=2)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.store()
     gang = cluster.submit(2, shape="ensemble", cards=4.0)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.clock.tick(1.5)
     up(cluster, "vm-1")
     later = cluster.submit(3, pieces=2)
-    cluster.scheduler.round()
-    assert not later.active and not gang.active and len(small.active) == 2
+    cluster.scheduler.run_round()
+    assert not later.allocations and not gang.allocations and len(small.allocations) == 2
 
 
 def test_a_round_out_of_time_goes_on_where_it_stopped(cluster: Cluster, monkeypatch: MonkeyPatch):
@@ -99,8 +99,8 @@
     monkeypatch.setattr(sched, "place", slow)
     served = []
     for _ in range(8):
-        more = cluster.scheduler.round()
-        served.append(sum(bool(j.active) for j in jobs))
+        more = cluster.scheduler.run_round()
+        served.append(sum(bool(j.allocations) for j in jobs))
         up(cluster, *[f"vm-{i}" for i in range(8)])
         if not more:
             break
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize(
     ("share", "budget_s"), [(0.36, 0.0306), (0.18, 0.0611), (0.13, 0.0846), (0.01, 0.12), (1.0, 0.011)]
 )
-def test_a_round_s_time_follows_the_share_of_a_core(cluster: Cluster, params: Params, share, budget_s):
+def test_a_round_s_time_follows_the_share_of_a_core(cluster: Cluster, params: PlatformParameters, share, budget_s):
     params = msgspec.structs.replace(params, machine_limits=MachineLimits(core_share=share))
     scheduler = sched.Scheduler(params, cluster.table, cluster.fleet, cluster.clock)
     assert scheduler.budget_s == pytest.approx(budget_s, rel=0.01)
@@ -120,20 +120,20 @@
     up(cluster, "vm-1")
     up(cluster, "vm-2")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.store()
     for n in ("vm-1", "vm-2"):
         cluster.beat(n)
-        t = next(a.task for a in gang.active.values() if a.machine == n)
-        cluster.beat(n, [(f"{gang.ref}/{t}", 1, "running", None)])
-    cluster.fleet.gone(cluster.fleet.machines["vm-1"], "deleted")
-    cluster.scheduler.round()
-    (left,) = gang.active.values()
-    assert left.stop_grace == 0.0
-    cluster.beat("vm-2", [(f"{gang.ref}/{left.task}", 1, "exited", "mates_gone")])
+        t = next(a.task for a in gang.allocations.values() if a.machine == n)
+        cluster.beat(n, [(f"{gang.job_id}/{t}", 1, "running", None)])
+    cluster.fleet.confirm_deletion(cluster.fleet.machines["vm-1"], "deleted")
+    cluster.scheduler.run_round()
+    (left,) = gang.allocations.values()
+    assert left.stop_grace_s == 0.0
+    cluster.beat("vm-2", [(f"{gang.job_id}/{left.task}", 1, "exited", "mates_gone")])
     up(cluster, "vm-3")
-    cluster.scheduler.round()
-    assert {a.attempt for a in gang.active.values()} == {2} and len(gang.active) == 2
+    cluster.scheduler.run_round()
+    assert {a.attempt for a in gang.allocations.values()} == {2} and len(gang.allocations) == 2
 
 
 def test_some_machines_are_kept_for_gangs_that_need_one_whole(cluster: Cluster):
@@ -143,29 +143,29 @@
     for _ in range(60):
         cluster.clock.tick(5.0)
         up(cluster, "vm-1", "vm-2")
-        cluster.scheduler.round()
-    assert len(gang.active) == 1
+        cluster.scheduler.run_round()
+    assert len(gang.allocations) == 1
     cluster.submit(2, pieces=8)
-    cluster.scheduler.round()
-    used = {m.name for m in cluster.fleet.machines.values() if m.entries}
-    assert used == {gang.active[0].machine}
+    cluster.scheduler.run_round()
+    used = {m.name for m in cluster.fleet.machines.values() if m.allocations}
+    assert used == {gang.allocations[0].machine}
 
 
 def test_urgent_work_makes_room_where_its_image_is_rather_than_fetch_elsewhere(cluster: Cluster):
     up(cluster, "vm-1", "vm-2")
     low = cluster.submit(1, pieces=4, rank="low")
-    cluster.scheduler.round()
-    (warm,) = {a.machine for a in low.active.values()}
+    cluster.scheduler.run_round()
+    (warm,) = {a.machine for a in low.allocations.values()}
     m = cluster.fleet.machines[warm]
-    m.images[cluster.fleet.images.of("img-9")] = 10.0
+    m.cached_images[cluster.fleet.image_names.index_of("img-9")] = 10.0
     urgent = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
-    cluster.scheduler.round()
-    assert not urgent.active and m.held_for == urgent.ref
-    for a in list(low.active.values()):
-        cluster.fleet.drop(low, a, "halted")
+    cluster.scheduler.run_round()
+    assert not urgent.allocations and m.reserved_for == urgent.job_id
+    for a in list(low.allocations.values()):
+        cluster.fleet.release_allocation(low, a, "halted")
     low.phase = "withdrawn"
-    cluster.scheduler.round()
-    assert urgent.active[0].machine == warm
+    cluster.scheduler.run_round()
+    assert urgent.allocations[0].machine == warm
 
 
 def test_a_gang_keeps_the_zone_that_was_chosen_for_it(cluster: Cluster):
@@ -173,55 +173,55 @@
         cluster.beat(name, zone=zone)
     fillers = [cluster.submit(n, pieces=1, cards=c, yard=z) for n, c, z in ((1, 2.0, "east"), (2, 2.0, "west"))]
     fillers.append(cluster.submit(3, pieces=1, cards=1.0, yard="west"))
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     gang = cluster.submit(4, shape="ensemble", pieces=2, cards=4.0, samePlace=True)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.clock.tick(2.0)
     for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
         cluster.beat(name, zone=zone)
-    cluster.scheduler.round()
-    zone = cluster.scheduler.waiting[gang.ref].zone
-    assert zone == cluster.fleet.zones.of("east")
-    cluster.fleet.drop(fillers[2], fillers[2].active[0], "done")
+    cluster.scheduler.run_round()
+    zone = cluster.scheduler.waiting[gang.job_id].zone
+    assert zone == cluster.fleet.zone_names.index_of("east")
+    cluster.fleet.release_allocation(fillers[2], fillers[2].allocations[0], "done")
     later = cluster.submit(5, pieces=4)
-    cluster.scheduler.round()
-    assert cluster.scheduler.waiting[gang.ref].zone == zone
-    assert {a.machine[0] for a in later.active.values()} == {"w"}
+    cluster.scheduler.run_round()
+    assert cluster.scheduler.waiting[gang.job_id].zone == zone
+    assert {a.machine[0] for a in later.allocations.values()} == {"w"}
 
 
 def test_a_cold_machine_held_for_a_job_is_taken_once_it_is_free(cluster: Cluster):
     """It was left empty for twelve seconds, as if the machine that had the image were on its way."""
     up(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     urgent = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
-    cluster.scheduler.round()
-    assert cluster.fleet.machines["vm-1"].held_for == urgent.ref
-    for a in list(low.active.values()):
-        cluster.fleet.drop(low, a, "halted")
-    cluster.scheduler.round()
-    assert urgent.active
+    cluster.scheduler.run_round()
+    assert cluster.fleet.machines["vm-1"].reserved_for == urgent.job_id
+    for a in list(low.allocations.values()):
+        cluster.fleet.release_allocation(low, a, "halted")
+    cluster.scheduler.run_round()
+    assert urgent.allocations
 
 
 def test_in_a_queue_a_machine_goes_to_the_job_whose_image_it_has(cluster: Cluster):
     up(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     running = cluster.submit(1, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     first = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
     second = cluster.submit(3, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
-    cluster.scheduler.round()
-    m.images[cluster.fleet.images.of("img-8")] = 10.0
-    cluster.fleet.drop(running, running.active[0], "halted")
+    cluster.scheduler.run_round()
+    m.cached_images[cluster.fleet.image_names.index_of("img-8")] = 10.0
+    cluster.fleet.release_allocation(running, running.allocations[0], "halted")
     running.phase = "withdrawn"
-    cluster.scheduler.round()
-    assert second.active and not first.active
+    cluster.scheduler.run_round()
+    assert second.allocations and not first.allocations
     # But not for ever.
-    cluster.fleet.drop(second, second.active[0], "halted")
+    cluster.fleet.release_allocation(second, second.allocations[0], "halted")
     cluster.clock.tick(8.0)
     up(cluster, "vm-1")
-    cluster.scheduler.round()
-    assert first.active
+    cluster.scheduler.run_round()
+    assert first.allocations
 
 
 def queue_of_pairs(cluster: Cluster):
@@ -229,129 +229,129 @@
     up(cluster, "vm-1", "vm-2")
     pair = {"shape": "ensemble", "pieces": 2, "cards": 4.0, "sizeGb": 10.0}
     running = cluster.submit(1, **pair, bundle="img-8")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     first, second = cluster.submit(2, **pair, bundle="img-9"), cluster.submit(3, **pair, bundle="img-8")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     for name in ("vm-1", "vm-2"):
-        cluster.fleet.has_image(cluster.fleet.machines[name], cluster.fleet.images.of("img-8"), 10.0)
-    for a in list(running.active.values()):
-        cluster.fleet.drop(running, a, "halted")
+        cluster.fleet.record_image_use(cluster.fleet.machines[name], cluster.fleet.image_names.index_of("img-8"), 10.0)
+    for a in list(running.allocations.values()):
+        cluster.fleet.release_allocation(running, a, "halted")
     running.phase = "withdrawn"
     return first, second
 
 
 def test_in_a_queue_gangs_of_several_leave_machines_to_the_gang_whose_image_they_have(cluster: Cluster):
     first, second = queue_of_pairs(cluster)
-    cluster.scheduler.round()
-    assert len(second.active) == 2 and not first.active
+    cluster.scheduler.run_round()
+    assert len(second.allocations) == 2 and not first.allocations
     # But not for ever: the fetch takes 20 s.
-    for a in list(second.active.values()):
-        cluster.fleet.drop(second, a, "halted")
+    for a in list(second.allocations.values()):
+        cluster.fleet.release_allocation(second, a, "halted")
     cluster.clock.tick(25.0)
     up(cluster, "vm-1", "vm-2")
-    cluster.scheduler.round()
-    assert len(first.active) == 2
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 2
 
 
 def test_a_gang_that_would_miss_the_last_start_its_class_is_promised_leaves_nothing(cluster: Cluster):
-    cluster.scheduler.last_start["k"] = 60.0
+    cluster.scheduler.latest_start_s["k"] = 60.0
     first, second = queue_of_pairs(cluster)
     cluster.clock.tick(45.0)  # and it has waited for 43 s, under whatever leader
     up(cluster, "vm-1", "vm-2")
     for w in cluster.scheduler.waiting.values():
-        w.since = w.served = cluster.clock()
-    cluster.scheduler.round()
-    assert len(first.active) == 2 and not second.active
+        w.since = w.last_served_at = cluster.clock()
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 2 and not second.allocations
 
 
 def test_gangs_of_a_queue_reserve_each_machine_once(cluster: Cluster):
     # What is still to be reserved is kept for a round, and must not name a machine twice.
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     cluster.submit(1, pieces=16)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     gangs = [cluster.submit(n, shape="ensemble", pieces=2, cards=4.0) for n in (2, 3, 4)]
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.clock.tick(1.5)
     up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
-    p = cluster.scheduler.view(cluster.clock())
+    p = cluster.scheduler.round_state(cluster.clock())
     for g in gangs:
-        cluster.scheduler.reservations.reserve(g, cluster.scheduler.ask(g, 2), p, cluster.clock())
-    assert sorted(p.held.values()) == [gangs[0].ref] * 2 + [gangs[1].ref] * 2
+        cluster.scheduler.reservations.reserve(g, cluster.scheduler.resource_request(g, 2), p, cluster.clock())
+    assert sorted(p.held.values()) == [gangs[0].job_id] * 2 + [gangs[1].job_id] * 2
 
 
 def test_in_a_queue_arrays_leave_freed_gpus_to_those_whose_image_is_there(cluster: Cluster):
     up(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     full = cluster.submit(1, pieces=4, bundle="img-8")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     first = cluster.submit(2, pieces=2, bundle="img-9", sizeGb=10.0)
     second = cluster.submit(3, pieces=2, bundle="img-8", sizeGb=10.0)
-    cluster.scheduler.round()
-    m.images[cluster.fleet.images.of("img-8")] = 10.0
-    cluster.fleet.drop(full, full.active[0], "done")
-    full.mark_done(0)
-    cluster.scheduler.round()
-    assert len(second.active) == 1 and not first.active
+    cluster.scheduler.run_round()
+    m.cached_images[cluster.fleet.image_names.index_of("img-8")] = 10.0
+    cluster.fleet.release_allocation(full, full.allocations[0], "done")
+    full.mark_task_done(0)
+    cluster.scheduler.run_round()
+    assert len(second.allocations) == 1 and not first.allocations
     cluster.clock.tick(15.0)
     up(cluster, "vm-1")
-    cluster.fleet.drop(full, full.active[1], "done")
-    full.mark_done(1)
-    cluster.scheduler.round()
-    assert len(first.active) == 1, "but not for ever"
+    cluster.fleet.release_allocation(full, full.allocations[1], "done")
+    full.mark_task_done(1)
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 1, "but not for ever"
 
 
 def test_what_is_free_already_is_kept_for_a_gang_that_makes_room_for_the_rest(cluster: Cluster):
     cluster.beat("vm-1")
     low = cluster.submit(1, rank="low", pieces=4)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.store()
     cluster.beat("vm-2")
     gang = cluster.submit(2, rank="urgent", shape="ensemble", pieces=2, cards=4.0, samePlace=True)
-    cluster.scheduler.round()
-    assert all(a.stop_grace is not None for a in low.active.values())
+    cluster.scheduler.run_round()
+    assert all(a.stop_grace_s is not None for a in low.allocations.values())
     small = cluster.submit(3, rank="low")
-    cluster.scheduler.round()
-    assert not small.active, "it would take the machine that the gang has already"
-    for a in list(low.active.values()):
-        cluster.fleet.drop(low, a, "halted")
-    cluster.scheduler.round()
-    assert {a.machine for a in gang.active.values()} == {"vm-1", "vm-2"}
+    cluster.scheduler.run_round()
+    assert not small.allocations, "it would take the machine that the gang has already"
+    for a in list(low.allocations.values()):
+        cluster.fleet.release_allocation(low, a, "halted")
+    cluster.scheduler.run_round()
+    assert {a.machine for a in gang.allocations.values()} == {"vm-1", "vm-2"}
 
 
 def test_arrays_leave_the_emptiest_machines_to_a_gang_that_waits(cluster: Cluster):
     """Older arrays refilled each GPU that was freed, and gangs of whole machines waited for minutes."""
     up(cluster, "vm-1", "vm-2")
     old = cluster.submit(1, pieces=20, loaners=True)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.store()
     gang = cluster.submit(2, shape="ensemble", cards=4.0)
-    cluster.scheduler.round()
-    for a in [a for a in old.active.values() if a.machine == "vm-1"]:
+    cluster.scheduler.run_round()
+    for a in [a for a in old.allocations.values() if a.machine == "vm-1"]:
         cluster.clock.tick(1.0)
-        old.mark_done(a.task)
-        cluster.fleet.drop(old, a, "done")
+        old.mark_task_done(a.task)
+        cluster.fleet.release_allocation(old, a, "done")
         up(cluster, "vm-1", "vm-2")
-        cluster.scheduler.round()
-    assert gang.active[0].machine == "vm-1"
+        cluster.scheduler.run_round()
+    assert gang.allocations[0].machine == "vm-1"
 
 
 def test_an_array_that_gets_nothing_for_long_takes_what_gangs_await(cluster: Cluster):
     up(cluster, "vm-1")
     old = cluster.submit(1, pieces=20, loaners=True)
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.store()
     gang = cluster.submit(2, shape="ensemble", pieces=2, cards=4.0)
-    cluster.scheduler.round()
-    first = next(iter(old.active.values()))
-    old.mark_done(first.task)
-    cluster.fleet.drop(old, first, "done")
-    cluster.scheduler.round()
-    assert len(old.active) == 3 and not gang.active
+    cluster.scheduler.run_round()
+    first = next(iter(old.allocations.values()))
+    old.mark_task_done(first.task)
+    cluster.fleet.release_allocation(old, first, "done")
+    cluster.scheduler.run_round()
+    assert len(old.allocations) == 3 and not gang.allocations
     for _ in range(40):
         cluster.clock.tick(2.0)
         up(cluster, "vm-1")
-        cluster.scheduler.round()
-    assert len(old.active) == 4, "the gang lacks a second machine, and the array starved"
+        cluster.scheduler.run_round()
+    assert len(old.allocations) == 4, "the gang lacks a second machine, and the array starved"
 
 
 def test_a_job_that_starves_takes_machines_that_are_kept_for_gangs_to_come(cluster: Cluster):
@@ -361,77 +361,79 @@
     for _ in range(60):
         cluster.clock.tick(5.0)
         up(cluster, "vm-1", "vm-2")
-        cluster.scheduler.round()
-    assert len(gang.active) == 1
+        cluster.scheduler.run_round()
+    assert len(gang.allocations) == 1
     array = cluster.submit(2, pieces=4)
-    cluster.scheduler.round()
-    assert not array.active
+    cluster.scheduler.run_round()
+    assert not array.allocations
     for _ in range(44):
         cluster.clock.tick(2.0)
         up(cluster, "vm-1", "vm-2")
-        cluster.scheduler.round()
-    assert len(array.active) == 4
+        cluster.scheduler.run_round()
+    assert len(array.allocations) == 4
 
 
 def test_what_is_reserved_in_vain_for_long_goes_to_a_job_that_starves(cluster: Cluster):
     """A gang waits for a second machine; the first stood idle for it, whoever else could have used it."""
     up(cluster, "vm-1")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0, rank="urgent")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     cluster.clock.tick(2.0)
     up(cluster, "vm-1")
-    cluster.scheduler.round()
+    cluster.scheduler.run_round()
     later = cluster.submit(2, rank="low")
     waited = 0.0
-    while not later.active:
-        cluster.scheduler.round()
+    while not later.allocations:
+        cluster.scheduler.run_round()
         cluster.clock.tick(2.0)
         waited += 2.0
         up(cluster, "vm-1")
         assert waited < 90.0
-    assert waited > 50.0 and not gang.active
+    assert waited > 50.0 and not gang.allocations
 
 
 def test_a_gang_that_starves_leaves_nothing_to_equals_whatever_the_fetch_takes(cluster: Cluster):
     first, second = queue_of_pairs(cluster)
     first.spec = msgspec.structs.replace(first.spec, image_gb=100.0)  # 200 s to fetch
-    cluster.scheduler.waiting[first.ref].served = cluster.clock() - 61.0
-    cluster.scheduler.round()
-    assert len(first.active) == 2 and not second.active
+    cluster.scheduler.waiting[first.job_id].last_served_at = cluster.clock() - 61.0
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 2 and not second.allocations
 
 
 def test_a_machine_on_which_a_job_failed_twice_is_tried_again_later(cluster: Cluster):
     """It was the only one with room, and the job waited for as long as it was."""
     up(cluster, "vm-1")
     job = cluster.submit(1)
-    job.errors, job.failed_at = {"vm-1": 2}, cluster.clock()
-    cluster.scheduler.round()
-    assert not job.active
+    job.failures_by_machine, job.last_failure_at = {"vm-1": 2}, cluster.clock()
+    cluster.scheduler.run_round()
+    assert not job.allocations
     for _ in range(40):
         cluster.clock.tick(2.0)
         up(cluster, "vm-1")
-        cluster.scheduler.round()
-    assert len(job.active) == 1
+        cluster.scheduler.run_round()
+    assert len(job.allocations) == 1
 
 
 def test_tasks_on_machines_that_only_records_name_count_in_every_zone(cluster: Cluster):
     job = cluster.submit(1, pieces=4, spread=True)
-    record = {**plain(job.record()), "on": [["vm-7", 1, 1, "0-1"]], "next": 2}
+    record = {**encode_plain(job.record()), "on": [["vm-7", 1, 1, "0-1"]], "next": 2}
     cluster.stamp += 1
-    cluster.table.apply("hookwall/job/" + job.ref, record, cluster.stamp)
+    cluster.table.apply_record("hookwall/job/" + job.job_id, record, cluster.stamp)
     up(cluster, "vm-1", zone="east")
     up(cluster, "vm-2", zone="west")
-    cluster.scheduler.round()
-    assert len(job.active) == 2, "vm-7 may be in either zone, and each may have two tasks"
-    cluster.beat("vm-7", [(f"{job.ref}/{i}", 1, "running", None) for i in (0, 1)], zone="east")
-    cluster.scheduler.round()
-    assert {a.machine for a in job.active.values()} == {"vm-7", "vm-2"}
+    cluster.scheduler.run_round()
+    assert len(job.allocations) == 2, "vm-7 may be in either zone, and each may have two tasks"
+    cluster.beat("vm-7", [(f"{job.job_id}/{i}", 1, "running", None) for i in (0, 1)], zone="east")
+    cluster.scheduler.run_round()
+    assert {a.machine for a in job.allocations.values()} == {"vm-7", "vm-2"}
 
 
 def test_a_large_record_may_name_more_starts_than_a_usual_one(cluster: Cluster):
     for n in range(1, 13):
         cluster.beat(f"vm-{n}")
-    cluster.scheduler.start_room = lambda: StartRoom(0.0, 20 * (MACHINE_BYTES + START_BYTES) + 1.0)
+    cluster.scheduler.start_record_budget = lambda: StartRecordBudget(
+        0.0, 20 * (BYTES_PER_MACHINE + BYTES_PER_START) + 1.0
+    )
     job = cluster.submit(1, pieces=40)
-    cluster.scheduler.round()
-    assert len(job.active) == 20
+    cluster.scheduler.run_round()
+    assert len(job.allocations) == 20
--- a/tests/storage/test_records.py
+++ b/tests/storage/test_records.py
@@ -8,17 +8,19 @@
 
 from hookwall.protocol import job_messages
 from hookwall.storage import job_records, keys
-from hookwall.storage.chunk_table import PartTable
-from hookwall.storage.job_records import JobRecord, MalformedRecord, MissingParts, RecordTooLarge
+from hookwall.storage.chunk_table import ChunkTable
+from hookwall.storage.job_records import JobRecord, MalformedRecordError, MissingChunksError, RecordTooLargeError
 
 REF = "run-000001"
-LIMIT = job_records.value_limit(2.0)
+LIMIT = job_records.usable_value_bytes(2.0)
 
 
 def record(starts: int = 0, tasks: int = 10, done: str = "", **changes) -> JobRecord:
     spec = msgspec.convert(description(1, pieces=tasks, **changes), job_messages.JobSpec)
     on = [(f"vm-{n * 7:06d}", 1 + n % 3, n % 9, f"{n}") for n in range(starts)]
-    return JobRecord(tasks=tasks, next_attempt=9, on=on, spec=spec, at=1_700_000_000.25, done=done)
+    return JobRecord(
+        task_count=tasks, next_attempt=9, allocations=on, spec=spec, submitted_at=1_700_000_000.25, done_tasks=done
+    )
 
 
 def ids(n: int, digits: int) -> list[str]:
@@ -26,7 +28,7 @@
     return [f"run-{rng.randrange(10 ** (digits - 1), 10**digits)}" for _ in range(n)]
 
 
-SCATTERED = job_records.pack_numbers(random.Random(5).sample(range(100_000), 3000))
+SCATTERED = job_records.encode_ranges(random.Random(5).sample(range(100_000), 3000))
 
 
 @pytest.mark.parametrize(
@@ -42,44 +44,44 @@
     ids=["plain", "packed", "description in parts", "both in parts", "longest submission"],
 )  # fmt: skip
 def test_a_record_fits_its_limit_and_is_read_again(value, forms):
-    encoded = job_records.encode(REF, value, LIMIT)
+    encoded = job_records.encode_record(REF, value, LIMIT)
     fixed, state, parts = forms
     packed = encoded.value.get("packed", {"fixed": {}, "state": {}})
     assert (type(packed["fixed"]), type(packed["state"])) == (fixed, state)
-    assert parts is None or len(encoded.parts) == parts
-    assert all(job_records.size(v) <= LIMIT for v in (encoded.value, *encoded.parts.values()))
-    assert job_records.part_keys(REF, encoded.value) == list(encoded.parts)
-    assert job_records.decode(REF, encoded.value, encoded.parts.get) == value
-    assert all(len(key) <= 200 and " " not in key for key in encoded.parts)
+    assert parts is None or len(encoded.chunks) == parts
+    assert all(job_records.json_bytes(v) <= LIMIT for v in (encoded.value, *encoded.chunks.values()))
+    assert job_records.chunk_keys(REF, encoded.value) == list(encoded.chunks)
+    assert job_records.decode_record(REF, encoded.value, encoded.chunks.get) == value
+    assert all(len(key) <= 200 and " " not in key for key in encoded.chunks)
 
 
 def test_the_description_is_written_once_while_the_state_changes():
-    first = job_records.encode(REF, record(starts=200, tasks=400, awaits=ids(120, 12)), LIMIT)
-    second = job_records.encode(REF, record(starts=250, tasks=400, awaits=ids(120, 12)), LIMIT)
+    first = job_records.encode_record(REF, record(starts=200, tasks=400, awaits=ids(120, 12)), LIMIT)
+    second = job_records.encode_record(REF, record(starts=250, tasks=400, awaits=ids(120, 12)), LIMIT)
     assert first.value["packed"]["fixed"] == second.value["packed"]["fixed"]
     assert first.value["packed"]["state"] != second.value["packed"]["state"]
 
 
 def test_a_record_whose_parts_are_not_known_says_which():
-    encoded = job_records.encode(REF, record(awaits=ids(300, 18)), LIMIT)
-    some = dict(list(encoded.parts.items())[1:])
-    with pytest.raises(MissingParts) as error:
-        job_records.decode(REF, encoded.value, some.get)
-    assert error.value.keys == [next(iter(encoded.parts))]
+    encoded = job_records.encode_record(REF, record(awaits=ids(300, 18)), LIMIT)
+    some = dict(list(encoded.chunks.items())[1:])
+    with pytest.raises(MissingChunksError) as error:
+        job_records.decode_record(REF, encoded.value, some.get)
+    assert error.value.keys == [next(iter(encoded.chunks))]
 
 
 def test_a_phase_that_is_changed_in_place_still_fits():
-    encoded = job_records.encode(REF, record(starts=90, tasks=200), LIMIT)
-    assert job_records.size({**encoded.value, "phase": "withdrawn"}) <= 2048
+    encoded = job_records.encode_record(REF, record(starts=90, tasks=200), LIMIT)
+    assert job_records.json_bytes({**encoded.value, "phase": "withdrawn"}) <= 2048
 
 
 def test_what_fits_in_no_form_is_refused():
-    with pytest.raises(RecordTooLarge):
-        job_records.encode(REF, record(awaits=ids(2500, 18)), job_records.value_limit(0.5))
+    with pytest.raises(RecordTooLargeError):
+        job_records.encode_record(REF, record(awaits=ids(2500, 18)), job_records.usable_value_bytes(0.5))
 
 
 def test_without_a_limit_the_form_is_the_one_that_every_version_reads():
-    assert "packed" not in job_records.encode(REF, record(starts=400, tasks=1000), None).value
+    assert "packed" not in job_records.encode_record(REF, record(starts=400, tasks=1000), None).value
 
 
 @pytest.mark.parametrize(
@@ -95,14 +97,14 @@
     ],
 )
 def test_a_malformed_record_is_an_error_of_its_own(value):
-    with pytest.raises(MalformedRecord):
-        job_records.decode(REF, value, lambda key: None)
+    with pytest.raises(MalformedRecordError):
+        job_records.decode_record(REF, value, lambda key: None)
 
 
 def test_a_part_that_was_written_again_since_its_removal_stays():
     """The watch may tell of the removal after this node has written the part anew."""
-    parts = PartTable()
-    key = f"{keys.PARTS}run-000001/abc"
+    parts = ChunkTable()
+    key = f"{keys.CHUNK_PREFIX}run-000001/abc"
     parts.add(key, "text", 5)
     parts.add(key, "text", 9)
     parts.remove(key, 7)
--- a/tests/workers/test_machine_names.py
+++ b/tests/workers/test_machine_names.py
@@ -5,10 +5,10 @@
 import pytest
 
 from hookwall.storage import job_records
-from hookwall.storage.job_records import MalformedRecord
+from hookwall.storage.job_records import MalformedRecordError
 from hookwall.workers import name_codec
 
-KEY_LIMIT = job_records.value_limit(2.0)  # of a state service that has lowered its limits
+KEY_LIMIT = job_records.usable_value_bytes(2.0)  # of a state service that has lowered its limits
 
 
 @pytest.mark.parametrize("numbers", [range(4000), range(8000)])
@@ -16,7 +16,7 @@
     names = [f"vm-{n:06d}" for n in random.Random(5).sample(numbers, 2000)]
     value = name_codec.encode(names)
     assert sorted(name_codec.decode(value)) == sorted(names)
-    assert job_records.size({"token": 10**9, "numbered": value}) <= KEY_LIMIT
+    assert job_records.json_bytes({"token": 10**9, "numbered": value}) <= KEY_LIMIT
 
 
 def test_names_of_any_kind_are_kept():
@@ -30,5 +30,5 @@
     bad = [None, [], {}, {"groups": [], "others": 1}, {**good, "groups": [["vm-", 1]]}]
     bad += [{**good, "groups": [["vm-", 1, text]]} for text in ("nonsense", job_records.compress("text"), backwards)]
     for value in bad:
-        with pytest.raises(MalformedRecord):
+        with pytest.raises(MalformedRecordError):
             name_codec.decode(value)
--- a/tests/world.py
+++ b/tests/world.py
@@ -19,14 +19,23 @@
 from production import OLD_NODES
 
 from hookwall.config.operations import Operations
-from hookwall.config.platform import Cloud, External, Params, Seed, Settings, State, Team, Workers
+from hookwall.config.platform import (
+    CloudLimits,
+    ExternalServices,
+    PeerSeed,
+    PlatformParameters,
+    Settings,
+    StoreLimits,
+    TeamQuota,
+    WorkerTimings,
+)
 from hookwall.node.node import Node
-from hookwall.protocol.http_client import NoAnswer
+from hookwall.protocol.http_client import NoResponseError
 
 STEP_S = 0.1
 RUNS_IN: contextvars.ContextVar[str] = contextvars.ContextVar("the node that a task belongs to")
 WIRE_S = 0.002
-WORKERS = Workers(report_s=2.0, lease_s=12.0, gang_wait_s=40.0, gang_peer_s=8.0, cancel_s=37.0)
+WORKERS = WorkerTimings(report_s=2.0, lease_s=12.0, gang_wait_s=40.0, gang_peer_s=8.0, cancel_s=37.0)
 
 
 def path(url: str) -> str:
@@ -107,7 +116,7 @@
         await asyncio.sleep(self.latency_s / 2)
         if node in self.cut:
             await asyncio.sleep(timeout)
-            raise NoAnswer("cut")
+            raise NoResponseError("cut")
         if self.blocked(node):
             return 503, b"{}"
         if path == "/commit":
@@ -115,7 +124,7 @@
             if after is not None:
                 asyncio.get_running_loop().call_later(after, self.commit, body)
                 await asyncio.sleep(timeout)
-                raise NoAnswer("late")
+                raise NoResponseError("late")
         if path.startswith("/changes"):
             status, out = await self.watch(node, path, timeout)
         else:
@@ -124,7 +133,7 @@
         await asyncio.sleep(self.latency_s / 2 + late_s)
         if node in self.cut:
             await asyncio.sleep(timeout)
-            raise NoAnswer("cut")
+            raise NoResponseError("cut")
         return status, json.dumps(out).encode()
 
     def answer(self, node: str, method: str, path: str, body: Any) -> tuple[int, dict]:
@@ -154,7 +163,7 @@
     def lower(self) -> None:
         """The limits to come are in force, without notice."""
         now, later = self.limits, self.limits.next
-        self.limits = State(*now.rates(True), later.value_kb or now.value_kb, later.txn_ops or now.txn_ops)
+        self.limits = StoreLimits(*now.rates_per_s(True), later.value_kb or now.value_kb, later.txn_ops or now.txn_ops)
         self.largest = 0
 
     def over_limits(self, changes: list[dict]) -> tuple[int, dict] | None:
@@ -201,7 +210,7 @@
             if not self.blocked(node) and node not in self.no_watch and (changes or self.world.now() >= until):
                 return 200, {"epoch": self.epoch, "log": changes}
             if self.world.now() >= give_up:
-                raise NoAnswer("watch")
+                raise NoResponseError("watch")
             await asyncio.sleep(0.05)
 
 
@@ -438,13 +447,13 @@
         self.random = random.Random(7)
         random.seed(7)
         self.loop = asyncio.get_running_loop()
-        self.params = Params(
+        self.params = PlatformParameters(
             size=nodes,
             zones=["east", "west"],
             workers=limits.get("workers", WORKERS),
-            state=limits.get("state", State(rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12)),
-            cloud=Cloud(rps=2.0, list_lag_s=5.0),
-            teams=limits.get("teams", [Team("red", gpus=8.0, gpus_max=8.0), Team("grey")]),
+            state=limits.get("state", StoreLimits(rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12)),
+            cloud=CloudLimits(rps=2.0, list_lag_s=5.0),
+            teams=limits.get("teams", [TeamQuota("red", gpus=8.0, gpus_max=8.0), TeamQuota("grey")]),
         )
         self.operations: Operations | None = limits.get("operations")
         self.catalog = json.dumps(
@@ -492,15 +501,17 @@
 
     def start(self, name: str, old: int = 0) -> Node:
         """Start a node's process; `old`: the format that its program knows, 0 for the current program."""
-        seeds = [Seed(n, f"127.0.0.1:{7000 + i}") for i, n in enumerate(self.names) if n != name]
-        services = External("127.0.0.1:1", "127.0.0.1:2")
+        seeds = [PeerSeed(n, f"127.0.0.1:{7000 + i}") for i, n in enumerate(self.names) if n != name]
+        services = ExternalServices("127.0.0.1:1", "127.0.0.1:2")
         settings = Settings(name, "127.0.0.1:7100", "127.0.0.1:7200", services, self.params, seeds)
         if old:
             node = OLD_NODES[old](settings, self.now, self.now, self.broken)
         else:
             node = Node(settings, self.now, self.now, self.operations)
-        node.store.call = lambda session, method, url, body, t: self.service.call(name, method, path(url), body, t)
-        node.client.call = lambda session, method, url, body, t: self.cloud.call(name, method, path(url), body, t)
+        node.store.send_request = lambda session, method, url, body, t: self.service.call(
+            name, method, path(url), body, t
+        )
+        node.cloud_client.call = lambda session, method, url, body, t: self.cloud.call(name, method, path(url), body, t)
         node.leadership.peers = [Link(self, name, n) for n in self.names if n != name]
         self.nodes[name] = node
         self.running[name] = contextvars.Context().run(self._work, name, node)
@@ -508,7 +519,7 @@
 
     def _work(self, name: str, node: Node) -> asyncio.Task:
         RUNS_IN.set(name)
-        return self.go(node.work())
+        return self.go(node.run_loops())
 
     def _task(self, loop: asyncio.AbstractEventLoop, work: Any, **options: Any) -> asyncio.Task:
         """What a node does stands still with the node; tasks inherit the context of who made them."""
@@ -547,7 +558,7 @@
         self.thaw(name)
         self.running.pop(name).cancel()
         node = self.nodes.pop(name)
-        for task in node.leadership.beside:
+        for task in node.leadership.background_tasks:
             task.cancel()
 
     def leader(self) -> Node | None:
@@ -571,7 +582,7 @@
     async def beat(self, name: str, body: bytes) -> tuple[int, bytes] | None:
         await self.moving(name)
         node = self.nodes.get(name)
-        answer = await node.beat(body) if node is not None else None
+        answer = await node.respond_to_heartbeat(body) if node is not None else None
         await self.moving(name)
         return answer
 
@@ -745,7 +756,7 @@
 
     async def ask(self, node: str, spec: dict) -> int:
         """Submit any description."""
-        status, raw, _ = await self.nodes[node].api.submit(json.dumps(spec).encode())
+        status, raw, _ = await self.nodes[node].job_service.submit(json.dumps(spec).encode())
         self._told(spec["ref"], status, raw)
         return status
 
@@ -753,14 +764,14 @@
         return await self.ask(node, self.jobs[ref].spec)
 
     async def poll(self, node: str, ref: str) -> tuple[int, str]:
-        status, raw, _ = await self.nodes[node].api.get(ref)
+        status, raw, _ = await self.nodes[node].job_service.get(ref)
         self._told(ref, status, raw)
         return status, json.loads(raw).get("phase", "")
 
     async def cancel(self, node: str, ref: str) -> tuple[int, str]:
         if ref in self.jobs:
             self.jobs[ref].asked_to_cancel = True
-        status, raw, _ = await self.nodes[node].api.cancel(ref)
+        status, raw, _ = await self.nodes[node].job_service.cancel(ref)
         self._told(ref, status, raw)
         return status, json.loads(raw).get("phase", "")
 
@@ -811,7 +822,7 @@
         node = self.world.nodes.get(self.name)
         if node is None:
             return None
-        answer = cbor2.dumps(node.leadership.handle(cbor2.loads(sent)))
+        answer = cbor2.dumps(node.leadership.handle_peer_message(cbor2.loads(sent)))
         await asyncio.sleep(self.delay_s)
         return cbor2.loads(answer)
 
@@ -819,7 +830,7 @@
         await self.world.moving(self.name)
         node = self.world.nodes.get(self.name)
         if node is not None:
-            node.leadership.handle(cbor2.loads(sent))
+            node.leadership.handle_peer_message(cbor2.loads(sent))
 
 
 @types.coroutine
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -28,8 +28,8 @@
 from leading_node import leading  # noqa: E402
 from world import WORKERS, World, play  # noqa: E402
 
-from hookwall.config.operations import Budget, DrainSettings  # noqa: E402
-from hookwall.config.platform import Cloud, MachineLimits, Params, State  # noqa: E402
+from hookwall.config.operations import DisruptionBudget, DrainSettings  # noqa: E402
+from hookwall.config.platform import CloudLimits, MachineLimits, PlatformParameters, StoreLimits  # noqa: E402
 from hookwall.drains import records, request  # noqa: E402
 from hookwall.drains.request import DrainRequest, Selection  # noqa: E402
 from hookwall.workers import name_codec  # noqa: E402
@@ -128,16 +128,16 @@
             watch.away.add(loss.restored_at - loss.first_at)
         found.update(urgent=watch.urgent.summary(), losses=len(oracle.losses), away=watch.away.summary())
 
-    state = State(rps=300.0, write_rps=100.0, value_kb=16.0, txn_ops=12)
+    state = StoreLimits(rps=300.0, write_rps=100.0, value_kb=16.0, txn_ops=12)
     play(scenario, args.machines, teams=TEAMS, operations=operations(**budgets), state=state)
     return found
 
 
-def fleet_params() -> Params:
-    return Params(
+def fleet_params() -> PlatformParameters:
+    return PlatformParameters(
         size=3, zones=["east", "west"], workers=WORKERS,
-        state=State(rps=100.0, write_rps=30.0, value_kb=16.0, txn_ops=12),
-        cloud=Cloud(rps=2.0, list_lag_s=5.0), teams=[*TEAMS, msgspec.structs.replace(TEAMS[0], name="grey")],
+        state=StoreLimits(rps=100.0, write_rps=30.0, value_kb=16.0, txn_ops=12),
+        cloud=CloudLimits(rps=2.0, list_lag_s=5.0), teams=[*TEAMS, msgspec.structs.replace(TEAMS[0], name="grey")],
         machine_limits=MachineLimits(core_share=0.36),
     )  # fmt: skip
 
@@ -158,8 +158,8 @@
     clock = time.monotonic
     node = leading(params, clock, args.machines)
     names = sorted(node.fleet.machines)
-    drains = node._drain_controller(DrainSettings(True, [Budget("grey", jobs=10)]), time.time)
-    result = {"machines": args.machines, "round_ms": timed(node.scheduler.round)}
+    drains = node._drain_controller(DrainSettings(True, [DisruptionBudget("grey", jobs=10)]), time.time)
+    result = {"machines": args.machines, "round_ms": timed(node.scheduler.run_round)}
     asked = DrainRequest(selection=Selection(share=1.0), batch=args.batch)
     record = request.new_record(asked, names, clock())
     drains.table.put_drain("measured", record, 5)
@@ -173,7 +173,7 @@
         step = records.StepRecord(drain="measured", phase=records.StepPhase.CORDONED, since=0.0, changed_at=0.0)
         drains.table.put_step(name, step, 6)
     result["look_ms"] = timed(lambda: drains.plans.build("measured"))
-    result["round_with_cordons_ms"] = timed(node.scheduler.round)
+    result["round_with_cordons_ms"] = timed(node.scheduler.run_round)
     result["record_bytes"] = len(json.dumps(records.encode(record)))
     result["sparse_record_bytes"] = len(json.dumps(name_codec.encode(names[::2])))
     return result
--- a/tools/fleet_load.py
+++ b/tools/fleet_load.py
@@ -32,7 +32,7 @@
 
 from world import StateService  # noqa: E402
 
-from hookwall.config.platform import State  # noqa: E402
+from hookwall.config.platform import StoreLimits  # noqa: E402
 
 CONTROLLERS = 3
 REPORT_S = 2.5
@@ -183,7 +183,7 @@
 class StandIns:
     """The state service and the cloud over HTTP."""
 
-    def __init__(self, machines: list[str], limits: State) -> None:
+    def __init__(self, machines: list[str], limits: StoreLimits) -> None:
         self.machines = machines
         world = SimpleNamespace(now=time.monotonic, params=SimpleNamespace(state=limits))
         self.state = StateService(world)
@@ -383,7 +383,7 @@
     """The whole load."""
     names = [f"vm-{n:06d}" for n in range(machines)]
     ports = [FIRST_PORT + i for i in range(CONTROLLERS)]
-    stand_ins = StandIns(names, State(rps=360.0, write_rps=70.0, value_kb=32.0, txn_ops=24))
+    stand_ins = StandIns(names, StoreLimits(rps=360.0, write_rps=70.0, value_kb=32.0, txn_ops=24))
     await stand_ins.listen(stand_ins.state_service, FIRST_PORT + 20)
     await stand_ins.listen(stand_ins.cloud, FIRST_PORT + 21)
     controllers = [Controller(i, folder / f"n{i}.toml", old) for i in range(CONTROLLERS)]
--- a/tools/golden_format_1.py
+++ b/tools/golden_format_1.py
@@ -18,13 +18,13 @@
 import msgspec  # noqa: E402  (the checkout's modules come first)
 from conftest import CATALOG, Clock, FakeState, description  # noqa: E402
 from hookwall.cloud import Hire  # noqa: E402
+from hookwall.keeper import Keeper  # noqa: E402
+from hookwall.settings import State  # noqa: E402
+from hookwall.store import Confirmer  # noqa: E402
 
 from hookwall import store as st  # noqa: E402
 from hookwall.jobs import Active, JobTable, UserApi  # noqa: E402
-from hookwall.keeper import Keeper  # noqa: E402
 from hookwall.leadership import Leadership  # noqa: E402
-from hookwall.settings import State  # noqa: E402
-from hookwall.store import Confirmer  # noqa: E402
 
 
 class Recorder:
--- a/tools/golden_format_2.py
+++ b/tools/golden_format_2.py
@@ -18,17 +18,17 @@
 
 import msgspec  # noqa: E402  (the checkout's modules come first)
 from conftest import CATALOG, Clock, FakeState, description  # noqa: E402
-
-from hookwall import formats, keys, records  # noqa: E402
 from hookwall.confirmer import Confirmer  # noqa: E402
 from hookwall.formats import FormatGate  # noqa: E402
 from hookwall.job import Active  # noqa: E402
-from hookwall.jobs import JobTable  # noqa: E402
 from hookwall.keeper import Keeper  # noqa: E402
-from hookwall.leadership import Leadership  # noqa: E402
 from hookwall.settings import NextState, State  # noqa: E402
 from hookwall.user_api import UserApi  # noqa: E402
 
+from hookwall import formats, keys, records  # noqa: E402
+from hookwall.jobs import JobTable  # noqa: E402
+from hookwall.leadership import Leadership  # noqa: E402
+
 LOWERED = State(rps=100.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(value_kb=1.0, txn_ops=4))
 
 
