--- a/hookwall/jobs/dependency_graph.py
+++ b/hookwall/jobs/dependency_graph.py
@@ -1,9 +1,10 @@
-"""Which jobs wait for which: a graph free of I/O, on dense indices.
+"""Which jobs depend on which: a graph free of I/O, on dense indices.
 
-A job is *ready* once every job that it needs is stored as done, and *cancelled with* a job that it needs,
-directly or through others. Both are final, as what they follow from is. Rank and latest start go
-backwards: a job is as urgent as the most urgent job that needs it. Each call costs what the edges cost that
-change. What follows from a call is collected until the owner takes it.
+Invariant: a job is *ready* once every job that it depends on is stored as done, and *cancelled* with a job that it
+depends on, directly or through others. Both are final, as what they follow from is.
+
+Rank and latest start are propagated backwards: a job is as urgent as the most urgent job that depends on it. Each call
+costs what the edges cost that change. What follows from a call is collected until the owner drains it.
 """
 
 import math
@@ -15,202 +16,219 @@
 
 
 class Outcome(Enum):
-    """How a job ended, as stored."""
+    """How a job ended, by the stored word."""
 
     DONE = "done"
     CANCELLED = "withdrawn"
 
 
 @dataclass(slots=True)
-class Entry:
+class JobNode:
     """One job of the graph. Ranks are indices, 0 the highest; times are times of day in seconds."""
 
-    ref: str
-    needs: list[int] = field(default_factory=list)
-    needed_by: list[int] = field(default_factory=list)
-    unmet: int = 0  # jobs that it needs and that are not done
+    job_id: str
+    dependencies: list[int] = field(default_factory=list)
+    dependents: list[int] = field(default_factory=list)
+    unmet_count: int = 0  # dependencies that are not done
     outcome: Outcome | None = None
-    ended_at: float = 0.0  # when it ended, if it did and that is known
-    cancelled_with: bool = False  # a job that it needs was cancelled
-    ready_at: float = 0.0  # when the last of the jobs that it needs was done
+    ended_at: float = 0.0  # 0: not ended, or it is not known when
+    cancelled: bool = False  # a dependency was cancelled
+    ready_at: float = 0.0  # when the last of its dependencies was done
     own_rank: int = LOWEST_RANK
-    own_due: float = math.inf
+    own_deadline: float = math.inf
     duration_s: float = 0.0
-    rank: int = LOWEST_RANK  # its own, or that of a job that needs it
+    rank: int = LOWEST_RANK  # its own, or that of a dependent
     latest_end: float = math.inf
 
 
 @dataclass(slots=True)
-class Changes:
-    """What follows from calls since it was last taken."""
+class GraphChanges:
+    """What has followed from calls since it was last drained, as job ids."""
 
     ready: list[str] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
-    more_urgent: list[str] = field(default_factory=list)  # or less
+    urgency_changed: list[str] = field(default_factory=list)
 
 
 class DependencyGraph:
-    """The jobs that need others, and those that are needed."""
+    """The jobs that depend on others, and those that others depend on."""
 
     def __init__(self) -> None:
-        self._index: dict[str, int] = {}
-        self._entries: list[Entry] = []
-        self._changes = Changes()
+        """An empty graph."""
+        self._index_of: dict[str, int] = {}
+        self._nodes: list[JobNode] = []
+        self._changes = GraphChanges()
 
-    def __contains__(self, ref: str) -> bool:
-        return ref in self._index
+    def __contains__(self, job_id: str) -> bool:
+        """Whether the job depends on another or another on it."""
+        return job_id in self._index_of
 
     # -- what is known ---------------------------------------------------------------------------
 
-    def add(self, ref: str, needs: Sequence[str]) -> None:
-        """A job that needs others; says the same again without effect."""
-        at = self._of(ref)
-        entry = self._entries[at]
-        if entry.needs:
+    def add_job(self, job_id: str, dependencies: Sequence[str]) -> None:
+        """Add a job that depends on others; adding it again has no effect."""
+        index = self._ensure_node(job_id)
+        node = self._nodes[index]
+        if node.dependencies:
             return
-        for name in dict.fromkeys(needs):
-            other = self._of(name)
-            entry.needs.append(other)
-            self._entries[other].needed_by.append(at)
-            self._follow_need(at, other)
-        self._raise_needs(at)
-
-    def describe(self, ref: str, rank: int, duration_s: float, due_at: float | None) -> None:
-        """What a job of the graph asks for itself."""
-        at = self._index.get(ref)
-        if at is None:
+        for name in dict.fromkeys(dependencies):
+            dependency = self._ensure_node(name)
+            node.dependencies.append(dependency)
+            self._nodes[dependency].dependents.append(index)
+            self._apply_new_edge(index, dependency)
+        self._raise_urgency_of_dependencies(index)
+
+    def set_requirements(self, job_id: str, rank: int, duration_s: float, deadline: float | None) -> None:
+        """Set what a job of the graph asks for itself; its deadline is a time of day, None for none."""
+        index = self._index_of.get(job_id)
+        if index is None:
             return
-        entry = self._entries[at]
-        if entry.own_rank == rank:
+        node = self._nodes[index]
+        if node.own_rank == rank:
             return  # a description never changes
-        entry.own_rank, entry.duration_s = rank, duration_s
-        entry.own_due = math.inf if due_at is None else due_at
-        if entry.outcome is None:
-            entry.rank, entry.latest_end = min(rank, entry.rank), min(entry.own_due, entry.latest_end)
-            self._changes.more_urgent.append(ref)
-        # Its length counts for those that it needs even where nothing else about it has changed.
-        self._raise_needs(at)
-
-    def settle(self, ref: str, outcome: Outcome, at_s: float | None = None) -> None:
-        """A job's end was stored; `at_s` is when it ended, if that is known."""
-        at = self._index.get(ref)
-        if at is None or self._entries[at].outcome is not None:
+        node.own_rank = rank
+        node.duration_s = duration_s
+        node.own_deadline = math.inf if deadline is None else deadline
+        if node.outcome is None:
+            node.rank = min(rank, node.rank)
+            node.latest_end = min(node.own_deadline, node.latest_end)
+            self._changes.urgency_changed.append(job_id)
+        # Its length counts for its dependencies even where nothing else about it has changed.
+        self._raise_urgency_of_dependencies(index)
+
+    def record_outcome(self, job_id: str, outcome: Outcome, ended_at: float | None = None) -> None:
+        """Record that a job's end is stored; `ended_at` is its time of day, None where it is not known."""
+        index = self._index_of.get(job_id)
+        if index is None or self._nodes[index].outcome is not None:
             return
-        entry = self._entries[at]
-        entry.outcome, entry.ended_at = outcome, at_s or 0.0
-        for child in entry.needed_by:
-            self._follow_end(child, entry)
-        self._lower(entry.needs)
+        node = self._nodes[index]
+        node.outcome = outcome
+        node.ended_at = ended_at or 0.0
+        for dependent in node.dependents:
+            self._apply_end_of_dependency(dependent, node)
+        self._lower_urgency(node.dependencies)
 
     # -- what follows ----------------------------------------------------------------------------
 
-    def dependencies_of(self, ref: str) -> list[str]:
-        """The jobs that a job needs."""
-        at = self._index.get(ref)
-        return [] if at is None else [self._entries[n].ref for n in self._entries[at].needs]
-
-    def blocked(self, ref: str) -> bool:
-        """Whether a job that it needs is not known to be done."""
-        at = self._index.get(ref)
-        return at is not None and self._entries[at].unmet > 0
-
-    def has_cancelled_dependency(self, ref: str) -> bool:
-        """Whether a job that it needs was cancelled."""
-        at = self._index.get(ref)
-        return at is not None and self._entries[at].cancelled_with
-
-    def ready_at(self, ref: str) -> float:
-        """When the last job that it needs was done; 0 if that is not known."""
-        at = self._index.get(ref)
-        return 0.0 if at is None else self._entries[at].ready_at
-
-    def rank(self, ref: str, own: int) -> int:
-        """The rank that a job is treated as having."""
-        at = self._index.get(ref)
-        return own if at is None else min(own, self._entries[at].rank)
-
-    def latest_start(self, ref: str) -> float:
-        """When a job has to start for all that need it, by the owners' estimates; infinity if nobody says."""
-        at = self._index.get(ref)
-        return math.inf if at is None else self._entries[at].latest_end - self._entries[at].duration_s
-
-    def take_changes(self) -> Changes:
-        """What has followed since the last call."""
-        changes, self._changes = self._changes, Changes()
+    def dependencies_of(self, job_id: str) -> list[str]:
+        """The jobs that a job depends on directly."""
+        index = self._index_of.get(job_id)
+        return [] if index is None else [self._nodes[n].job_id for n in self._nodes[index].dependencies]
+
+    def is_blocked(self, job_id: str) -> bool:
+        """Whether a job that it depends on is not known to be done."""
+        index = self._index_of.get(job_id)
+        return index is not None and self._nodes[index].unmet_count > 0
+
+    def has_cancelled_dependency(self, job_id: str) -> bool:
+        """Whether a job that it depends on, directly or through others, was cancelled."""
+        index = self._index_of.get(job_id)
+        return index is not None and self._nodes[index].cancelled
+
+    def ready_at(self, job_id: str) -> float:
+        """When the last job that it depends on was done, as a time of day; 0 if that is not known."""
+        index = self._index_of.get(job_id)
+        return 0.0 if index is None else self._nodes[index].ready_at
+
+    def effective_rank(self, job_id: str, own_rank: int) -> int:
+        """The rank that a job is treated as having: its own, or a higher one of a dependent."""
+        index = self._index_of.get(job_id)
+        return own_rank if index is None else min(own_rank, self._nodes[index].rank)
+
+    def latest_start(self, job_id: str) -> float:
+        """When a job has to start for all its dependents, by the owners' estimates; infinity if nobody says."""
+        index = self._index_of.get(job_id)
+        return math.inf if index is None else self._nodes[index].latest_end - self._nodes[index].duration_s
+
+    def drain_changes(self) -> GraphChanges:
+        """Give what has followed since the last call, and forget it."""
+        changes = self._changes
+        self._changes = GraphChanges()
         return changes
 
-    # -- how ----------------------------------------------------------------------------------------
+    # -- propagation -----------------------------------------------------------------------------
 
-    def _of(self, ref: str) -> int:
-        at = self._index.get(ref)
-        if at is None:
-            at = self._index[ref] = len(self._entries)
-            self._entries.append(Entry(ref))
-        return at
+    def _ensure_node(self, job_id: str) -> int:
+        index = self._index_of.get(job_id)
+        if index is None:
+            index = len(self._nodes)
+            self._index_of[job_id] = index
+            self._nodes.append(JobNode(job_id))
+        return index
 
-    def _follow_need(self, at: int, other: int) -> None:
-        """A new edge: `at` needs `other`."""
-        entry, needed = self._entries[at], self._entries[other]
+    def _apply_new_edge(self, index: int, dependency: int) -> None:
+        """The job at `index` depends on that at `dependency` from now on."""
+        node = self._nodes[index]
+        needed = self._nodes[dependency]
         if needed.outcome is Outcome.DONE:
-            entry.ready_at = max(entry.ready_at, needed.ended_at)
+            node.ready_at = max(node.ready_at, needed.ended_at)
             return
-        entry.unmet += 1
-        if needed.outcome is Outcome.CANCELLED or needed.cancelled_with:
-            self._cancel(at)
-
-    def _follow_end(self, child: int, needed: Entry) -> None:
-        """A job that `child` needs has ended."""
-        entry = self._entries[child]
-        if needed.outcome is Outcome.CANCELLED:
-            self._cancel(child)
+        node.unmet_count += 1
+        if needed.outcome is Outcome.CANCELLED or needed.cancelled:
+            self._cancel_with_dependents(index)
+
+    def _apply_end_of_dependency(self, index: int, ended: JobNode) -> None:
+        """A job that the one at `index` depends on has ended."""
+        node = self._nodes[index]
+        if ended.outcome is Outcome.CANCELLED:
+            self._cancel_with_dependents(index)
             return
-        entry.unmet -= 1
-        entry.ready_at = max(entry.ready_at, needed.ended_at)
-        if not entry.unmet and entry.outcome is None:
-            self._changes.ready.append(entry.ref)
-
-    def _cancel(self, at: int) -> None:
-        """A job and all that need it are cancelled; those that ended before stay as they are."""
-        stack = [at]
+        node.unmet_count -= 1
+        node.ready_at = max(node.ready_at, ended.ended_at)
+        if not node.unmet_count and node.outcome is None:
+            self._changes.ready.append(node.job_id)
+
+    def _cancel_with_dependents(self, index: int) -> None:
+        """Cancel a job and all that depend on it; those that ended before stay as they are."""
+        stack = [index]
         while stack:
-            entry = self._entries[stack.pop()]
-            if entry.cancelled_with or entry.outcome is Outcome.DONE:
+            node = self._nodes[stack.pop()]
+            if node.cancelled or node.outcome is Outcome.DONE:
                 continue
-            entry.cancelled_with = True
-            if entry.outcome is None:
-                self._changes.cancelled.append(entry.ref)
-            stack.extend(entry.needed_by)
-
-    def _raise_needs(self, at: int) -> None:
-        """What a job's urgency means for those that it needs."""
-        stack = [at]
+            node.cancelled = True
+            if node.outcome is None:
+                self._changes.cancelled.append(node.job_id)
+            stack.extend(node.dependents)
+
+    def _raise_urgency_of_dependencies(self, index: int) -> None:
+        """Make the jobs that it depends on, directly or through others, as urgent as it is."""
+        stack = [index]
         while stack:
-            entry = self._entries[stack.pop()]
-            rank, latest_end = entry.rank, entry.latest_end - entry.duration_s
-            if entry.outcome is not None or entry.cancelled_with:
+            node = self._nodes[stack.pop()]
+            rank = node.rank
+            latest_end = node.latest_end - node.duration_s
+            if node.outcome is not None or node.cancelled:
                 continue
-            for need in entry.needs:
-                other = self._entries[need]
-                if other.outcome is not None or (rank >= other.rank and latest_end >= other.latest_end):
+            for dependency in node.dependencies:
+                needed = self._nodes[dependency]
+                if needed.outcome is not None or (rank >= needed.rank and latest_end >= needed.latest_end):
                     continue
-                other.rank, other.latest_end = min(rank, other.rank), min(latest_end, other.latest_end)
-                self._changes.more_urgent.append(other.ref)
-                stack.append(need)
-
-    def _lower(self, changed: Sequence[int]) -> None:
-        """Jobs that need these are over: as urgent as the rest of them wants, and so on for those that they need."""
-        stack = list(changed)
+                needed.rank = min(rank, needed.rank)
+                needed.latest_end = min(latest_end, needed.latest_end)
+                self._changes.urgency_changed.append(needed.job_id)
+                stack.append(dependency)
+
+    def _lower_urgency(self, indices: Sequence[int]) -> None:
+        """A dependent of these jobs is over: they are as urgent as the rest asks, and so on for their dependencies."""
+        stack = list(indices)
         while stack:
-            entry = self._entries[stack.pop()]
-            if entry.outcome is not None:
+            node = self._nodes[stack.pop()]
+            if node.outcome is not None:
                 continue
-            rank, latest_end = entry.own_rank, entry.own_due
-            for child in entry.needed_by:
-                other = self._entries[child]
-                if other.outcome is None and not other.cancelled_with:
-                    rank = min(rank, other.rank)
-                    latest_end = min(latest_end, other.latest_end - other.duration_s)
-            if (rank, latest_end) != (entry.rank, entry.latest_end):
-                entry.rank, entry.latest_end = rank, latest_end
-                self._changes.more_urgent.append(entry.ref)
-                stack.extend(entry.needs)
+            rank, latest_end = self._urgency_by_dependents(node)
+            if (rank, latest_end) != (node.rank, node.latest_end):
+                node.rank = rank
+                node.latest_end = latest_end
+                self._changes.urgency_changed.append(node.job_id)
+                stack.extend(node.dependencies)
+
+    def _urgency_by_dependents(self, node: JobNode) -> tuple[int, float]:
+        """Rank and latest end of a job by itself and by those dependents that are not over."""
+        rank = node.own_rank
+        latest_end = node.own_deadline
+        for dependent in node.dependents:
+            other = self._nodes[dependent]
+            if other.outcome is None and not other.cancelled:
+                rank = min(rank, other.rank)
+                latest_end = min(latest_end, other.latest_end - other.duration_s)
+        return rank, latest_end
--- a/hookwall/jobs/job_table.py
+++ b/hookwall/jobs/job_table.py
@@ -146,7 +146,7 @@
     def _place(self, job: Job) -> None:
         """Keep the lists of jobs that are not over."""
         over = job.spec is None or (job.phase != OPEN and not job.allocations and job.is_final())
-        waits = job.phase == OPEN and not job.allocations and self.dependencies.blocked(job.job_id)
+        waits = job.phase == OPEN and not job.allocations and self.dependencies.is_blocked(job.job_id)
         _list_if(self.open_jobs, job, not over and not waits)
         _list_if(self.blocked_jobs, job, not over and waits)
 
@@ -154,7 +154,7 @@
         """Tell the graph about a job that needs others or is needed."""
         needs = job.spec.dependencies if job.spec is not None else None
         if needs and not self.dependencies.dependencies_of(job.job_id):
-            self.dependencies.add(job.job_id, needs)
+            self.dependencies.add_job(job.job_id, needs)
             for ref in needs:
                 other = self.jobs.get(ref)
                 if other is not None:
@@ -170,11 +170,11 @@
         spec = job.spec
         if spec is not None:
             due_at = None if spec.due_s is None else job.submitted_at + spec.due_s
-            self.dependencies.describe(
+            self.dependencies.set_requirements(
                 job.job_id, job_messages.RANKS.index(spec.rank), spec.estimated_duration_s, due_at
             )
         if job.is_final():
-            self.dependencies.settle(job.job_id, Outcome(job.stored_phase), job.finished_at)
+            self.dependencies.record_outcome(job.job_id, Outcome(job.stored_phase), job.finished_at)
 
     def _cancel_with_needed(self, job: Job) -> None:
         """A job that it needs was cancelled, so this one can never start; whoever leads stores that."""
@@ -184,7 +184,7 @@
 
     def _follow_changes(self) -> None:
         """Carry out what follows for other jobs."""
-        changes = self.dependencies.take_changes()
+        changes = self.dependencies.drain_changes()
         for ref in changes.cancelled:
             job = self.jobs.get(ref)
             if job is not None:
@@ -196,7 +196,7 @@
                 job.queued_at = max(job.submitted_at, self.dependencies.ready_at(ref))
                 self._place(job)
                 self.on_record_applied(job, list(job.allocations.values()))
-        for ref in changes.more_urgent:
+        for ref in changes.urgency_changed:
             job = self.jobs.get(ref)
             if job is not None and job.spec is not None and job.rank >= 0:
                 job.rank = self.effective_rank(job)
@@ -204,7 +204,7 @@
     def effective_rank(self, job: Job) -> int:
         """The rank that a job is treated as having: its own, or that of a job that needs it."""
         assert job.spec is not None
-        return self.dependencies.rank(job.job_id, job_messages.RANKS.index(job.spec.rank))
+        return self.dependencies.effective_rank(job.job_id, job_messages.RANKS.index(job.spec.rank))
 
 
 def _list_if(jobs: dict[str, Job], job: Job, belongs: bool) -> None:
