--- /dev/null
+++ b/hookwall/jobs/write_batch.py
@@ -0,0 +1,89 @@
+"""What goes into one transaction of the leader: records of several jobs with their new chunks, within the limits."""
+
+from dataclasses import dataclass
+
+from hookwall.jobs.job import Job, StoredStart
+from hookwall.storage import job_records, keys
+from hookwall.storage.job_records import EncodedRecord
+
+MAX_TRANSACTION_BYTES = 56 * 1024
+ENTRY_BYTES = 200  # of a transaction, beside each key's value
+
+
+@dataclass(slots=True)
+class PendingWrite:
+    """One job's share of a write, with what is needed once its outcome is known."""
+
+    job: Job
+    encoded: EncodedRecord
+    new_chunks: dict[str, str]
+    record_bytes: int
+    starts: dict[int, StoredStart]
+    phase: str
+    done_count: int
+    had_unsaved_starts: bool
+    unsaved_since: float | None
+
+    @classmethod
+    def prepare(cls, job: Job, max_value_bytes: int | None) -> "PendingWrite":
+        """What is to be written of a job; `max_value_bytes` None asks for the plain form, whatever its size.
+
+        Raises RecordTooLargeError if no form of the record fits.
+        """
+        encoded = job_records.encode_record(job.job_id, job.record(), max_value_bytes)
+        stored_chunks = job_records.chunk_keys(job.job_id, job.stored_value)
+        return cls(
+            job=job,
+            encoded=encoded,
+            new_chunks={key: text for key, text in encoded.chunks.items() if key not in stored_chunks},
+            record_bytes=job_records.json_bytes(encoded.value) + ENTRY_BYTES,
+            starts={a.task: StoredStart(a.machine, a.attempt) for a in job.allocations.values()},
+            phase=job.phase,
+            done_count=job.done_count,
+            had_unsaved_starts=job.has_unsaved_starts,
+            unsaved_since=job.unsaved_since,
+        )
+
+    @property
+    def key(self) -> str:
+        """The key of the job's record."""
+        return keys.JOB_PREFIX + self.job.job_id
+
+    def change_count(self) -> int:
+        """Changes that the write takes: the record and its new chunks."""
+        return 1 + len(self.new_chunks)
+
+    def total_bytes(self) -> int:
+        """Bytes of the record and its new chunks in a transaction."""
+        return self.record_bytes + chunk_bytes(self.new_chunks)
+
+    def begin(self) -> None:
+        """The write is in flight from now on: what is decided of the job meanwhile is a later change."""
+        self.job.has_unsaved_changes = False
+        self.job.has_unsaved_starts = False
+        self.job.unsaved_since = None
+        self.job.write_in_flight = True
+
+
+def chunk_bytes(chunks: dict[str, str]) -> int:
+    """Bytes of chunks in a transaction."""
+    return sum(len(text) + ENTRY_BYTES for text in chunks.values())
+
+
+def next_chunks(remaining: dict[str, str], batch: list[PendingWrite], max_changes: int) -> list[tuple[str, str]]:
+    """The chunks to write before the records of a batch, as many as one transaction takes and at least one.
+
+    None if those that remain go with the records. Only a batch of a single job has more chunks than that.
+    """
+    record_bytes = sum(write.record_bytes for write in batch)
+    fits_changes = len(remaining) + len(batch) <= max(max_changes, len(batch))
+    if not remaining or (fits_changes and record_bytes + chunk_bytes(remaining) <= MAX_TRANSACTION_BYTES):
+        return []
+    chosen: list[tuple[str, str]] = []
+    transaction_bytes = ENTRY_BYTES
+    for key, text in remaining.items():
+        transaction_bytes += len(text) + ENTRY_BYTES
+        if chosen and (len(chosen) >= max_changes or transaction_bytes > MAX_TRANSACTION_BYTES):
+            break
+        chosen.append((key, text))
+    return chosen
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -22,6 +22,7 @@
 from hookwall.jobs.job import Allocation, Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
+from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.leadership import peer_transport
 from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import Role
@@ -37,6 +38,7 @@
 from hookwall.storage.read_confirmation import ReadConfirmation
 from hookwall.storage.storage_version import StorageVersionGate
 from hookwall.storage.watch import Watch
+from hookwall.workers.delegation_guard import DelegationGuard
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.heartbeat_router import HeartbeatReply, HeartbeatRouter
 from hookwall.workers.lease_delegate import LeaseDelegate
@@ -65,9 +67,9 @@
         self.clock = clock
         self.store = KeyValueClient(settings.external.state, params.state, params.size, clock)
         self.watch = Watch(self.store, clock)
-        self.job_table = JobTable(clock)
-        self.read_confirmation = ReadConfirmation(self.store, self._refresh)
-        self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
+        self.job_table = JobTable(clock, self._taken, self._withdrawn)
+        self.record_reader = JobRecordReader(self.job_table, self.store)
+        self.read_confirmation = ReadConfirmation(self.store, self.record_reader.reload)
         self.fleet = Fleet(params, self.job_table, clock)
         self.scheduler = Scheduler(params, self.job_table, self.fleet, clock, wall)
         self.scheduler.unstored_job_count = lambda: sum(j.has_unsaved_starts for j in self.job_table.open_jobs.values())
@@ -99,31 +101,32 @@
             self.leadership, self.fleet, self.lease_delegate, self.cancellations, clock
         )
         self.storage_version = StorageVersionGate(settings.node_name, peer_names, self.store)
+        self.delegation_guard = DelegationGuard(
+            self.job_table, self.store, self.fleet.delegated_leases,
+            [keys.LEASE_DELEGATE_PREFIX + name for name in peer_names], clock,
+        )  # fmt: skip
         self.job_writer = JobWriter(
-            self.job_table,
-            self.store,
-            self.leadership,
-            self.fleet.delegated_leases,
-            [keys.LEASE_DELEGATE_PREFIX + n for n in peer_names],
-            clock,
-        )
+            self.job_table, self.store, self.leadership, self.delegation_guard, self.record_reader.reload, clock,
+            packing_enabled=self.storage_version.allows_dependencies, on_decisions_stored=self._stored,
+        )  # fmt: skip
+        self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
+        self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
+        self.job_service.packing_enabled = self.storage_version.allows_dependencies
+        self.job_service.cancellations_current = self.cancellations.records_are_current
         self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
         self.watch.read_all, self.watch.on_current = self._read_all, self.cancellations.confirm_records_read
         self.watch.take = lambda key, value, stamp: self._take_key(key, value, stamp)
         self.watch.remove = self._take_deletion
         self.watch.leads = lambda: self.leadership.role is Role.LEADER
-        self.job_writer.reload_record, self.job_writer.on_decisions_stored = self._refresh, self._stored
-        self.job_writer.packing_enabled = self.job_service.packing_enabled = self.storage_version.allows_dependencies
         self.lease_delegate.packed_names, self.lease_delegate.numbered_names = (
             self.storage_version.allows_dependencies,
             self.storage_version.allows_numbered_machines,
         )
-        self.job_writer.delegation_guard.watched_revision = lambda: self.watch.watched_revision
+        self.delegation_guard.watched_revision = lambda: self.watch.watched_revision
         self.scheduler.start_record_budget = self.job_writer.start_record_budget
         drain = (operations or Operations()).drain
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
         self.scale_out.relocation_requests = self.drains.relocations
-        self.job_service.cancellations_current = self.cancellations.records_are_current
         self.leadership.local_status, self.leadership.on_peer_status = self._about, self._on_about
         self.leadership.rate_demand, self.leadership.lend_rate = (
             self.store.rate_shares.demand.rates_per_s,
@@ -139,11 +142,8 @@
             self.cancellations.on_cancellations_announced,
         )
         self.leadership.on_validity_lapse = self.fleet.end_validity
-        self.job_table.on_cancelled = self._withdrawn
-        self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
         self.leadership.successor_hints = self.fleet.successor_hints.next_message
         self.leadership.on_successor_hints = self.fleet.successor_hints.apply_message
-        self.job_table.on_record_applied = self._taken
         self.fleet.delegated_leases.on_machines_delegated = self._leases_kept
         self.catalog_was_absent = False  # whether nobody had ever stored the machine types when this node took over
         self.round_requested = asyncio.Event()
@@ -165,9 +165,6 @@
 
     # -- the state service ---------------------------------------------------------------------
 
-    async def _refresh(self, key: str) -> None:
-        await self.job_service.reload_record(key)
-
     def _stored(self) -> None:
         """Decisions were stored: starts can be launched, and others may be ready."""
         self.round_requested.set()
@@ -225,7 +222,7 @@
         self._keepers_missing(found)
         self.drains.apply_snapshot(found)
         if self.leadership.role is Role.LEADER:
-            self.job_writer.delegation_guard.void_decisions()  # changes were missed
+            self.delegation_guard.void_decisions()  # changes were missed
         leader = False
         for key, value, stamp in found:
             leader = leader or key == keys.LEADER_KEY
@@ -248,7 +245,7 @@
             if key != keys.LEADER_KEY:
                 self._take_key(key, value, stamp)
         for ref in list(self.job_table.chunks.unreadable_records):
-            await self._refresh(keys.JOB_PREFIX + ref)  # its parts were replaced while the keys were read
+            await self.record_reader.reload(keys.JOB_PREFIX + ref)  # its parts were replaced while the keys were read
         self.watch.scanned_revision = epoch
         self.cancellations.all_records_read = True
         self.cancellations.confirm_records_read(sent)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -157,13 +157,12 @@
 
     def __init__(self, params: PlatformParameters, clock: Clock) -> None:
         self.clock = clock
-        self.table = JobTable(clock)
+        self.table = JobTable(clock, lambda job, previous: self.fleet.replace_allocations(job, previous))
         self.fleet = Fleet(params, self.table, clock)
         self.fleet.set_catalog(CATALOG)
         self.fleet.fencing_token = 5
         self.fleet.begin_validity(clock())
         self.scheduler = Scheduler(params, self.table, self.fleet, clock, wall=lambda: clock() - 1000.0)
-        self.table.on_record_applied = self.fleet.replace_allocations
         self.stamp = 10
         self.ticks: dict[str, int] = {}
 
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -1,4 +1,4 @@
-"""Writing jobs: what goes into one transaction, and which parts of records may be removed."""
+"""Writing jobs: what goes into one transaction, and which chunks of records may be removed."""
 
 import asyncio
 import random
@@ -19,13 +19,14 @@
 from hookwall.storage.client import OutcomeUnknownError, PreconditionFailedError
 from hookwall.storage.job_records import JobRecord, encode_record, json_bytes, usable_value_bytes
 from hookwall.workers.delegated_leases import DelegatedLeases
+from hookwall.workers.delegation_guard import DelegationGuard
 
 KEY = keys.JOB_PREFIX + "run-000001"
 
 
 @pytest.fixture
 def writer(state: FakeState, clock: Clock) -> JobWriter:
-    """A leader's writer that knows a job in parts, and a part that its record does not name."""
+    """A leader's writer that knows a job in chunks, and a chunk that its record does not name."""
     state.has_spare_changes = lambda: True
     spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
     encoded = encode_record(spec.job_id, JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks=""), 1700)
@@ -40,38 +41,47 @@
             table.apply_chunk(key, value, stamp)
         elif key == KEY:
             table.apply_record(key, value, stamp)
-    return JobWriter(table, state, SimpleNamespace(fencing_token=5), DelegatedLeases(clock), [], clock)
+    return leader_writer(table, state, clock, [], SimpleNamespace(fencing_token=5))
 
 
-def parts(state: FakeState) -> list[str]:
+async def no_reload(key: str) -> None:
+    """Where nothing is read again."""
+
+
+def leader_writer(table: JobTable, state: FakeState, clock: Clock, delegation_keys, leadership, **options) -> JobWriter:
+    guard = DelegationGuard(table, state, DelegatedLeases(clock), delegation_keys, clock)
+    return JobWriter(table, state, leadership, guard, no_reload, clock, **options)
+
+
+def chunks(state: FakeState) -> list[str]:
     return [key for key in state.keys if key.startswith(keys.CHUNK_PREFIX)]
 
 
-def test_a_part_that_the_record_does_not_name_is_removed_and_no_other(writer: JobWriter, state: FakeState):
-    before = len(parts(state))
+def test_a_chunk_that_the_record_does_not_name_is_removed_and_no_other(writer: JobWriter, state: FakeState):
+    before = len(chunks(state))
     asyncio.run(writer.chunk_collector.collect())
-    assert len(parts(state)) == before - 1 and f"{keys.CHUNK_PREFIX}run-000001/x" not in state.keys
+    assert len(chunks(state)) == before - 1 and f"{keys.CHUNK_PREFIX}run-000001/x" not in state.keys
 
 
 @pytest.mark.parametrize("changed", [KEY, keys.LEADER_KEY])
-def test_parts_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, state: FakeState, changed):
-    """Carried out late, the removal could take a part that a newer record names again."""
+def test_chunks_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, state: FakeState, changed):
+    """Carried out late, the removal could remove a chunk that a newer record names again."""
     state.keys[changed] = (state.keys[changed][0], 10)
-    before = parts(state)
+    before = chunks(state)
     asyncio.run(writer.chunk_collector.collect())
-    assert parts(state) == before and "run-000001" in writer.table.chunks.jobs_to_collect
+    assert chunks(state) == before and "run-000001" in writer.table.chunks.jobs_to_collect
 
 
-def test_parts_of_a_job_that_has_no_record_yet_stay(writer: JobWriter, state: FakeState):
+def test_chunks_of_a_job_that_has_no_record_yet_stay(writer: JobWriter, state: FakeState):
     writer.table.jobs["run-000001"].version = 0
-    before = parts(state)
+    before = chunks(state)
     asyncio.run(writer.chunk_collector.collect())
-    assert parts(state) == before
+    assert chunks(state) == before
 
 
-# -- decisions that rest on what followers keep ------------------------------------------------------
+# -- decisions that rest on delegated leases ----------------------------------------------------------
 
-KEEPER = keys.LEASE_DELEGATE_PREFIX + "n1"
+DELEGATE_KEY = keys.LEASE_DELEGATE_PREFIX + "n1"
 
 
 @pytest.fixture
@@ -87,8 +97,8 @@
     state.keys = {keys.LEADER_KEY: ({"node": "n0"}, 5), keys.JOB_PREFIX + spec.job_id: (value, 9)}
     table = JobTable(clock)
     table.apply_record(keys.JOB_PREFIX + spec.job_id, value, 9)
-    lead = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda why: None)
-    writer = JobWriter(table, state, lead, DelegatedLeases(clock), [KEEPER], clock)
+    leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda why: None)
+    writer = leader_writer(table, state, clock, [DELEGATE_KEY], leadership)
     move(table.jobs[spec.job_id])
     return writer
 
@@ -109,10 +119,8 @@
 
 
 @pytest.mark.parametrize("mode", ["lost", "down"])
-def test_a_decision_that_became_void_while_it_was_written_is_not_written_again(
-    leads: JobWriter, state: FakeState, mode
-):
-    """Its write was lost. Meanwhile a keeper's key was seen, so the next one would have been stored."""
+def test_a_decision_reverted_while_its_write_is_lost_is_not_written_again(leads: JobWriter, state: FakeState, mode):
+    """Its write was lost. Meanwhile a lease delegate's key was seen, so the next one would have been stored."""
     commit = state.commit
 
     async def meanwhile(*args, **options):
@@ -124,7 +132,7 @@
     assert machines(leads) == ["vm-1"] and not leads.table.jobs["run-000002"].has_unsaved_changes
 
 
-def test_a_decision_that_was_stored_stays_although_it_became_void_meanwhile(leads: JobWriter, state: FakeState):
+def test_a_decision_reverted_while_its_write_succeeds_stays(leads: JobWriter, state: FakeState):
     commit = state.commit
 
     async def meanwhile(*args, **options):
@@ -138,13 +146,13 @@
     state.commit, state.mode = commit, "lost"
     write(leads)
     assert machines(leads) == ["vm-2"] and leads.table.jobs["run-000002"].has_unsaved_changes, (
-        "void only what was under way"
+        "only what was in flight is reverted"
     )
 
 
-def test_a_read_of_a_keeper_s_key_does_not_show_who_was_kept_before(leads: JobWriter, state: FakeState, clock: Clock):
-    """The key named vm-1, was gone and now names vm-9: only the watch tells of the first."""
-    state.keys[KEEPER] = ({"machines": ["vm-9"]}, 12)
+def test_a_read_of_a_delegate_s_key_does_not_show_earlier_delegations(leads: JobWriter, state: FakeState, clock: Clock):
+    """The key named vm-1, was gone and now names vm-9: only the watch shows the first."""
+    state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
     leads.delegation_guard._watched = _not
     write(leads)
@@ -155,29 +163,29 @@
     )
 
 
-def test_where_the_watch_has_told_of_all_leases_count_as_before(leads: JobWriter, state: FakeState, clock: Clock):
-    state.keys[KEEPER] = ({"machines": ["vm-9"]}, 9)
-    leads.delegation_guard.delegated_leases.apply_key(KEEPER, {"machines": ["vm-9"]}, 8)
+def test_where_the_watch_has_shown_all_changes_expired_leases_stay_expired(
+    leads: JobWriter, state: FakeState, clock: Clock
+):
+    state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 9)
+    leads.delegation_guard.delegated_leases.apply_key(DELEGATE_KEY, {"machines": ["vm-9"]}, 8)
     leads.delegation_guard.watched_revision = lambda: 9
     state.commit = _conflict
     write(leads)
     assert (
         machines(leads) == ["vm-1"] and leads.delegation_guard.delegated_leases.last_possible_renewal("vm-1") < clock()
     )
-    assert "get " + KEEPER not in state.requests
+    assert "get " + DELEGATE_KEY not in state.requests
 
 
-async def _not(epoch: int) -> bool:
+async def _not(revision: int) -> bool:
     return False
 
 
 async def _conflict(*args, **options):
-    raise PreconditionFailedError([KEEPER], 9)
+    raise PreconditionFailedError([DELEGATE_KEY], 9)
 
 
-def test_a_record_seen_while_a_write_was_under_way_is_taken_although_the_leadership_ended(
-    leads: JobWriter, state: FakeState
-):
+def test_a_record_deferred_during_a_write_is_applied_although_the_leadership_ended(leads: JobWriter, state: FakeState):
     """It was left aside for good, so this node knew an older record until the next change."""
     job = leads.table.jobs["run-000002"]
 
@@ -191,7 +199,7 @@
     assert job.version == 12 and job.deferred_record is None and job.is_final()
 
 
-def test_a_leader_reads_a_record_with_missing_parts_again_by_itself(leads: JobWriter, state: FakeState):
+def test_a_leader_reads_a_record_with_missing_chunks_again_by_itself(leads: JobWriter, state: FakeState):
     """Nothing of the job is started before, so it must not wait for somebody to ask."""
     read = []
     leads.leadership.valid = lambda: not read
@@ -225,7 +233,7 @@
 
     async def several():
         for _ in range(4):
-            await writer._read_incomplete()
+            await writer._reload_unreadable()
 
     asyncio.run(several())
     assert asked == [f"{keys.JOB_PREFIX}run-{n:06d}" for n in (1, 2, 3, 1)]
@@ -238,15 +246,9 @@
     state.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
     state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
     table = JobTable(clock)
-    writer = JobWriter(
-        table,
-        state,
-        SimpleNamespace(fencing_token=5, role=Role.LEADER),
-        DelegatedLeases(clock),
-        [KEEPER, KEEPER + "x"],
-        clock,
-    )
-    writer.packing_enabled = lambda: True
+    leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER)
+    delegation_keys = [DELEGATE_KEY, DELEGATE_KEY + "x"]
+    writer = leader_writer(table, state, clock, delegation_keys, leadership, packing_enabled=lambda: True)
     machines = min(4000, int(writer.start_record_budget().maximum_bytes / (BYTES_PER_MACHINE + BYTES_PER_START)))
     spec = description(1, pieces=machines)
     record = {"phase": "open", "n": machines, "next": 2, "on": [], "spec": spec, "at": 1.0, "done": ""}
@@ -268,7 +270,7 @@
 def test_a_job_on_as_many_machines_as_it_may_use_is_stored_within_all_limits(
     state: FakeState, clock: Clock, value_kb, txn_ops, least
 ):
-    """An array was held to 215 machines at a time, and its parts were sent in transactions that were too large."""
+    """An array was held to 215 machines at a time, and its chunks were sent in transactions that were too large."""
     sent: list[tuple[int, int, int]] = []
     write = state.commit
 
@@ -286,7 +288,7 @@
         assert conditions <= 4 * txn_ops and puts <= txn_ops and length < 62 * 1024
 
 
-def test_a_record_is_not_stored_if_a_part_that_went_before_it_is_gone(state: FakeState, clock: Clock):
+def test_a_record_is_not_stored_if_a_chunk_written_before_it_is_gone(state: FakeState, clock: Clock):
     """Another leader removed it, as no record named it yet: the record could not be read any more."""
     writer, job = on_many_machines(state, clock, 2.0, 4)
     writes: list[list[str]] = []
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -1,4 +1,4 @@
-"""What users are told: never older than what another node has said."""
+"""Status and cancellation: never older than what another node has answered."""
 
 import asyncio
 import json
@@ -11,6 +11,7 @@
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs.job import jobs_to_write
 from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.storage import keys
 from hookwall.storage.client import PreconditionFailedError
@@ -19,27 +20,26 @@
 
 
 class Nodes:
-    """Two nodes on one state service, neither of which sees the other's changes by itself."""
+    """Two nodes on one key-value store, neither of which sees the other's changes by itself."""
 
     def __init__(self, params, state: FakeState, clock: Clock) -> None:
-        self.apis = []
+        self.services = []
         for _ in range(2):
             table = JobTable(clock)
-            confirmer = ReadConfirmation(state, None)
-            api = JobService(params, table, state, confirmer)
-            confirmer.refresh = api.reload_record
-            api.catalog = CATALOG
-            self.apis.append(api)
+            reader = JobRecordReader(table, state)
+            service = JobService(params, table, state, ReadConfirmation(state, reader.reload))
+            service.catalog = CATALOG
+            self.services.append(service)
 
 
 def play(nodes: Nodes, script):
     async def main():
-        loops = [asyncio.create_task(a.read_confirmation.run()) for a in nodes.apis]
+        loops = [asyncio.create_task(service.read_confirmation.run()) for service in nodes.services]
         try:
-            return await script(*nodes.apis)
+            return await script(*nodes.services)
         finally:
-            for t in loops:
-                t.cancel()
+            for loop in loops:
+                loop.cancel()
 
     return asyncio.run(main())
 
@@ -53,7 +53,7 @@
     return json.dumps(description(n, **changes)).encode()
 
 
-def test_accepted_only_once_stored(nodes: Nodes, state: FakeState):
+def test_a_job_is_accepted_only_once_it_is_stored(nodes: Nodes, state: FakeState):
     async def script(a: JobService, b: JobService):
         state.mode = "lost"
         first = await a.submit(body())
@@ -65,7 +65,7 @@
     assert play(nodes, script) == (503, {"Retry-After": "1"}, 404, 201, 200)
 
 
-def test_a_write_that_happened_without_an_answer_is_found_on_the_retry(nodes: Nodes, state: FakeState):
+def test_a_write_whose_outcome_was_unknown_is_found_on_the_retry(nodes: Nodes, state: FakeState):
     async def script(a: JobService, b: JobService):
         state.mode = "ghost"
         first = await a.submit(body())
@@ -75,7 +75,7 @@
     assert play(nodes, script) == (503, 200, 200)
 
 
-def test_a_cached_answer_is_confirmed_before_it_is_given(nodes: Nodes):
+def test_a_cached_status_is_confirmed_before_it_is_given(nodes: Nodes):
     async def script(a: JobService, b: JobService):
         await a.submit(body())
         assert b"pending" in (await b.get("run-000001"))[1]
@@ -96,7 +96,7 @@
     assert play(nodes, script) == 200
 
 
-def test_a_new_leader_takes_the_records_again_even_if_it_knows_their_stamps(nodes: Nodes, clock: Clock):
+def test_a_new_leader_applies_the_records_again_even_if_it_knows_their_versions(nodes: Nodes, clock: Clock):
     async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         job = a.table.jobs["run-000001"]
@@ -108,7 +108,7 @@
     assert play(nodes, script) == (1, False)
 
 
-def test_404_is_confirmed_too(nodes: Nodes):
+def test_a_404_is_confirmed_before_it_is_given(nodes: Nodes):
     async def script(a: JobService, b: JobService):
         before = await b.get("run-000001")
         await a.submit(body())
@@ -117,7 +117,7 @@
     assert play(nodes, script) == (404, 200)
 
 
-def test_unconfirmed_is_503_at_once_but_final_states_are_served(nodes: Nodes, state: FakeState):
+def test_an_unconfirmed_status_is_503_at_once_but_final_ones_are_served(nodes: Nodes, state: FakeState):
     async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         await a.submit(body(2))
@@ -139,7 +139,7 @@
     assert play(nodes, script) == ["compare"]
 
 
-def test_cancel_is_final_and_does_not_undo_done(nodes: Nodes, state: FakeState):
+def test_a_cancellation_of_a_done_job_says_done(nodes: Nodes, state: FakeState):
     async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         key = "hookwall/job/run-000001"
@@ -173,7 +173,7 @@
     assert play(nodes, script) == ("done", "done")
 
 
-def test_a_cancellation_seen_while_the_leader_writes_is_not_answered_with_running(nodes: Nodes):
+def test_a_cancellation_seen_during_a_write_of_the_leader_is_answered_with_withdrawn(nodes: Nodes):
     async def script(a: JobService, b: JobService):
         await a.submit(body(1))
         job = a.table.jobs["run-000001"]
@@ -196,7 +196,7 @@
         ({"owner": "grey", "shape": "ensemble", "pieces": 5, "cards": 4.0}, 201),
     ],
 )
-def test_what_can_never_run(nodes: Nodes, changes, status):
+def test_an_infeasible_job_is_refused(nodes: Nodes, changes, status):
     async def script(a: JobService, b: JobService):
         return (await a.submit(body(**changes)))[0]
 
@@ -211,7 +211,7 @@
     assert play(nodes, script) == 200
 
 
-def test_without_machine_types_nothing_is_decided(nodes: Nodes):
+def test_a_submission_without_known_machine_types_is_refused_for_now(nodes: Nodes):
     async def script(a: JobService, b: JobService):
         a.catalog = None
         return (await a.submit(body()))[0]
@@ -219,7 +219,7 @@
     assert play(nodes, script) == 503
 
 
-def test_ranges_round_trip_and_stay_small():
+def test_task_ranges_round_trip_and_stay_small():
     for numbers in ([], [0], [3, 4, 5], [0, 2, 4, 5, 6, 99_999]):
         assert decode_ranges(encode_ranges(numbers)) == numbers
     assert encode_ranges(range(100_000)) == "0-99999"
@@ -235,22 +235,22 @@
     assert len(json.dumps(encode_plain(job.record()))) < params.state.value_kb * 1024
 
 
-def test_starts_are_stored_before_ends_that_nobody_waits_for(cluster: Cluster):
-    ended, started_, over = cluster.submit(1, pieces=2), cluster.submit(2), cluster.submit(3)
+def test_starts_are_stored_before_ends_of_single_tasks(cluster: Cluster):
+    ended, started, over = cluster.submit(1, pieces=2), cluster.submit(2), cluster.submit(3)
     cluster.beat("vm-1")
     now = cluster.clock()
     ended.mark_task_done(0)
-    cluster.fleet.allocate(started_, 0, cluster.fleet.machines["vm-1"], 1, now)
+    cluster.fleet.allocate(started, 0, cluster.fleet.machines["vm-1"], 1, now)
     over.phase, over.has_unsaved_changes = "done", True
-    assert jobs_to_write(cluster.table.open_jobs.values(), now, spare=True) == [over, started_]
+    assert jobs_to_write(cluster.table.open_jobs.values(), now, spare=True) == [over, started]
     later = [now + 2.0, now + 16.0]
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=True) == [over, started_, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=True) == [over, started, ended]
     # Not while changes are scarce, but not for ever either.
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=False) == [over, started_]
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], spare=False) == [over, started_, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=False) == [over, started]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], spare=False) == [over, started, ended]
 
 
-def test_a_start_that_waits_longer_is_stored_first_whatever_arrived_earlier(cluster: Cluster):
+def test_the_start_that_waits_longest_is_stored_first_whatever_arrived_earlier(cluster: Cluster):
     old, new = cluster.submit(1), cluster.submit(2)
     cluster.beat("vm-1")
     m = cluster.fleet.machines["vm-1"]
@@ -262,7 +262,7 @@
 
 
 def large_record(clock: Clock):
-    """An accepted job whose record needs parts, with its value and them."""
+    """An empty table, and the key and encoding of an accepted job whose record takes chunks."""
     spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
     record = JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks="")
     encoded = encode_record(spec.job_id, record, 1700)
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize("head_first", [True, False])
-def test_a_record_is_known_once_its_parts_are_in_whatever_order_they_come(clock: Clock, head_first):
+def test_a_record_is_applied_once_its_chunks_are_known_in_any_order(clock: Clock, head_first):
     table, key, encoded = large_record(clock)
     if head_first:
         table.apply_record(key, encoded.value, 9)
@@ -282,7 +282,7 @@
     assert table.jobs["run-000001"].version == 9 and table.jobs["run-000001"].spec.dependencies
 
 
-def test_a_job_whose_parts_are_not_known_yet_is_not_answered_404(nodes: Nodes, state: FakeState, clock: Clock):
+def test_a_job_whose_chunks_are_not_known_yet_is_not_answered_404(nodes: Nodes, state: FakeState, clock: Clock):
     _, key, encoded = large_record(clock)
     state.keys[key] = (encoded.value, 9)
     state.epoch = 9
@@ -296,13 +296,13 @@
     assert play(nodes, script) == (503, 200)
 
 
-def test_a_cancellation_that_is_seen_without_its_parts_counts_at_once(clock: Clock):
+def test_a_cancellation_that_is_seen_without_its_chunks_counts_at_once(clock: Clock):
     table, key, encoded = large_record(clock)
     table.apply_record(key, {**encoded.value, "phase": "withdrawn"}, 9)
     assert table.is_cancelled("run-000001")
 
 
-def test_a_job_is_queued_as_of_the_end_of_the_last_job_that_it_needs(clock: Clock):
+def test_a_job_is_queued_as_of_the_end_of_its_last_dependency(clock: Clock):
     table = JobTable(clock)
     needed = {"phase": "open", "n": 1, "next": 1, "on": [], "spec": description(1), "at": 10.0, "done": ""}
     waiting = {**needed, "spec": description(2, awaits=["run-000001"]), "at": 20.0}
@@ -314,10 +314,10 @@
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_a_record_that_is_replaced_in_parts_is_not_stored_if_one_of_them_is_gone(
+def test_a_record_that_is_replaced_in_chunks_is_not_stored_if_one_of_them_is_gone(
     nodes: Nodes, state: FakeState, clock: Clock, gone
 ):
-    """A leader may remove parts that no record names, so the write that names them is conditional on them."""
+    """A leader may remove chunks that no record names, so the write that names them is conditional on them."""
     _, key, encoded = large_record(clock)
     state.keys[key], state.epoch = ({"phase": "open", "n": 1, "next": 1, "on": []}, 9), 9
     state.max_transaction_changes = 2
@@ -342,7 +342,7 @@
     assert (state.keys[key][0] == encoded.value) != gone
 
 
-def test_a_large_description_is_not_stored_in_parts_while_an_older_program_may_read_it(nodes: Nodes, state: FakeState):
+def test_a_large_description_is_not_stored_in_chunks_while_an_older_program_may_read_it(nodes: Nodes, state: FakeState):
     async def script(a: JobService, b: JobService):
         a.packing_enabled = lambda: False
         needs = [f"type-{n * 7919**4:030d}" * 3 for n in range(60)]
