--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -109,10 +109,12 @@
             self.job_table, self.store, self.leadership, self.delegation_guard, self.record_reader.reload, clock,
             packing_enabled=self.storage_version.allows_dependencies, on_decisions_stored=self._stored,
         )  # fmt: skip
-        self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
-        self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
-        self.job_service.packing_enabled = self.storage_version.allows_dependencies
-        self.job_service.cancellations_current = self.cancellations.records_are_current
+        self.job_service = JobService(
+            params, self.job_table, self.store, self.record_reader, self.read_confirmation, wall,
+            confirm_cancellation=self.cancellations.confirm_cancellation,
+            packing_enabled=self.storage_version.allows_dependencies,
+            cancellations_current=self.cancellations.records_are_current,
+        )  # fmt: skip
         self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
         self.watch.read_all, self.watch.on_current = self._read_all, self.cancellations.confirm_records_read
         self.watch.take = lambda key, value, stamp: self._take_key(key, value, stamp)
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP door over a real socket on loopback: what can't be taken is refused at once."""
+"""The HTTP server over a real socket on loopback: what can't be answered is refused at once."""
 
 import asyncio
 import re
@@ -12,27 +12,28 @@
 from hookwall.api.server import MAX_USER_REQUESTS, HttpServer, listen
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.storage.read_confirmation import ReadConfirmation
 
 
 def talk(params, state: FakeState, clock: Clock, script):
     async def main():
         table = JobTable(clock)
-        confirmer = ReadConfirmation(state, None)
-        api = JobService(params, table, state, confirmer)
-        confirmer.refresh = api.reload_record
-        api.catalog = CATALOG
+        reader = JobRecordReader(table, state)
+        read_confirmation = ReadConfirmation(state, reader.reload)
+        service = JobService(params, table, state, reader, read_confirmation)
+        service.catalog = CATALOG
 
-        async def beat(body):
+        async def heartbeat(body):
             return 421, b"{}"
 
-        door = HttpServer(api, beat, lambda: True, params.machine_limits.sockets, clock=clock)
-        server = await listen(door, "127.0.0.1", 0)
-        confirming = asyncio.create_task(confirmer.run())
+        http_server = HttpServer(service, heartbeat, lambda: True, params.machine_limits.sockets, clock=clock)
+        server = await listen(http_server, "127.0.0.1", 0)
+        confirming = asyncio.create_task(read_confirmation.run())
         base = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
             async with aiohttp.ClientSession() as session:
-                return await script(session, base, door)
+                return await script(session, base, http_server)
         finally:
             confirming.cancel()
             server.close()
@@ -55,10 +56,10 @@
         ("GET", "/elsewhere", None, 404),
     ],
 )
-def test_what_is_answered_at_the_door(
+def test_each_route_answers_with_its_status(
     params: PlatformParameters, state: FakeState, clock: Clock, method, path, body, status
 ):
-    async def script(session: ClientSession, base, door: HttpServer):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         async with session.request(method, base + path, data=body) as answer:
             return answer.status
 
@@ -70,7 +71,7 @@
         for _ in range(40):
             yield b"x" * 4096
 
-    async def script(session: ClientSession, base, door: HttpServer):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         async with session.post(base + "/v1/jobs", data=endless()) as answer:
             return answer.status
 
@@ -78,7 +79,7 @@
 
 
 def test_a_job_over_http(params: PlatformParameters, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: HttpServer):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         seen = []
         for method, path, body in (
             ("POST", "/v1/jobs", description(1)),
@@ -96,21 +97,23 @@
     ]  # fmt: skip
 
 
-def test_overload_is_told_at_once_with_when_to_come_back(params: PlatformParameters, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: HttpServer):
-        door.at_once = MAX_USER_REQUESTS
+def test_overload_is_429_at_once_with_when_to_come_back(params: PlatformParameters, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, http_server: HttpServer):
+        http_server.user_requests_in_flight = MAX_USER_REQUESTS
         async with session.get(base + "/v1/jobs/run-000001") as answer:
             return answer.status, answer.headers.get("Retry-After")
 
     assert talk(params, state, clock, script) == (429, "1")
 
 
-def test_a_surprise_in_a_handler_does_not_end_the_node(params: PlatformParameters, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: HttpServer):
+def test_an_unexpected_error_in_a_handler_does_not_end_the_node(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         async def broken(ref):
             raise RuntimeError("surprise")
 
-        door.api.get = broken
+        http_server.job_service.get = broken
         async with session.get(base + "/v1/jobs/run-000001") as answer:
             first = answer.status
         async with session.get(base + "/up") as answer:
@@ -119,18 +122,16 @@
     assert talk(params, state, clock, script) == (503, 200)
 
 
-def test_a_connection_on_which_nothing_is_asked_any_more_is_closed(
-    params: PlatformParameters, state: FakeState, clock: Clock
-):
-    # Machines that are gone say nothing; their connections stayed, and sockets are limited.
-    async def script(session: ClientSession, base, door: HttpServer):
+def test_an_idle_connection_is_closed(params: PlatformParameters, state: FakeState, clock: Clock):
+    # Machines that are gone send nothing; their connections stayed, and sockets are limited.
+    async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         first = await reader.readuntil(b"{}")
-        clock.tick(door.idle_s - 1.0)
-        kept = door.shed()
-        closing = asyncio.create_task(door.run())
+        clock.tick(http_server.idle_timeout_s - 1.0)
+        kept = http_server.close_idle_connections()
+        closing = asyncio.create_task(http_server.run())
         clock.tick(2.0)
         async with asyncio.timeout(3.0):
             rest = await reader.read()
@@ -141,11 +142,13 @@
     assert talk(params, state, clock, script) == (b"200", 0, b"")
 
 
-def test_at_the_limit_of_sockets_the_longest_idle_go_first(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_at_the_limit_of_sockets_the_longest_idle_connections_are_closed_first(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
     # Workers leave connections behind; those of the nodes' own, and new ones, must go on being had.
-    async def script(session: ClientSession, base, door: HttpServer):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
-        door.most = 2
+        http_server.max_connections = 2
         opened = []
         for _ in range(4):
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -153,34 +156,36 @@
             await reader.readuntil(b"{}")
             opened.append((reader, writer))
             clock.tick(3.0)
-        closed = door.shed()
+        closed = http_server.close_idle_connections()
         async with asyncio.timeout(3.0):
             ends = [await opened[i][0].read() for i in range(closed)]
-        still = [len(door.connections), door.shed()]
+        still = [len(http_server.last_used_at), http_server.close_idle_connections()]
         for _, writer in opened:
             writer.close()
         return closed, ends, still
 
     # The newest two are there; the limit leaves room for what waits and for the node's own connections.
     assert talk(params, state, clock, script) == (2, [b"", b""], [2, 0])
-    door = HttpServer(None, None, None, 1563)
-    assert door.most + door.backlog + 72 + 4 < 1563 and door.most > 860
+    http_server = HttpServer(None, None, None, 1563)
+    assert http_server.max_connections + http_server.backlog + 72 + 4 < 1563 and http_server.max_connections > 860
 
 
-def test_a_body_that_does_not_come_gives_its_place_back(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_a_request_whose_body_does_not_come_is_not_in_flight(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
     # Behind a cut the rest of a request never comes; 200 of them would have kept all users out. Now such a
     # request takes no place at all before it has come whole.
-    async def script(session: ClientSession, base, door: HttpServer):
-        door.body_s = 0.2
+    async def script(session: ClientSession, base, http_server: HttpServer):
+        http_server.body_timeout_s = 0.2
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{")
         await asyncio.sleep(0.05)
-        taken = door.at_once
+        taken = http_server.user_requests_in_flight
         async with asyncio.timeout(3.0):
             status = (await reader.readline()).split()[1]
         writer.close()
-        return taken, status, door.at_once
+        return taken, status, http_server.user_requests_in_flight
 
     assert talk(params, state, clock, script) == (0, b"408", 0)
 
@@ -189,7 +194,7 @@
     params: PlatformParameters, state: FakeState, clock: Clock
 ):
     # Nobody should send a second one before the first is answered; whoever does gets no answer to the other.
-    async def script(session: ClientSession, base, door: HttpServer):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         slow = b"GET /v1/jobs/run-000009 HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -205,10 +210,10 @@
 @pytest.mark.parametrize(
     "raw", [b"nonsense\r\n\r\n", b"GET / HTTP/1.1\r\nbad header\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"]
 )
-def test_what_is_not_http_is_refused_and_ends_no_one_else(
+def test_what_is_not_http_is_refused_and_ends_no_other_connection(
     params: PlatformParameters, state: FakeState, clock: Clock, raw
 ):
-    async def script(session: ClientSession, base, door: HttpServer):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(raw)
@@ -221,11 +226,11 @@
     assert talk(params, state, clock, script) == (b"400", 200)
 
 
-def test_a_report_is_answered_without_a_task(params: PlatformParameters, state: FakeState, clock: Clock):
-    async def script(session: ClientSession, base, door: HttpServer):
+def test_a_heartbeat_is_answered_without_a_task(params: PlatformParameters, state: FakeState, clock: Clock):
+    async def script(session: ClientSession, base, http_server: HttpServer):
         made: list[object] = []
         loop = asyncio.get_running_loop()
-        door.beat = lambda body: made.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
+        http_server.handle_heartbeat = lambda body: made.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
         before = len(asyncio.all_tasks(loop))
         async with session.post(base + "/agent/beat", data=b"{}") as answer:
             return answer.status, made[0] - before
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -27,7 +27,7 @@
         for _ in range(2):
             table = JobTable(clock)
             reader = JobRecordReader(table, state)
-            service = JobService(params, table, state, ReadConfirmation(state, reader.reload))
+            service = JobService(params, table, state, reader, ReadConfirmation(state, reader.reload))
             service.catalog = CATALOG
             self.services.append(service)
 
@@ -102,7 +102,7 @@
         job = a.table.jobs["run-000001"]
         job.next_attempt, job.has_unsaved_changes = 7, True
         a.table.invalidate_decisions()
-        await a.reload_record("hookwall/job/run-000001")
+        await a.reader.reload("hookwall/job/run-000001")
         return job.next_attempt, job.has_unsaved_changes
 
     assert play(nodes, script) == (1, False)
@@ -333,7 +333,7 @@
     async def script(a: JobService, b: JobService):
         state.commit = commit
         try:
-            return await a._store(key, 9, encoded, state.keys[key][0])
+            return await a.record_writer.write(key, 9, encoded, state.keys[key][0])
         except PreconditionFailedError:
             return None
 
