--- /dev/null
+++ b/hookwall/node/supervision.py
@@ -0,0 +1,25 @@
+"""Supervision of a node's loops: one that ends by an error starts again, since a node must not half-live."""
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable, Mapping
+
+log = logging.getLogger(__name__)
+
+RESTART_DELAY_S = 0.5
+
+Loop = Callable[[], Awaitable[None]]
+
+
+async def run_supervised(loops: Mapping[str, Loop]) -> None:
+    """Run all loops, by name, until this task is cancelled."""
+    await asyncio.gather(*(_restart_on_error(name, loop) for name, loop in loops.items()))
+
+
+async def _restart_on_error(name: str, loop: Loop) -> None:
+    while True:
+        try:
+            await loop()
+        except Exception:
+            log.exception("loop failed: loop=%s", name)
+            await asyncio.sleep(RESTART_DELAY_S)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -83,7 +83,7 @@
     job = node.job_table.jobs["run-000001"]
     node.fleet.release_allocation(job, job.allocations[0], "the lease is over")
     node.store.scan = scan
-    asyncio.run(node._read_all())
+    asyncio.run(node.key_dispatcher.read_all())
     assert node.fleet.delegated_leases.last_possible_renewal("vm-1") == clock()
     assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes, "what was decided meanwhile is void"
 
--- a/tests/production.py
+++ b/tests/production.py
@@ -64,6 +64,8 @@
         limits = msgspec.structs.replace(limits, state=msgspec.structs.replace(limits.state, next=None))
         super().__init__(msgspec.structs.replace(settings, platform=limits), clock, wall)
         self.broken = broken
+        self.dispatch = self.key_dispatcher.apply_key
+        self.key_dispatcher.apply_key = self._apply_key
         self.leadership.local_status, self.leadership.on_peer_status = PeerStatus, lambda node, about: None
         self.leadership.vote_fence = None
         self.storage_version.reported_versions.clear()
@@ -72,13 +74,13 @@
         submit = self.job_service.submit
         self.job_service.submit = lambda body: submit(without_needs(body))
 
-    def _take_key(self, key: str, value: Any, stamp: int) -> None:
+    def _apply_key(self, key: str, value: Any, version: int) -> None:
         if key.startswith(keys.JOB_PREFIX):
             wrong = misread(value)
             if wrong:
                 self.broken.append(f"format 1 misreads {key}: {wrong}")
         if key.startswith((keys.JOB_PREFIX, keys.LEADER_KEY, keys.LEASE_DELEGATE_PREFIX, keys.CATALOG_KEY)):
-            super()._take_key(key, value, stamp)
+            self.dispatch(key, value, version)
 
 
 class Format2Gate(StorageVersionGate):
@@ -101,14 +103,17 @@
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
         self.broken = broken
+        self.dispatch = self.key_dispatcher.apply_key
+        self.key_dispatcher.apply_key = self._apply_key
         self.leadership.vote_fence = None
         self.storage_version = Format2Gate(settings.node_name, [s.node_name for s in settings.seeds], self.store, 2)
         self.job_writer.packing_enabled = self.job_service.packing_enabled = self.lease_delegate.packed_names = (
             self.storage_version.allows_dependencies
         )
+        self.key_dispatcher.storage_version = self.storage_version
         self.lease_delegate.numbered_names = lambda: False
 
-    def _take_key(self, key: str, value: Any, stamp: int) -> None:
+    def _apply_key(self, key: str, value: Any, version: int) -> None:
         if key.startswith(keys.JOB_PREFIX):
             unknown = value.keys() - RECORD_FIELDS - FORMAT_2_FIELDS
             if unknown:
@@ -116,7 +121,7 @@
         if key.startswith(keys.LEASE_DELEGATE_PREFIX) and not {"machines", "packed"} & value.keys():
             self.broken.append(f"format 2 takes {key} to name any machine")
         if not key.startswith(keys.VOTE_FENCE_PREFIX):
-            super()._take_key(key, value, stamp)
+            self.dispatch(key, value, version)
 
 
 class Format3Node(Node):
