--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -63,7 +63,9 @@
             got = await lead.store.read(keys.LEADER_KEY)
             record, stamp = got.value if isinstance(got.value, dict) else {}, got.version
             lead.observe_leader_key(record, stamp, got.revision)
-            if not self.may_start() or not lead.vote_grant.grant_vote(lead.node_name, stamp, campaign=self.election_id):
+            if not self.may_start() or not lead.vote_grant.grant_vote(
+                lead.node_name, stamp, election_id=self.election_id
+            ):
                 return
             replaced = stamp
             mode = await self._ask_for_mode(record, stamp)
--- a/hookwall/leadership/leader_key.py
+++ b/hookwall/leadership/leader_key.py
@@ -1,20 +1,56 @@
-"""What one node knows of the leader key in the state service.
+"""What one node knows of the leader key in the key-value store.
 
-The key names the node that leads and the mode in which it is valid; its stamp is the leader's token. Reads, the
-watch and full scans tell of it, and their answers may come late or in any order, so everything counts from its
-position in the service's sequence of changes: a value from its stamp, an absence from the change at which it was seen.
+The key names the node that leads and the mode in which it is valid; its version is the leader's fencing token. Reads,
+the watch and full scans show it, and their responses may come late or in any order. Invariant: what is known here never
+goes back to an older revision of the store. A value counts from its version, an absence from the revision at which it
+was observed.
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Self
 
 from hookwall.leadership.roles import LeaseMode
 
+# Fields of the stored value.
+LEADER_FIELD = "node"
+INCARNATION_FIELD = "incarnation"
+LEASE_MODE_FIELD = "mode"
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderRecord:
+    """The value of the leader key."""
+
+    leader: str
+    incarnation: object  # of the leader's process; None where it is not stored
+    lease_mode: LeaseMode
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """Read a stored value; whatever is missing or malformed counts as not stored."""
+        fields = value if isinstance(value, dict) else {}
+        by_session = fields.get(LEASE_MODE_FIELD) == LeaseMode.SESSION_LEASE.value
+        return cls(
+            leader=str(fields.get(LEADER_FIELD, "")),
+            incarnation=fields.get(INCARNATION_FIELD),
+            lease_mode=LeaseMode.SESSION_LEASE if by_session else LeaseMode.QUORUM_LEASE,
+        )
+
+    def encode(self) -> dict[str, object]:
+        """The value as it is stored."""
+        return {
+            LEADER_FIELD: self.leader,
+            INCARNATION_FIELD: self.incarnation,
+            LEASE_MODE_FIELD: self.lease_mode.value,
+        }
+
 
 class LeaderKey:
-    """The newest state of the key that this node has seen."""
+    """The newest state of the leader key that this node has observed."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        self.clock = clock
+        self._clock = clock
         self.leader = ""
         self.version = 0  # 0: there is no key
         self.lease_mode = LeaseMode.QUORUM_LEASE
@@ -22,28 +58,28 @@
         self.revision = 0
         self.absent_since = clock()  # since when there has been no key, as far as this node knows
 
-    def observe(self, value: object, stamp: int, position: int | None = None) -> bool:
-        """The key as it was at a position; stamp 0: absent. False if something newer is known.
+    def observe(self, value: object, version: int, revision: int | None = None) -> bool:
+        """Record the key as it was at a revision; version 0: absent. False if something newer is known.
 
-        Without a position an absence is taken to be the newest state.
+        Without a revision an absence is taken to be the newest state.
         """
-        position = stamp or position
-        if position is not None:
-            if position < self.revision:
+        observed_at = version or revision
+        if observed_at is not None:
+            if observed_at < self.revision:
                 return False
-            self.revision = position
-        fields = value if isinstance(value, dict) else {}
-        if not stamp and (self.version or not self.known):
-            self.absent_since = self.clock()
-        self.leader, self.version, self.known = str(fields.get("node", "")), stamp, True
-        self.lease_mode = (
-            LeaseMode.SESSION_LEASE if fields.get("mode") == LeaseMode.SESSION_LEASE.value else LeaseMode.QUORUM_LEASE
-        )
+            self.revision = observed_at
+        if not version and (self.version or not self.known):
+            self.absent_since = self._clock()
+        record = LeaderRecord.decode(value)
+        self.leader = record.leader
+        self.lease_mode = record.lease_mode
+        self.version = version
+        self.known = True
         return True
 
-    def shows_no_other_leader(self, me: str) -> bool:
-        """Whether the key shows that no other node can be valid.
+    def shows_no_other_leader(self, node_name: str) -> bool:
+        """Whether the key shows that no node but this one can be valid.
 
-        It is gone, or it names an earlier process of this node, or a leadership that it gave up.
+        It is gone, or it names an earlier process of this node, or a leadership that this node gave up.
         """
-        return self.known and (self.version == 0 or self.leader == me)
+        return self.known and (self.version == 0 or self.leader == node_name)
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -1,108 +1,127 @@
-"""Messages between our own nodes: length-prefixed CBOR over one connection to each peer."""
+"""Messages between our own nodes: length-prefixed CBOR over one connection to each peer.
+
+Invariant: a response belongs to the request that carries its serial number, however late or out of order it comes.
+"""
 
 import asyncio
 import logging
 import struct
 from collections.abc import Callable
+from typing import Any
 
 import cbor2
 
 from hookwall.config.platform import PeerSeed, parse_address
+from hookwall.errors import HookwallError
 
 log = logging.getLogger(__name__)
+
+CALL_TIMEOUT_S = 1.0
 MAX_FRAME_BYTES = 256 * 1024
+FRAME_LENGTH = struct.Struct(">I")
+SERIAL_FIELD = "s"
+NO_SERIAL = -1
+
+
+class MalformedFrameError(HookwallError):
+    """What came over a connection is not a message, or is too large."""
+
 
+async def read_frame(reader: asyncio.StreamReader) -> dict[str, Any]:
+    """The next message of a connection.
 
-async def read_frame(reader: asyncio.StreamReader) -> dict:
-    (size,) = struct.unpack(">I", await reader.readexactly(4))
+    Raises MalformedFrameError, and IncompleteReadError at the end of the connection.
+    """
+    (size,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
     if size > MAX_FRAME_BYTES:
-        raise ValueError("frame too large")
+        raise MalformedFrameError(f"frame too large: {size} bytes")
     value = cbor2.loads(await reader.readexactly(size))
     if not isinstance(value, dict):
-        raise ValueError("not a message")
+        raise MalformedFrameError("not a message")
     return value
 
 
-def encode_frame(message: dict) -> bytes:
+def encode_frame(message: dict[str, Any]) -> bytes:
+    """A message as it goes over a connection."""
     data = cbor2.dumps(message)
-    return struct.pack(">I", len(data)) + data
+    return FRAME_LENGTH.pack(len(data)) + data
 
 
 class PeerConnection:
-    """One other node. Each call gets its own answer or none; a silent connection is replaced."""
+    """The connection to one other node. Each call gets its own response or none; a silent connection is replaced."""
 
     def __init__(self, seed: PeerSeed) -> None:
         self.name = seed.node_name
         self.host, self.port = parse_address(seed.peer_addr, "seeds.peer_addr")
-        self.writer: asyncio.StreamWriter | None = None
-        self.answers: dict[int, asyncio.Future] = {}
-        self.serial = 0
-        self.connecting: asyncio.Lock = asyncio.Lock()
+        self._writer: asyncio.StreamWriter | None = None
+        self._pending: dict[int, asyncio.Future[dict[str, Any]]] = {}
+        self._last_serial = 0
+        self._connecting = asyncio.Lock()
+
+    async def call(self, message: dict[str, Any], timeout: float = CALL_TIMEOUT_S) -> dict[str, Any] | None:
+        """The peer's response within so many seconds, or None."""
+        self._last_serial += 1
+        serial = self._last_serial
+        response: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
+        self._pending[serial] = response
+        try:
+            async with asyncio.timeout(timeout):
+                if self._writer is None:
+                    await self._connect()
+                if self._writer is None:
+                    return None
+                self._writer.write(encode_frame({**message, SERIAL_FIELD: serial}))
+                return await response
+        except (TimeoutError, OSError):
+            # Behind a network partition a connection stays open without an error; a new one will work sooner.
+            if self._writer is not None:
+                self._close(self._writer)
+            return None
+        finally:
+            self._pending.pop(serial, None)
 
     async def _connect(self) -> None:
-        async with self.connecting:
-            if self.writer is not None:
+        async with self._connecting:
+            if self._writer is not None:
                 return
             reader, writer = await asyncio.open_connection(self.host, self.port)
-            self.writer = writer
-            asyncio.get_running_loop().create_task(self._listen(reader, writer))
+            self._writer = writer
+            asyncio.get_running_loop().create_task(self._receive_responses(reader, writer))
 
-    async def _listen(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _receive_responses(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 message = await read_frame(reader)
-                future = self.answers.pop(message.get("s", -1), None)
-                if future is not None and not future.done():
-                    future.set_result(message)
-        except Exception as e:  # a peer's nonsense must not end this node
-            log.debug("connection to %s ended: %s", self.name, type(e).__name__)
+                response = self._pending.pop(message.get(SERIAL_FIELD, NO_SERIAL), None)
+                if response is not None and not response.done():
+                    response.set_result(message)
+        except Exception as error:  # whatever a peer sends must not end this node
+            log.debug("peer connection ended peer=%s error=%s", self.name, type(error).__name__)
         finally:
             self._close(writer)
 
     def _close(self, writer: asyncio.StreamWriter) -> None:
-        if self.writer is writer:
-            self.writer = None
+        if self._writer is writer:
+            self._writer = None
         writer.close()
 
-    async def call(self, message: dict, timeout: float = 1.0) -> dict | None:
-        """The peer's answer, or None."""
-        self.serial += 1
-        serial = self.serial
-        future: asyncio.Future = asyncio.get_running_loop().create_future()
-        self.answers[serial] = future
-        try:
-            async with asyncio.timeout(timeout):
-                if self.writer is None:
-                    await self._connect()
-                if self.writer is None:
-                    return None
-                self.writer.write(encode_frame({**message, "s": serial}))
-                return await future
-        except (TimeoutError, OSError):
-            # Behind a cut a connection stays open without an error; a new one will work sooner.
-            if self.writer is not None:
-                self._close(self.writer)
-            return None
-        finally:
-            self.answers.pop(serial, None)
-
 
-async def serve_peers(at: str, handle: Callable[[dict], dict]) -> asyncio.Server:
-    """Answer peers' messages with `handle`."""
+async def serve_peers(listen_address: str, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> asyncio.Server:
+    """Respond to peers' messages with `handle`, on `host:port`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 message = await read_frame(reader)
-                answer = handle(message)
-                writer.write(encode_frame({**answer, "s": message.get("s", -1)}))
+                response = handle(message)
+                writer.write(encode_frame({**response, SERIAL_FIELD: message.get(SERIAL_FIELD, NO_SERIAL)}))
                 await writer.drain()
         except (asyncio.IncompleteReadError, OSError):
             pass
-        except Exception as e:
-            log.info("dropped a peer's connection: %s: %s", type(e).__name__, e)
+        except Exception as error:  # whatever a peer sends must not end this node
+            log.info("peer connection dropped error=%s: %s", type(error).__name__, error)
         finally:
             writer.close()
 
-    host, port = parse_address(at, "peer_listen")
+    host, port = parse_address(listen_address, "peer_listen")
     return await asyncio.start_server(serve, host, port)
--- a/hookwall/leadership/roles.py
+++ b/hookwall/leadership/roles.py
@@ -1,14 +1,17 @@
-"""What a node is at present, and what makes a leader valid."""
+"""What a node is at present, and what makes a leader valid.
+
+The values of `LeaseMode` stand in the stored leader key, so they never change.
+"""
 
 from enum import Enum
 
 
 class Role(Enum):
-    """A node's part in leading."""
+    """A node's part in leading; `leadership_state` has the transitions."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
-    LOADING = "loading"
+    LOADING = "loading"  # the leader key names this node, which rebuilds its state from the records
     LEADER = "leader"
 
     def holds_leader_key(self) -> bool:
@@ -17,7 +20,7 @@
 
 
 class LeaseMode(Enum):
-    """What makes a leader valid: see `leadership`."""
+    """What bounds a leader's validity: the quorum's leases, or its session lease alone."""
 
     QUORUM_LEASE = "promise"
     SESSION_LEASE = "hold"
--- a/hookwall/leadership/state_machine.py
+++ b/hookwall/leadership/state_machine.py
@@ -30,7 +30,7 @@
 from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import LeaseMode, Role
 from hookwall.leadership.vote_fence import VoteFence
-from hookwall.leadership.vote_grant import QUORUM_LEASE_S, VoteGrant
+from hookwall.leadership.vote_grant import QUORUM_LEASE_S, ObservedLeaderKey, VoteGrant
 from hookwall.protocol import peer_messages
 from hookwall.protocol.peer_messages import KnownCancellations, PeerMessage, PeerResponse, PeerStatus
 from hookwall.storage import keys
@@ -203,7 +203,7 @@
         """The leader key as the state service had it at a position (from a read or the watch); stamp 0: none."""
         if not self.leader_key.observe(value, stamp, position):
             return
-        self.vote_grant.observed_key = (self.leader_key.leader, stamp)
+        self.vote_grant.observed_key = ObservedLeaderKey(self.leader_key.leader, stamp)
         if stamp and self.leader_key.leader != self.node_name:
             self.vote_grant.fencing_token = max(self.vote_grant.fencing_token, stamp)
         if self.role.holds_leader_key() and stamp != self.fencing_token:
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -9,7 +9,7 @@
 from hookwall.leadership.leadership_transfer import NO_QUORUM_STEP_DOWN_S
 from hookwall.leadership.roles import LeaseMode, Role
 from hookwall.leadership.state_machine import Leadership
-from hookwall.leadership.vote_grant import QUORUM_LEASE_S, VOTE_GRANT_S, VoteGrant
+from hookwall.leadership.vote_grant import QUORUM_LEASE_S, VOTE_GRANT_S, ObservedLeaderKey, VoteGrant
 from hookwall.storage import keys
 from hookwall.storage.client import RequestRejectedError, VersionedValue
 
@@ -38,15 +38,15 @@
 
 def test_a_restarted_node_contradicts_nothing_it_may_have_promised(clock: Clock):
     p = VoteGrant("n0", clock)
-    p.observed_key = ("n1", 7)
+    p.observed_key = ObservedLeaderKey("n1", 7)
     assert not p.grant_vote("n2"), "it may have promised n1 just before it restarted"
     assert p.grant_vote("n1"), "n1 itself asks: the process that held the promise is gone"
     p = VoteGrant("n0", clock)
-    p.observed_key = ("n1", 7)
+    p.observed_key = ObservedLeaderKey("n1", 7)
     assert not p.renew_lease("n2", 6)
     assert p.renew_lease("n1", 7)
     p = VoteGrant("n0", clock)
-    p.observed_key = ("n1", 7)
+    p.observed_key = ObservedLeaderKey("n1", 7)
     clock.tick(QUORUM_LEASE_S * 1.1)
     assert p.grant_vote("n2")
 
@@ -54,7 +54,7 @@
 def test_without_a_leader_key_a_fresh_node_may_vote_at_once(clock: Clock):
     p = VoteGrant("n0", clock)
     assert not p.grant_vote("n1"), "the key has not been read yet"
-    p.observed_key = ("", 0)
+    p.observed_key = ObservedLeaderKey("", 0)
     assert p.grant_vote("n1")
 
 
@@ -294,16 +294,16 @@
     """The candidate's write may be carried out after any time; the vote itself ends after VOTE_S."""
     promise.renew_lease("n1", 7)
     clock.tick(QUORUM_LEASE_S + 0.01)
-    assert promise.grant_vote("n2", replaces=7)
+    assert promise.grant_vote("n2", replaces_version=7)
     clock.tick(VOTE_GRANT_S + 0.01)
     assert not promise.renew_lease("n1", 7)
     assert promise.renew_lease("n2", 8)
 
 
 def test_a_candidate_that_wrote_nothing_lets_the_former_leader_be_supported(promise: VoteGrant, clock: Clock):
-    promise.grant_vote("n2", replaces=7, campaign=21)
+    promise.grant_vote("n2", replaces_version=7, election_id=21)
     clock.tick(VOTE_GRANT_S + 0.01)
-    promise.grant_vote("n0", replaces=7, campaign=1)
+    promise.grant_vote("n0", replaces_version=7, election_id=1)
     clock.tick(VOTE_GRANT_S + 0.01)
     promise.clear_replacement("n2", 21)
     assert not promise.renew_lease("n1", 7), "another candidate may still replace it"
@@ -315,9 +315,9 @@
 
 def test_that_nothing_was_written_is_not_believed_of_a_later_campaign(promise: VoteGrant, clock: Clock):
     """The first campaign failed for certain and said so, late; the write of the second may still be carried out."""
-    promise.grant_vote("n2", replaces=7, campaign=21)
+    promise.grant_vote("n2", replaces_version=7, election_id=21)
     clock.tick(VOTE_GRANT_S + 0.01)
-    promise.grant_vote("n2", replaces=7, campaign=22)
+    promise.grant_vote("n2", replaces_version=7, election_id=22)
     clock.tick(VOTE_GRANT_S + 0.01)
     promise.clear_replacement("n2", 21)
     assert not promise.renew_lease("n1", 7)
@@ -438,9 +438,9 @@
 
 def test_a_restarted_voter_does_not_take_a_late_key_for_that_of_an_earlier_process(clock: Clock):
     promise = VoteGrant("n2", clock)
-    promise.observed_key = ("n0", 9)
-    assert not promise.grant_vote("n0", replaces=9, dead=False)
-    assert promise.grant_vote("n0", replaces=9)
+    promise.observed_key = ObservedLeaderKey("n0", 9)
+    assert not promise.grant_vote("n0", replaces_version=9, proves_leader_gone=False)
+    assert promise.grant_vote("n0", replaces_version=9)
 
 
 def test_a_restarted_voter_hears_that_a_key_proves_nothing(state: FakeState, clock: Clock):
--- a/tests/leadership/test_voter.py
+++ b/tests/leadership/test_voter.py
@@ -140,9 +140,9 @@
     async def scenario():
         state.mode = "ghost"
         with pytest.raises(OutcomeUnknownError):
-            await lead.vote_fence._write()
+            await lead.vote_fence.write_key()
         state.mode = "ok"
         before = state.keys[MY_KEY]
-        assert await lead.vote_fence._write() == before[1] and state.keys[MY_KEY] == before
+        assert await lead.vote_fence.write_key() == before[1] and state.keys[MY_KEY] == before
 
     asyncio.run(scenario())
