--- a/hookwall/scheduling/feasibility.py
+++ b/hookwall/scheduling/feasibility.py
@@ -1,33 +1,39 @@
-"""Which jobs can never run, whatever the cluster has free."""
+"""Which jobs can never run, whatever the cluster has free.
+
+Invariant: a job that is called feasible fits its team's limits and at least one machine type that it may use.
+"""
 
 from collections.abc import Mapping
 
 from hookwall.config.platform import TeamQuota
-from hookwall.protocol.cloud_messages import Catalog
+from hookwall.protocol.cloud_messages import Catalog, MachineType
 from hookwall.protocol.job_messages import JobSpec
-
-ROUNDING = 1e-9
+from hookwall.scheduling.resources import ROUNDING
 
 
 def infeasibility_reason(spec: JobSpec, catalog: Catalog, teams: Mapping[str, TeamQuota]) -> str | None:
-    """Why the job can never run, or None."""
+    """Why the job can never run, as users read it; None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
-    n = spec.task_count if spec.gang else 1
-    if team.gpus_max and spec.gpus * n > team.gpus_max + ROUNDING:
+    simultaneous_tasks = spec.task_count if spec.gang else 1
+    if team.gpus_max and spec.gpus * simultaneous_tasks > team.gpus_max + ROUNDING:
         return "more GPUs than the team's limit"
-    if team.cpus_max and spec.cpus * n > team.cpus_max + ROUNDING:
+    if team.cpus_max and spec.cpus * simultaneous_tasks > team.cpus_max + ROUNDING:
         return "more CPUs than the team's limit"
-    for t in catalog.types:
-        if spec.types is not None and t.name not in spec.types:
-            continue
-        if spec.zone is not None and spec.zone not in t.zones:
-            continue
-        if (
-            spec.cpus <= t.cpus + ROUNDING
-            and spec.gpus <= t.gpus + ROUNDING
-            and spec.memory_gb <= t.memory_gb + ROUNDING
-        ):
-            return None
+    if any(_admits_task(spec, machine_type) for machine_type in catalog.types):
+        return None
     return "a task fits no allowed machine type"
+
+
+def _admits_task(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Whether one task fits an empty machine of the type, and the job's constraints admit it."""
+    if spec.types is not None and machine_type.name not in spec.types:
+        return False
+    if spec.zone is not None and spec.zone not in machine_type.zones:
+        return False
+    return (
+        spec.cpus <= machine_type.cpus + ROUNDING
+        and spec.gpus <= machine_type.gpus + ROUNDING
+        and spec.memory_gb <= machine_type.memory_gb + ROUNDING
+    )
--- /dev/null
+++ b/hookwall/scheduling/preemption_options.py
@@ -0,0 +1,102 @@
+"""Where capacity could be freed for a job, and at what cost: found once a round for all jobs that request alike.
+
+Invariant: finding options changes neither the fleet nor the round's free capacity.
+"""
+
+from collections.abc import Callable
+
+from hookwall.jobs.job import Allocation, Job
+from hookwall.scheduling.resources import FreeCapacity, ResourceRequest, placeable_task_count, satisfies_constraints
+from hookwall.scheduling.round_state import PreemptionKey, PreemptionOption, RoundState, Victim
+from hookwall.workers.fleet import Fleet
+
+SETTLED_AFTER_S = 30.0  # a start that lasts this long counts for its user
+REFETCH_COST_S_PER_GB = 0.2  # for each GB of images that others would have to fetch again
+GANG_COST_S_PER_TASK = 30.0  # for each task of a gang that is stopped: it needs capacity for all of them at once again
+MAX_DISTINGUISHED_TASKS = 8  # arrays that request more tasks than this share their options
+
+
+def preemption_cost_s(job: Job, allocation: Allocation, now: float) -> float:
+    """What stopping an allocation costs, in seconds of somebody's time."""
+    spec = job.spec
+    if spec is None:
+        return 0.0
+    cost_s = 1.0 + spec.checkpoint_cost_s
+    ran_s = now - allocation.running_since if allocation.running_since >= 0 else 0.0
+    if spec.checkpoint_interval_s <= 0:
+        cost_s += ran_s
+    if allocation.running_since >= 0 and ran_s < SETTLED_AFTER_S:
+        # A start that is stopped this early was none: its user still waits.
+        cost_s += SETTLED_AFTER_S - ran_s
+    if spec.gang:
+        # All its tasks stop, and the next time it needs capacity for all of them at once.
+        cost_s += GANG_COST_S_PER_TASK * len(job.allocations)
+    return cost_s
+
+
+def preemption_key(job: Job, request: ResourceRequest, within_guarantee: bool) -> PreemptionKey:
+    """What decides the options for a job."""
+    return PreemptionKey(
+        job.rank,
+        within_guarantee,
+        job.team_index if within_guarantee else -1,
+        request.gang,
+        request.count if request.gang else min(request.count, MAX_DISTINGUISHED_TASKS),
+        request.cpus,
+        request.gpus,
+        request.memory,
+        request.types,
+        request.zone,
+        request.spot,
+    )
+
+
+def find_options(
+    request: ResourceRequest, state: RoundState, fleet: Fleet, may_stop: Callable[[Job], bool], now: float
+) -> list[PreemptionOption]:
+    """The cheapest option on each unreserved machine where stopping what may be stopped frees capacity for a task."""
+    options: list[PreemptionOption] = []
+    for index, machine in state.machines.items():
+        if index in state.reserved_for or not satisfies_constraints(request, machine):
+            continue
+        stoppable = [
+            (job, allocation)
+            for job, allocation in fleet.machines_by_index[index].allocations.values()
+            if allocation.stop_grace_s is None and not allocation.finished and may_stop(job)
+        ]
+        if not stoppable:
+            continue
+        victims, freed = _choose_victims(request, machine, stoppable, now)
+        if freed > 0:
+            per_task_s = sum(preemption_cost_s(job, allocation, now) for job, allocation in victims) / freed
+            cost_s = per_task_s + REFETCH_COST_S_PER_GB * machine.on_demand_image_gb
+            options.append(PreemptionOption(cost_s, index, freed, victims))
+    return options
+
+
+def _choose_victims(
+    request: ResourceRequest, machine: FreeCapacity, stoppable: list[Victim], now: float
+) -> tuple[list[Victim], int]:
+    """The cheapest that free capacity for at least one task, and for how many tasks they do."""
+    cheapest_first = sorted(
+        stoppable,
+        key=lambda victim: (-victim[0].rank, preemption_cost_s(victim[0], victim[1], now), -victim[1].created_at),
+    )
+    trial = FreeCapacity(
+        machine.index, machine.type, machine.zone, machine.spot, machine.cpus, machine.gpus, machine.memory
+    )
+    placeable_before = placeable_task_count(request, trial)
+    freed = 0
+    victim_count = 0
+    for at, (job, _) in enumerate(cheapest_first):
+        assert job.spec is not None
+        trial.cpus += job.spec.cpus
+        trial.gpus += job.spec.gpus
+        trial.memory += job.spec.memory_gb
+        placeable = placeable_task_count(request, trial) - placeable_before
+        if placeable > freed:
+            freed = placeable
+            victim_count = at + 1
+            if freed >= request.count:
+                break
+    return cheapest_first[:victim_count], freed
--- a/hookwall/scheduling/quotas.py
+++ b/hookwall/scheduling/quotas.py
@@ -1,45 +1,58 @@
-"""Teams' guarantees and limits: which jobs are within a guarantee, and how much more a limit admits."""
+"""Teams' quotas: which jobs are within their team's guarantee, and how many more tasks its limit admits.
+
+Invariant: tasks that may still run count towards a limit, whatever has become of their job.
+"""
 
 from hookwall.config.platform import TeamQuota
 from hookwall.jobs.job import OPEN, Job
 from hookwall.jobs.job_table import JobTable
+from hookwall.scheduling.resources import EPSILON, ROUNDING
 from hookwall.scheduling.round_state import ResourceUsage, RoundState
 
 
 class Quotas:
-    """Applies them to the jobs that there are."""
+    """Applies the teams' quotas, by index of the team, to the jobs that there are."""
 
-    def __init__(self, limits: list[TeamQuota], table: JobTable) -> None:
-        self.team_settings, self.table = limits, table
+    def __init__(self, team_settings: list[TeamQuota], table: JobTable) -> None:
+        """`team_settings` are in the order of the teams' indices."""
+        self.team_settings = team_settings
+        self.table = table
 
     def jobs_within_guarantee(self) -> set[str]:
         """Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs."""
-        out: set[str] = set()
-        if not any(team.gpus or team.cpus for team in self.team_settings):
-            return out
-        want: dict[int, ResourceUsage] = {}
-        for job in sorted(self.table.open_jobs.values(), key=lambda j: (j.queued_at, j.job_id)):
-            if job.phase != OPEN or job.spec is None or not 0 <= job.team_index < len(self.team_settings):
+        within: set[str] = set()
+        guarantees = {index: team for index, team in enumerate(self.team_settings) if team.gpus or team.cpus}
+        if not guarantees:
+            return within
+        requested = {index: ResourceUsage() for index in guarantees}
+        for job in sorted(self.table.open_jobs.values(), key=lambda job: (job.queued_at, job.job_id)):
+            team = guarantees.get(job.team_index)
+            if team is None or job.phase != OPEN or job.spec is None:
                 continue
-            team = self.team_settings[job.team_index]
-            u = want.setdefault(job.team_index, ResourceUsage())
-            u.cpus += job.spec.cpus * job.task_count
-            u.gpus += job.spec.gpus * job.task_count
-            if (team.gpus or team.cpus) and (
-                (not team.gpus or u.gpus <= team.gpus + 1e-9) and (not team.cpus or u.cpus <= team.cpus + 1e-9)
-            ):
-                out.add(job.job_id)
-        return out
+            usage = requested[job.team_index]
+            usage.add(job.spec, job.task_count)
+            if _covers(team, usage):
+                within.add(job.job_id)
+        return within
 
     def admitted_task_count(self, job: Job, state: RoundState) -> int:
-        """How many more tasks of the job its team's limit admits."""
+        """How many more tasks of the job its team's limit admits; none for a team that is not configured."""
         if not 0 <= job.team_index < len(self.team_settings):
             return 0
-        team, u, spec = self.team_settings[job.team_index], state.usage.get(job.team_index) or ResourceUsage(), job.spec
+        team = self.team_settings[job.team_index]
+        usage = state.usage.get(job.team_index) or ResourceUsage()
+        spec = job.spec
         assert spec is not None
-        n = job.task_count
+        count = job.task_count
         if team.gpus_max and spec.gpus > 0:
-            n = min(n, int((team.gpus_max - u.gpus + 1e-6) / spec.gpus))
+            count = min(count, int((team.gpus_max - usage.gpus + EPSILON) / spec.gpus))
         if team.cpus_max and spec.cpus > 0:
-            n = min(n, int((team.cpus_max - u.cpus + 1e-6) / spec.cpus))
-        return max(0, n)
+            count = min(count, int((team.cpus_max - usage.cpus + EPSILON) / spec.cpus))
+        return max(0, count)
+
+
+def _covers(team: TeamQuota, usage: ResourceUsage) -> bool:
+    """Whether a team's guarantee covers all of this usage; a resource that it has no figure for is not limited."""
+    if team.gpus and usage.gpus > team.gpus + ROUNDING:
+        return False
+    return not team.cpus or usage.cpus <= team.cpus + ROUNDING
--- /dev/null
+++ b/hookwall/scheduling/serving_order.py
@@ -0,0 +1,66 @@
+"""Which jobs a round serves, and in which order: within a guarantee, then by rank, then by arrival.
+
+Invariant: the order is total, so that a round which ran out of time can go on where it stopped.
+"""
+
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
+from hookwall.jobs.job import DONE, OPEN, Job
+from hookwall.jobs.job_table import JobTable
+from hookwall.scheduling.round_state import QueuedJob
+from hookwall.workers.fleet import Fleet
+
+
+class QueueKey(NamedTuple):
+    """The order in which jobs are served: lower comes first."""
+
+    beyond_guarantee: bool
+    rank: int
+    queued_at: float
+    job_id: str
+
+
+class QueueEntry(NamedTuple):
+    """A job with pending tasks, at its place in the order."""
+
+    key: QueueKey
+    job: Job
+
+
+def serving_order(jobs: Iterable[Job], guaranteed: set[str]) -> list[QueueEntry]:
+    """The jobs in the order in which they are served; `guaranteed` are those within their team's guarantee."""
+    queue = [
+        QueueEntry(QueueKey(job.job_id not in guaranteed, job.rank, job.queued_at, job.job_id), job) for job in jobs
+    ]
+    queue.sort(key=lambda entry: entry.key)
+    return queue
+
+
+def pending_jobs(table: JobTable, waiting: dict[str, QueuedJob], now: float) -> list[Job]:
+    """The jobs that have tasks to place; those that have none, or are over, are taken out of `waiting`."""
+    pending: list[Job] = []
+    for job in table.open_jobs.values():
+        if job.phase != OPEN or job.spec is None or now < job.retry_not_before:
+            continue
+        is_partly_placed_gang = job.spec.gang and (job.allocations or job.unrecorded_sightings)
+        if not job.pending_tasks(1) or is_partly_placed_gang:
+            waiting.pop(job.job_id, None)
+            continue
+        pending.append(job)
+    for job_id in [job_id for job_id in waiting if job_id not in table.open_jobs]:
+        del waiting[job_id]
+    return pending
+
+
+def finish_jobs_and_broken_gangs(table: JobTable, fleet: Fleet, time_of_day: Callable[[], float]) -> None:
+    """Finish jobs whose tasks are all done; stop what is left of broken gangs."""
+    for job in list(table.open_jobs.values()):
+        if job.phase == OPEN and job.spec is not None and job.task_count and job.done_count >= job.task_count:
+            job.phase = DONE
+            job.finished_at = time_of_day()
+            job.has_unsaved_changes = True
+        is_broken = job.spec is not None and job.spec.gang and 0 < len(job.allocations) < job.task_count
+        if job.phase == OPEN and is_broken and not job.done_count:
+            for allocation in job.allocations.values():
+                fleet.request_stop(job, allocation, 0.0, "its gang is incomplete")
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -6,18 +6,19 @@
 from pytest import MonkeyPatch
 
 from hookwall.config.platform import MachineLimits, PlatformParameters
-from hookwall.scheduling import scheduler as sched
+from hookwall.scheduling import machine_selection
 from hookwall.scheduling.round_state import BYTES_PER_MACHINE, BYTES_PER_START, StartRecordBudget
+from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage.job_records import encode_plain
 
 
-def up(cluster: Cluster, *names, **kw):
-    for n in names:
-        cluster.beat(n, **kw)
+def bring_up(cluster: Cluster, *names, **kw):
+    for name in names:
+        cluster.beat(name, **kw)
 
 
-def test_rank_then_arrival(cluster: Cluster):
-    up(cluster, "vm-1")
+def test_jobs_are_served_by_rank_then_arrival(cluster: Cluster):
+    bring_up(cluster, "vm-1")
     late = cluster.submit(3, pieces=4, rank="urgent")
     early = cluster.submit(1, pieces=4)
     cluster.scheduler.run_round()
@@ -25,7 +26,7 @@
 
 
 def test_a_teams_limit_counts_tasks_that_may_still_run(cluster: Cluster):
-    up(cluster, "vm-1", "vm-2", "vm-3", "vm-4", "vm-5")
+    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4", "vm-5")
     a = cluster.submit(1, owner="red", pieces=12)
     b = cluster.submit(2, owner="red", pieces=12)
     cluster.scheduler.run_round()
@@ -35,8 +36,8 @@
     assert len(a.allocations) + len(b.allocations) == 16
 
 
-def test_urgent_work_stops_lower_work_in_order_and_gets_its_place(cluster: Cluster):
-    up(cluster, "vm-1")
+def test_urgent_work_preempts_lower_work_and_gets_its_machine(cluster: Cluster):
+    bring_up(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
     cluster.store()
@@ -52,8 +53,8 @@
     assert len(high.allocations) == 1 and not other.allocations and not low.allocations
 
 
-def test_equal_rank_is_not_stopped_without_a_guarantee(cluster: Cluster):
-    up(cluster, "vm-1")
+def test_equal_rank_is_not_preempted_without_a_guarantee(cluster: Cluster):
+    bring_up(cluster, "vm-1")
     first = cluster.submit(1, pieces=4)
     cluster.scheduler.run_round()
     cluster.submit(2, pieces=4)
@@ -61,8 +62,8 @@
     assert all(a.stop_grace_s is None for a in first.allocations.values())
 
 
-def test_a_guarantee_takes_back_only_what_was_borrowed(cluster: Cluster):
-    up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+def test_a_guarantee_preempts_only_what_was_borrowed(cluster: Cluster):
+    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     blue = cluster.submit(1, owner="blue", pieces=12)
     grey = cluster.submit(2, owner="grey", pieces=4)
     cluster.scheduler.run_round()
@@ -74,34 +75,34 @@
 
 
 def test_a_waiting_gang_is_not_starved_by_later_small_jobs(cluster: Cluster):
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     small = cluster.submit(1, pieces=2)
     cluster.scheduler.run_round()
     cluster.store()
     gang = cluster.submit(2, shape="ensemble", cards=4.0)
     cluster.scheduler.run_round()
     cluster.clock.tick(1.5)
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     later = cluster.submit(3, pieces=2)
     cluster.scheduler.run_round()
     assert not later.allocations and not gang.allocations and len(small.allocations) == 2
 
 
 def test_a_round_out_of_time_goes_on_where_it_stopped(cluster: Cluster, monkeypatch: MonkeyPatch):
-    up(cluster, *[f"vm-{i}" for i in range(8)])
+    bring_up(cluster, *[f"vm-{i}" for i in range(8)])
     jobs = [cluster.submit(n, pieces=1) for n in range(1, 21)]
-    real = sched.place
+    place = machine_selection.place
 
-    def slow(ask, rooms):
+    def slow_place(request, machines):
         cluster.clock.tick(cluster.scheduler.budget_s / 3)
-        return real(ask, rooms)
+        return place(request, machines)
 
-    monkeypatch.setattr(sched, "place", slow)
+    monkeypatch.setattr(machine_selection, "place", slow_place)
     served = []
     for _ in range(8):
         more = cluster.scheduler.run_round()
         served.append(sum(bool(j.allocations) for j in jobs))
-        up(cluster, *[f"vm-{i}" for i in range(8)])
+        bring_up(cluster, *[f"vm-{i}" for i in range(8)])
         if not more:
             break
     assert served[0] < 20 and served[-1] == 20 and served == sorted(served)
@@ -112,13 +113,13 @@
 )
 def test_a_round_s_time_follows_the_share_of_a_core(cluster: Cluster, params: PlatformParameters, share, budget_s):
     params = msgspec.structs.replace(params, machine_limits=MachineLimits(core_share=share))
-    scheduler = sched.Scheduler(params, cluster.table, cluster.fleet, cluster.clock)
+    scheduler = Scheduler(params, cluster.table, cluster.fleet, cluster.clock)
     assert scheduler.budget_s == pytest.approx(budget_s, rel=0.01)
 
 
 def test_a_broken_gang_is_stopped_and_starts_whole_again(cluster: Cluster):
-    up(cluster, "vm-1")
-    up(cluster, "vm-2")
+    bring_up(cluster, "vm-1")
+    bring_up(cluster, "vm-2")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0)
     cluster.scheduler.run_round()
     cluster.store()
@@ -131,18 +132,18 @@
     (left,) = gang.allocations.values()
     assert left.stop_grace_s == 0.0
     cluster.beat("vm-2", [(f"{gang.job_id}/{left.task}", 1, "exited", "mates_gone")])
-    up(cluster, "vm-3")
+    bring_up(cluster, "vm-3")
     cluster.scheduler.run_round()
     assert {a.attempt for a in gang.allocations.values()} == {2} and len(gang.allocations) == 2
 
 
-def test_some_machines_are_kept_for_gangs_that_need_one_whole(cluster: Cluster):
+def test_some_machines_are_set_aside_for_gangs_that_need_one_whole(cluster: Cluster):
     """Small tasks of the same rank refill each GPU that is freed: a gang waited for minutes under load."""
-    up(cluster, "vm-1", "vm-2")
+    bring_up(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
         cluster.clock.tick(5.0)
-        up(cluster, "vm-1", "vm-2")
+        bring_up(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(gang.allocations) == 1
     cluster.submit(2, pieces=8)
@@ -151,8 +152,8 @@
     assert used == {gang.allocations[0].machine}
 
 
-def test_urgent_work_makes_room_where_its_image_is_rather_than_fetch_elsewhere(cluster: Cluster):
-    up(cluster, "vm-1", "vm-2")
+def test_urgent_work_preempts_where_its_image_is_rather_than_fetch_elsewhere(cluster: Cluster):
+    bring_up(cluster, "vm-1", "vm-2")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
     (warm,) = {a.machine for a in low.allocations.values()}
@@ -168,7 +169,7 @@
     assert urgent.allocations[0].machine == warm
 
 
-def test_a_gang_keeps_the_zone_that_was_chosen_for_it(cluster: Cluster):
+def test_the_zone_reserved_for_a_gang_does_not_change(cluster: Cluster):
     for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
         cluster.beat(name, zone=zone)
     fillers = [cluster.submit(n, pieces=1, cards=c, yard=z) for n, c, z in ((1, 2.0, "east"), (2, 2.0, "west"))]
@@ -180,18 +181,18 @@
     for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
         cluster.beat(name, zone=zone)
     cluster.scheduler.run_round()
-    zone = cluster.scheduler.waiting[gang.job_id].zone
+    zone = cluster.scheduler.waiting[gang.job_id].reserved_zone
     assert zone == cluster.fleet.zone_names.index_of("east")
     cluster.fleet.release_allocation(fillers[2], fillers[2].allocations[0], "done")
     later = cluster.submit(5, pieces=4)
     cluster.scheduler.run_round()
-    assert cluster.scheduler.waiting[gang.job_id].zone == zone
+    assert cluster.scheduler.waiting[gang.job_id].reserved_zone == zone
     assert {a.machine[0] for a in later.allocations.values()} == {"w"}
 
 
-def test_a_cold_machine_held_for_a_job_is_taken_once_it_is_free(cluster: Cluster):
+def test_a_machine_reserved_without_the_image_is_used_once_it_is_free(cluster: Cluster):
     """It was left empty for twelve seconds, as if the machine that had the image were on its way."""
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
     urgent = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
@@ -204,7 +205,7 @@
 
 
 def test_in_a_queue_a_machine_goes_to_the_job_whose_image_it_has(cluster: Cluster):
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     running = cluster.submit(1, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
     cluster.scheduler.run_round()
@@ -219,14 +220,14 @@
     # But not for ever.
     cluster.fleet.release_allocation(second, second.allocations[0], "halted")
     cluster.clock.tick(8.0)
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     cluster.scheduler.run_round()
     assert first.allocations
 
 
 def queue_of_pairs(cluster: Cluster):
     """Two machines with an image that the second of two waiting gangs of two needs, and the first does not."""
-    up(cluster, "vm-1", "vm-2")
+    bring_up(cluster, "vm-1", "vm-2")
     pair = {"shape": "ensemble", "pieces": 2, "cards": 4.0, "sizeGb": 10.0}
     running = cluster.submit(1, **pair, bundle="img-8")
     cluster.scheduler.run_round()
@@ -240,7 +241,7 @@
     return first, second
 
 
-def test_in_a_queue_gangs_of_several_leave_machines_to_the_gang_whose_image_they_have(cluster: Cluster):
+def test_in_a_queue_gangs_of_several_yield_machines_to_the_gang_whose_image_they_have(cluster: Cluster):
     first, second = queue_of_pairs(cluster)
     cluster.scheduler.run_round()
     assert len(second.allocations) == 2 and not first.allocations
@@ -248,39 +249,41 @@
     for a in list(second.allocations.values()):
         cluster.fleet.release_allocation(second, a, "halted")
     cluster.clock.tick(25.0)
-    up(cluster, "vm-1", "vm-2")
+    bring_up(cluster, "vm-1", "vm-2")
     cluster.scheduler.run_round()
     assert len(first.allocations) == 2
 
 
-def test_a_gang_that_would_miss_the_last_start_its_class_is_promised_leaves_nothing(cluster: Cluster):
+def test_a_gang_that_would_miss_the_latest_start_of_its_class_yields_nothing(cluster: Cluster):
     cluster.scheduler.latest_start_s["k"] = 60.0
     first, second = queue_of_pairs(cluster)
     cluster.clock.tick(45.0)  # and it has waited for 43 s, under whatever leader
-    up(cluster, "vm-1", "vm-2")
-    for w in cluster.scheduler.waiting.values():
-        w.since = w.last_served_at = cluster.clock()
+    bring_up(cluster, "vm-1", "vm-2")
+    for queued in cluster.scheduler.waiting.values():
+        queued.waiting_since = queued.last_served_at = cluster.clock()
     cluster.scheduler.run_round()
     assert len(first.allocations) == 2 and not second.allocations
 
 
 def test_gangs_of_a_queue_reserve_each_machine_once(cluster: Cluster):
-    # What is still to be reserved is kept for a round, and must not name a machine twice.
-    up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+    # What is still unreserved is cached for a round, and must not name a machine twice.
+    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     cluster.submit(1, pieces=16)
     cluster.scheduler.run_round()
     gangs = [cluster.submit(n, shape="ensemble", pieces=2, cards=4.0) for n in (2, 3, 4)]
     cluster.scheduler.run_round()
     cluster.clock.tick(1.5)
-    up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
-    p = cluster.scheduler.round_state(cluster.clock())
-    for g in gangs:
-        cluster.scheduler.reservations.reserve(g, cluster.scheduler.resource_request(g, 2), p, cluster.clock())
-    assert sorted(p.held.values()) == [gangs[0].job_id] * 2 + [gangs[1].job_id] * 2
+    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+    state = cluster.scheduler.round_state(cluster.clock())
+    for gang in gangs:
+        cluster.scheduler.reservations.reserve_for_gang(
+            gang, cluster.scheduler.resource_request(gang, 2), state, cluster.clock()
+        )
+    assert sorted(state.reserved_for.values()) == [gangs[0].job_id] * 2 + [gangs[1].job_id] * 2
 
 
-def test_in_a_queue_arrays_leave_freed_gpus_to_those_whose_image_is_there(cluster: Cluster):
-    up(cluster, "vm-1")
+def test_in_a_queue_arrays_yield_freed_gpus_to_those_whose_image_is_there(cluster: Cluster):
+    bring_up(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     full = cluster.submit(1, pieces=4, bundle="img-8")
     cluster.scheduler.run_round()
@@ -293,14 +296,14 @@
     cluster.scheduler.run_round()
     assert len(second.allocations) == 1 and not first.allocations
     cluster.clock.tick(15.0)
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     cluster.fleet.release_allocation(full, full.allocations[1], "done")
     full.mark_task_done(1)
     cluster.scheduler.run_round()
     assert len(first.allocations) == 1, "but not for ever"
 
 
-def test_what_is_free_already_is_kept_for_a_gang_that_makes_room_for_the_rest(cluster: Cluster):
+def test_free_machines_are_reserved_for_a_gang_that_preempts_for_the_rest(cluster: Cluster):
     cluster.beat("vm-1")
     low = cluster.submit(1, rank="low", pieces=4)
     cluster.scheduler.run_round()
@@ -311,16 +314,16 @@
     assert all(a.stop_grace_s is not None for a in low.allocations.values())
     small = cluster.submit(3, rank="low")
     cluster.scheduler.run_round()
-    assert not small.allocations, "it would take the machine that the gang has already"
+    assert not small.allocations, "it would use the machine that the gang has already"
     for a in list(low.allocations.values()):
         cluster.fleet.release_allocation(low, a, "halted")
     cluster.scheduler.run_round()
     assert {a.machine for a in gang.allocations.values()} == {"vm-1", "vm-2"}
 
 
-def test_arrays_leave_the_emptiest_machines_to_a_gang_that_waits(cluster: Cluster):
+def test_arrays_yield_the_emptiest_machines_to_a_gang_that_waits(cluster: Cluster):
     """Older arrays refilled each GPU that was freed, and gangs of whole machines waited for minutes."""
-    up(cluster, "vm-1", "vm-2")
+    bring_up(cluster, "vm-1", "vm-2")
     old = cluster.submit(1, pieces=20, loaners=True)
     cluster.scheduler.run_round()
     cluster.store()
@@ -330,13 +333,13 @@
         cluster.clock.tick(1.0)
         old.mark_task_done(a.task)
         cluster.fleet.release_allocation(old, a, "done")
-        up(cluster, "vm-1", "vm-2")
+        bring_up(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert gang.allocations[0].machine == "vm-1"
 
 
-def test_an_array_that_gets_nothing_for_long_takes_what_gangs_await(cluster: Cluster):
-    up(cluster, "vm-1")
+def test_an_array_that_starves_gets_machines_set_aside_for_waiting_gangs(cluster: Cluster):
+    bring_up(cluster, "vm-1")
     old = cluster.submit(1, pieces=20, loaners=True)
     cluster.scheduler.run_round()
     cluster.store()
@@ -349,18 +352,18 @@
     assert len(old.allocations) == 3 and not gang.allocations
     for _ in range(40):
         cluster.clock.tick(2.0)
-        up(cluster, "vm-1")
+        bring_up(cluster, "vm-1")
         cluster.scheduler.run_round()
     assert len(old.allocations) == 4, "the gang lacks a second machine, and the array starved"
 
 
-def test_a_job_that_starves_takes_machines_that_are_kept_for_gangs_to_come(cluster: Cluster):
+def test_a_job_that_starves_gets_machines_set_aside_for_expected_gangs(cluster: Cluster):
     """Nobody has a guarantee here, so an array waited for as long as gangs might come, beside idle machines."""
-    up(cluster, "vm-1", "vm-2")
+    bring_up(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
         cluster.clock.tick(5.0)
-        up(cluster, "vm-1", "vm-2")
+        bring_up(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(gang.allocations) == 1
     array = cluster.submit(2, pieces=4)
@@ -368,18 +371,18 @@
     assert not array.allocations
     for _ in range(44):
         cluster.clock.tick(2.0)
-        up(cluster, "vm-1", "vm-2")
+        bring_up(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(array.allocations) == 4
 
 
 def test_what_is_reserved_in_vain_for_long_goes_to_a_job_that_starves(cluster: Cluster):
     """A gang waits for a second machine; the first stood idle for it, whoever else could have used it."""
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0, rank="urgent")
     cluster.scheduler.run_round()
     cluster.clock.tick(2.0)
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     cluster.scheduler.run_round()
     later = cluster.submit(2, rank="low")
     waited = 0.0
@@ -387,12 +390,12 @@
         cluster.scheduler.run_round()
         cluster.clock.tick(2.0)
         waited += 2.0
-        up(cluster, "vm-1")
+        bring_up(cluster, "vm-1")
         assert waited < 90.0
     assert waited > 50.0 and not gang.allocations
 
 
-def test_a_gang_that_starves_leaves_nothing_to_equals_whatever_the_fetch_takes(cluster: Cluster):
+def test_a_gang_that_starves_yields_nothing_to_equals_whatever_the_fetch_takes(cluster: Cluster):
     first, second = queue_of_pairs(cluster)
     first.spec = msgspec.structs.replace(first.spec, image_gb=100.0)  # 200 s to fetch
     cluster.scheduler.waiting[first.job_id].last_served_at = cluster.clock() - 61.0
@@ -402,14 +405,14 @@
 
 def test_a_machine_on_which_a_job_failed_twice_is_tried_again_later(cluster: Cluster):
     """It was the only one with room, and the job waited for as long as it was."""
-    up(cluster, "vm-1")
+    bring_up(cluster, "vm-1")
     job = cluster.submit(1)
     job.failures_by_machine, job.last_failure_at = {"vm-1": 2}, cluster.clock()
     cluster.scheduler.run_round()
     assert not job.allocations
     for _ in range(40):
         cluster.clock.tick(2.0)
-        up(cluster, "vm-1")
+        bring_up(cluster, "vm-1")
         cluster.scheduler.run_round()
     assert len(job.allocations) == 1
 
@@ -419,8 +422,8 @@
     record = {**encode_plain(job.record()), "on": [["vm-7", 1, 1, "0-1"]], "next": 2}
     cluster.stamp += 1
     cluster.table.apply_record("hookwall/job/" + job.job_id, record, cluster.stamp)
-    up(cluster, "vm-1", zone="east")
-    up(cluster, "vm-2", zone="west")
+    bring_up(cluster, "vm-1", zone="east")
+    bring_up(cluster, "vm-2", zone="west")
     cluster.scheduler.run_round()
     assert len(job.allocations) == 2, "vm-7 may be in either zone, and each may have two tasks"
     cluster.beat("vm-7", [(f"{job.job_id}/{i}", 1, "running", None) for i in (0, 1)], zone="east")
