--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -1,211 +1,239 @@
-"""How a node becomes leader: votes, the write of the leader key, and what follows if that has no answer."""
+"""How a node becomes leader: votes, the write of the leader key, and what follows if that has no response.
+
+Invariant: the leader key is replaced only as it was read before the votes, and only if no voter has restarted since.
+"""
 
 import asyncio
 import logging
 import random
-from typing import TYPE_CHECKING
-
-from hookwall.leadership.peer_transport import PeerConnection
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+from hookwall.leadership.leader_key import LeaderRecord
+from hookwall.leadership.leadership_state import LeadershipState, Term
+from hookwall.leadership.peer_group import Peer, PeerGroup
+from hookwall.leadership.peer_heartbeat import PeerHeartbeat
+from hookwall.leadership.peer_observations import PeerObservations
+from hookwall.leadership.random_ids import random_id
 from hookwall.leadership.roles import LeaseMode, Role
+from hookwall.leadership.session_lease import revoke_session_lease, session_lease_end, session_lease_s
 from hookwall.protocol.peer_messages import MessageKind, PeerMessage, PeerResponse
 from hookwall.storage import keys
-from hookwall.storage.client import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
-
-if TYPE_CHECKING:
-    from hookwall.leadership.state_machine import Leadership
+from hookwall.storage.client import (
+    KeyValueClient,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+    RequestRejectedError,
+    VersionedValue,
+)
 
 log = logging.getLogger(__name__)
 
-LONG_SESSION_LEASE_S = 60.0
-SHORT_SESSION_LEASE_S = 8.0
-VOTE_WAIT_S = 0.7  # for the answer of one peer
-NUMBER_BITS = 48
-DROP_AGAIN_S = 0.5
+VOTE_TIMEOUT_S = 0.7  # for the response of one peer
+REVOCATION_RETRY_S = 0.5
 LEAD_WITHOUT_QUORUM_AFTER_S = 2.0  # so long without a leader key, a node leads without a majority
+PAUSE_S = 0.3  # before the next election
+PAUSE_PER_RANK_S = 0.3
+PAUSE_JITTER_S = 0.4
+
 
+class VoteCount(NamedTuple):
+    """The result of asking for votes."""
 
-def session_lease_s(mode: LeaseMode) -> float:
-    """How long the leader key outlives its leader's last renewal."""
-    return LONG_SESSION_LEASE_S if mode is LeaseMode.QUORUM_LEASE else SHORT_SESSION_LEASE_S
+    votes: int  # this node's own included
+    peer_responded: bool
 
 
 class Election:
     """One node's attempts to lead, one at a time."""
 
-    def __init__(self, lead: "Leadership") -> None:
-        self.lead = lead
-        self.election_id = 0  # of the campaign under way, unlike that of any other
-        self.voter_preconditions: list[tuple[str, int]] = []  # the keys of those who have voted, with their stamps
-        self.unresolved_version = 0  # stamp of the key that a write of this process, without an answer, may yet replace
-        self.unresolved_session_leases: set[int] = (
-            set()
-        )  # of such writes: once they have ended, those can't happen any more
+    def __init__(
+        self,
+        state: LeadershipState,
+        peers: PeerGroup,
+        observations: PeerObservations,
+        store: KeyValueClient,
+        heartbeat: PeerHeartbeat,
+        rebuild_state: Callable[[], Awaitable[None]],
+        rank: int,
+    ) -> None:
+        self._state = state
+        self._peers = peers
+        self._observations = observations
+        self._store = store
+        self._heartbeat = heartbeat
+        self._rebuild_state = rebuild_state
+        self._rank = rank
+        self._election_id = 0  # of the election under way, unlike that of any other
+        self._replaced_version = 0  # of the key whose leader the voters grant no lease any more; 0: none
+        self._voter_preconditions: list[tuple[str, int]] = []  # fence key and version of those who have voted
+        self._unresolved_version = 0  # of the key that a write of this process, without a response, may yet replace
+        self._unresolved_leases: set[int] = set()  # of such writes: once those have ended they can't happen any more
 
     def may_start(self) -> bool:
-        """Whether nobody leads, as far as this node can tell, and it may ask for votes."""
-        lead = self.lead
-        if lead.clock() < lead.next_election_at or not lead.leader_key.known or not lead.store.healthy():
+        """Whether nobody leads, as far as this node can know, and it may ask for votes."""
+        state = self._state
+        if state.clock() < state.next_election_at or not state.leader_key.known or not self._store.healthy():
             return False
-        if not lead.may_grant() or not lead.vote_grant.available_to(lead.node_name):
+        if not state.may_grant() or not state.vote_grant.available_to(state.node_name):
             return False
-        if lead.leader_key.shows_no_other_leader(lead.node_name):
+        if state.leader_key.shows_no_other_leader(state.node_name):
             return True
-        return lead.leader_key.lease_mode is LeaseMode.QUORUM_LEASE and not lead.vote_grant.in_restart_guard()
+        return state.leader_key.lease_mode is LeaseMode.QUORUM_LEASE and not state.vote_grant.in_restart_guard()
 
     async def run_once(self) -> None:
-        """One attempt, up to the rebuilt picture or to the pause before the next."""
-        lead = self.lead
-        lead.transition_to(Role.CANDIDATE, "no valid leader is known")
+        """One election, up to the rebuilt state or to the pause before the next."""
+        self._state.start_election()
+        self._election_id = random_id()
+        self._replaced_version = 0
         won = False
-        self.election_id = random.SystemRandom().getrandbits(NUMBER_BITS)
-        replaced = 0  # the key that voters must not support any more, unless it turns out not to be replaced
         try:
-            got = await lead.store.read(keys.LEADER_KEY)
-            record, stamp = got.value if isinstance(got.value, dict) else {}, got.version
-            lead.observe_leader_key(record, stamp, got.revision)
-            if not self.may_start() or not lead.vote_grant.grant_vote(
-                lead.node_name, stamp, election_id=self.election_id
-            ):
-                return
-            replaced = stamp
-            mode = await self._ask_for_mode(record, stamp)
-            if mode is None:
-                return
-            await self._write_key(stamp, mode)
-            replaced = 0
-            await lead.rebuild_state()
-            if lead.role is Role.LOADING:
-                won = True
-                lead.transition_to(Role.LEADER, "the picture is rebuilt")
+            won = await self._try_to_win()
         except PreconditionFailedError:
-            log.debug("campaign: another node was faster, or a voter has restarted")
-        except (RequestRejectedError, OutcomeUnknownError) as e:
-            log.debug("campaign: %s", e)
+            log.debug("election lost: another node was faster, or a voter has restarted")
+        except (RequestRejectedError, OutcomeUnknownError) as error:
+            log.debug("election lost error=%s", error)
         finally:
-            if replaced:
-                self._keep_former_key(replaced)
+            if self._replaced_version:
+                self._announce_abandoned()
             if not won:
-                self._lose()
+                pause_s = PAUSE_S + PAUSE_PER_RANK_S * self._rank + random.random() * PAUSE_JITTER_S
+                self._state.lose_election(pause_s)
+
+    async def _try_to_win(self) -> bool:
+        """Read the leader key, ask for votes, replace the key and rebuild the state. Whether this node leads."""
+        state = self._state
+        stored = await self._store.read(keys.LEADER_KEY)
+        state.observe_leader_key(stored.value, stored.version, stored.revision)
+        if not self.may_start():
+            return False
+        if not state.vote_grant.grant_vote(state.node_name, stored.version, election_id=self._election_id):
+            return False
+        self._replaced_version = stored.version
+        mode = await self._ask_for_lease_mode(stored)
+        if mode is None:
+            return False
+        await self._write_key(stored.version, mode)
+        self._replaced_version = 0
+        await self._rebuild_state()
+        if state.role is not Role.LOADING:
+            return False
+        state.complete_loading()
+        return True
 
     # -- votes -------------------------------------------------------------------------------------
 
-    def _proves_dead(self, record: dict, stamp: int) -> bool:
-        """Whether a key that names this node proves that nobody leads by the key before.
+    def _proves_leader_gone(self, stored: VersionedValue) -> bool:
+        """Whether a key that names this node proves that nobody leads with the key before.
 
-        It does if it is that of an earlier process, or of a leadership that this one gave up. It may also be from
-        a write of this process that was carried out late, when the former leader had its promises again.
+        It does if it is that of an earlier process, or of a leadership that this one gave up. It may also be from a
+        write of this process that was carried out late, when the former leader had its quorum leases again.
         """
-        return record.get("incarnation") != self.lead.incarnation or stamp == self.lead.fencing_token
+        incarnation = LeaderRecord.decode(stored.value).incarnation
+        return incarnation != self._state.incarnation or stored.version == self._state.fencing_token
 
-    async def _ask_for_mode(self, record: dict, stamp: int) -> LeaseMode | None:
+    async def _ask_for_lease_mode(self, stored: VersionedValue) -> LeaseMode | None:
         """Ask for votes: the mode in which this node may lead, or None."""
-        lead = self.lead
-        dead = stamp == 0 or self._proves_dead(record, stamp)
-        votes, heard = await self._votes(stamp, dead)
-        if votes >= lead.quorum:
+        state = self._state
+        gone = stored.version == 0 or self._proves_leader_gone(stored)
+        count = await self._ask_for_votes(stored.version, gone)
+        if count.votes >= state.quorum:
             return LeaseMode.QUORUM_LEASE
-        # A peer that answers could form a majority with this node or another, so it decides.
-        gone_for = lead.clock() - (lead.leader_key.absent_since if stamp == 0 else lead.vote_grant.started_at)
-        if (
-            heard
-            or not lead.leader_key.shows_no_other_leader(lead.node_name)
-            or not dead
-            or gone_for < LEAD_WITHOUT_QUORUM_AFTER_S
-        ):
-            log.debug("campaign: %d votes", votes)
+        # A peer that responds could form a majority with this node or another, so it decides.
+        no_other_leader = gone and state.leader_key.shows_no_other_leader(state.node_name)
+        absent_since = state.leader_key.absent_since if stored.version == 0 else state.vote_grant.started_at
+        absent_s = state.clock() - absent_since
+        if count.peer_responded or not no_other_leader or absent_s < LEAD_WITHOUT_QUORUM_AFTER_S:
+            log.debug("election lost votes=%d quorum=%d", count.votes, state.quorum)
             return None
         return LeaseMode.SESSION_LEASE
 
-    async def _votes(self, replaces: int, dead: bool) -> tuple[int, bool]:
-        """Ask all peers; how many votes there are, this node's included, and whether any peer answered.
+    async def _ask_for_votes(self, replaces_version: int, proves_leader_gone: bool) -> VoteCount:
+        """Ask all peers to vote, until a majority has.
 
-        A majority is enough: a leader that stands still or is cut off answers nothing, and waiting for
-        its vote, and then for its promise, took over two seconds of each take-over from it.
+        That is enough: a leader that stands still or is cut off responds nothing, and waiting for its vote, and then
+        for its quorum lease, took over two seconds of each failover from it.
         """
-        lead = self.lead
+        state = self._state
         message = PeerMessage(
             kind=MessageKind.VOTE,
-            sender=lead.node_name,
+            sender=state.node_name,
             store_reachable=True,
-            replaces_version=replaces,
-            proves_leader_gone=dead,
-            election=self.election_id,
+            replaces_version=replaces_version,
+            proves_leader_gone=proves_leader_gone,
+            election=self._election_id,
         )
-
-        async def ask(peer: PeerConnection) -> tuple[str, PeerResponse | None]:
-            answer = await lead.call_peer(peer, message, timeout=VOTE_WAIT_S)
-            if answer is not None:
-                lead.record_peer_answer(peer, answer)
-            return peer.name, answer
-
-        self.voter_preconditions = lead.vote_fence.preconditions() if lead.vote_fence is not None else []
-        votes, heard = 1, False
-        for next_answer in asyncio.as_completed([lead.spawn(ask(p)) for p in lead.peers]):
-            name, answer = await next_answer
-            heard = heard or answer is not None
-            if answer is not None and answer.granted:
+        self._voter_preconditions = state.vote_fence.preconditions() if state.vote_fence is not None else []
+        votes = 1
+        peer_responded = False
+        requests = [self._peers.spawn(self._ask_for_vote(peer, message)) for peer in self._peers]
+        for next_response in asyncio.as_completed(requests):
+            voter, response = await next_response
+            peer_responded = peer_responded or response is not None
+            if response is not None and response.granted:
                 votes += 1
-                self._take_fence(name, answer.fence_version)
-            if votes >= lead.quorum:
+                self._add_voter_precondition(voter, response.fence_version)
+            if votes >= state.quorum:
                 break
-        return votes, heard
-
-    def _take_fence(self, voter: str, stamp: int | None) -> None:
-        """A voter names the stamp of its key; programs before format 3, and nodes that lack the service, don't."""
-        if stamp is not None and stamp > 0:
-            self.voter_preconditions.append((keys.VOTE_FENCE_PREFIX + voter, stamp))
-
-    # -- the key -----------------------------------------------------------------------------------
-
-    async def _write_key(self, stamp: int, mode: LeaseMode) -> None:
-        """Replace the leader key that has this stamp."""
-        lead = self.lead
-        sent = lead.clock()
-        hold = await lead.store.grant_session_lease(session_lease_s(mode))
-        record = {"node": lead.node_name, "incarnation": lead.incarnation, "mode": mode.value}
+        return VoteCount(votes, peer_responded)
+
+    async def _ask_for_vote(self, peer: Peer, message: PeerMessage) -> tuple[str, PeerResponse | None]:
+        """One peer's name and response, None for none."""
+        response = await self._peers.call(peer, message, timeout_s=VOTE_TIMEOUT_S)
+        if response is not None:
+            self._observations.record_response(peer.name, response)
+        return peer.name, response
+
+    def _add_voter_precondition(self, voter: str, version: int | None) -> None:
+        """A voter names its fence key's version; programs before format 3, and nodes without the store, don't."""
+        if version is not None and version > 0:
+            self._voter_preconditions.append((keys.VOTE_FENCE_PREFIX + voter, version))
+
+    # -- the leader key ----------------------------------------------------------------------------
+
+    async def _write_key(self, replaced_version: int, mode: LeaseMode) -> None:
+        """Replace the leader key that has this version, and begin the term."""
+        state = self._state
+        requested_at = state.clock()
+        session_lease = await self._store.grant_session_lease(session_lease_s(mode))
+        record = LeaderRecord(state.node_name, state.incarnation, mode)
+        preconditions = [(keys.LEADER_KEY, replaced_version), *self._voter_preconditions]
         try:
-            conditions = [(keys.LEADER_KEY, stamp), *self.voter_preconditions]
-            token = await lead.store.commit(conditions, [(keys.LEADER_KEY, record)], hold=hold)
+            fencing_token = await self._store.commit(
+                preconditions, [(keys.LEADER_KEY, record.encode())], hold=session_lease
+            )
         except OutcomeUnknownError:
-            self.unresolved_version = max(stamp, self.unresolved_version)
-            self.unresolved_session_leases.add(hold)
-            lead.spawn(self._drop_unresolved())
+            self._unresolved_version = max(replaced_version, self._unresolved_version)
+            self._unresolved_leases.add(session_lease)
+            self._peers.spawn(self._revoke_unresolved_leases())
             raise
-        lead.key_was_absent = stamp == 0
-        lead.begin_term(token, mode, hold, sent)
-        lead.observe_leader_key(record, token)
-        lead.vote_grant.renew_lease(lead.node_name, token)
-        lead.transition_to(Role.LOADING, f"mode {mode.value}")
-        for p in lead.peers:
-            lead.spawn(lead.peer_heartbeat.send(p))
-
-    async def _drop_unresolved(self) -> None:
-        """End the holds of writes without an answer: a write with a hold that has ended is not carried out."""
-        while self.unresolved_session_leases:
-            hold = next(iter(self.unresolved_session_leases))
-            try:
-                await self.lead.store.revoke_session_lease(hold)
-                self.unresolved_session_leases.discard(hold)
-            except (RequestRejectedError, OutcomeUnknownError) as e:
-                log.debug("could not drop the hold: %s", e)
-                await asyncio.sleep(DROP_AGAIN_S)
-
-    def _keep_former_key(self, stamp: int) -> None:
-        """This candidate has not replaced the key, so its leader may be supported again; unless it may have."""
-        lead = self.lead
-        if stamp == self.unresolved_version:
+        state.begin_term(
+            Term(
+                record=record,
+                fencing_token=fencing_token,
+                session_lease=session_lease,
+                session_lease_requested_at=requested_at,
+                session_lease_until=session_lease_end(requested_at, mode),
+                key_was_absent=replaced_version == 0,
+            )
+        )
+        self._heartbeat.send_to_all()
+
+    async def _revoke_unresolved_leases(self) -> None:
+        """End the session leases of writes without a response: then those writes can't be carried out any more."""
+        while self._unresolved_leases:
+            lease = next(iter(self._unresolved_leases))
+            if await revoke_session_lease(self._store, lease):
+                self._unresolved_leases.discard(lease)
+            else:
+                await asyncio.sleep(REVOCATION_RETRY_S)
+
+    def _announce_abandoned(self) -> None:
+        """This candidate has not replaced the key, so its leader may get quorum leases again; unless it may have."""
+        if self._replaced_version == self._unresolved_version:
             return
-        lead.vote_grant.clear_replacement(lead.node_name, self.election_id)
-        lead.broadcast(
-            PeerMessage(kind=MessageKind.RELEASE_VOTE, sender=lead.node_name, abandoned_election=self.election_id)
+        state = self._state
+        state.vote_grant.clear_replacement(state.node_name, self._election_id)
+        self._peers.broadcast(
+            PeerMessage(kind=MessageKind.RELEASE_VOTE, sender=state.node_name, abandoned_election=self._election_id)
         )
-
-    def _lose(self) -> None:
-        """The attempt has failed; the next one comes after a pause that differs from node to node."""
-        lead = self.lead
-        lead.next_election_at = lead.clock() + 0.3 + 0.3 * lead.rank + random.random() * 0.4
-        if lead.role is Role.CANDIDATE:
-            lead.vote_grant.release(lead.node_name, lead.vote_grant.fencing_token)
-            lead.transition_to(Role.FOLLOWER, "campaign failed")
-        else:
-            lead.step_down("could not load")
--- /dev/null
+++ b/hookwall/leadership/peer_group.py
@@ -0,0 +1,57 @@
+"""The other nodes as one node reaches them, and the tasks that send to them.
+
+Invariant: each message gets one response or none; a peer that doesn't respond holds up nobody else's.
+"""
+
+import asyncio
+from collections.abc import Coroutine, Iterator
+from typing import Any, Protocol, TypeVar
+
+from hookwall.protocol import peer_messages
+from hookwall.protocol.peer_messages import PeerMessage, PeerResponse
+
+CALL_TIMEOUT_S = 1.0
+
+Result = TypeVar("Result")
+
+
+class Peer(Protocol):
+    """A connection to one other node."""
+
+    name: str
+
+    async def call(self, message: dict[str, Any], timeout: float = CALL_TIMEOUT_S) -> dict[str, Any] | None:
+        """The peer's response within so many seconds, or None."""
+
+
+class PeerGroup:
+    """All peers of a node."""
+
+    def __init__(self, peers: list[Peer]) -> None:
+        self.peers = peers
+        self.background_tasks: set[asyncio.Task[Any]] = set()
+
+    def __iter__(self) -> Iterator[Peer]:
+        """Each peer."""
+        return iter(self.peers)
+
+    def spawn(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
+        """Run a coroutine in the background; the group keeps it until it ends."""
+        task = asyncio.get_running_loop().create_task(work)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
+        return task
+
+    async def call(self, peer: Peer, message: PeerMessage, timeout_s: float = CALL_TIMEOUT_S) -> PeerResponse | None:
+        """A peer's response within so many seconds, or None."""
+        response = await peer.call(peer_messages.encode_message(message), timeout=timeout_s)
+        return None if response is None else peer_messages.decode_response(response)
+
+    def call_all(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
+        """Send a message to all peers; their responses as they come, None for none."""
+        return [self.spawn(self.call(peer, message, timeout_s)) for peer in self.peers]
+
+    def broadcast(self, message: PeerMessage) -> None:
+        """Send a message to all peers, whatever they respond."""
+        for peer in self.peers:
+            self.spawn(self.call(peer, message))
--- a/hookwall/leadership/peer_handler.py
+++ b/hookwall/leadership/peer_handler.py
@@ -1,109 +1,123 @@
-"""How a node answers its peers: support for a leader or candidate, and what goes with it."""
+"""How a node responds to its peers: votes and quorum leases, and what goes with them.
 
+Invariant: every message gets a response, a malformed one too; nothing is granted before the vote fence permits it.
+"""
+
+import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from hookwall.leadership.leadership_state import LeadershipState
+from hookwall.leadership.peer_exchange import PeerExchange
+from hookwall.leadership.peer_observations import PeerObservations
 from hookwall.leadership.roles import Role
 from hookwall.protocol import peer_messages
 from hookwall.protocol.peer_messages import MessageKind, PeerMessage, PeerResponse
+from hookwall.storage.client import KeyValueClient
 
-if TYPE_CHECKING:
-    from hookwall.leadership.state_machine import Leadership
-
-RECENT_BEAT_S = 3.0  # reports that came longer ago don't show that workers reach this node
+RECENT_HEARTBEAT_S = 3.0  # worker heartbeats that came longer ago don't show that workers reach this node
 
 
 class PeerMessageHandler:
-    """One answer for each kind of message."""
-
-    def __init__(self, lead: "Leadership") -> None:
-        self.lead = lead
+    """One method for each kind of message."""
 
-    def handle(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """Answer a peer."""
-        message = peer_messages.decode_message(raw)
-        if message is None or message.sender == self.lead.node_name:
-            return peer_messages.encode_message(PeerResponse())
-        if message.store_reachable:
-            self.lead.peer_store_healthy_at[message.sender] = self.lead.clock()
-        elif message.store_reachable is not None:
-            self.lead.peer_store_healthy_at.pop(message.sender, None)
-        self.lead.on_peer_status(message.sender, message.sender_status())
-        answers: dict[str, Callable[[PeerMessage], PeerResponse]] = {
-            MessageKind.HEARTBEAT: self._on_ping,
+    def __init__(
+        self,
+        state: LeadershipState,
+        observations: PeerObservations,
+        store: KeyValueClient,
+        exchange: PeerExchange,
+        probe_requested: asyncio.Event,
+    ) -> None:
+        self._state = state
+        self._observations = observations
+        self._store = store
+        self._exchange = exchange
+        self._probe_requested = probe_requested
+        self._handlers: dict[str, Callable[[PeerMessage], PeerResponse]] = {
+            MessageKind.HEARTBEAT: self._on_heartbeat,
             MessageKind.VOTE: self._on_vote,
             MessageKind.RELEASE_VOTE: self._on_release,
-            MessageKind.STORE_CONTACT: self._on_fit,
-            MessageKind.CANCELLATIONS: self._on_cancelled,
+            MessageKind.STORE_CONTACT: self._on_store_contact,
+            MessageKind.CANCELLATIONS: self._on_cancellations,
         }
-        take = answers.get(message.kind)
-        answer = PeerResponse() if take is None else take(message)
-        answer.store_reachable, answer.highest_token = (
-            self.lead.store.has_recent_response(),
-            self.lead.vote_grant.fencing_token,
-        )
-        answer.heartbeat_count = (
-            self.lead.worker_heartbeats_seen
-            if self.lead.clock() - self.lead.last_worker_heartbeat_at < RECENT_BEAT_S
-            else 0
-        )
-        answer.wanted_rates = self.lead.rate_demand()
-        about = self.lead.local_status()
-        answer.storage_version, answer.limits_lowered = about.storage_version, about.limits_lowered
-        return peer_messages.encode_message(answer)
 
-    def _on_ping(self, message: PeerMessage) -> PeerResponse:
-        """A leader asks for support; a follower says that it is there."""
-        token = message.fencing_token or 0
-        if token <= 0:
+    def handle(self, encoded: dict[str, Any]) -> dict[str, Any]:
+        """The response to a peer's message, both as they go over the wire."""
+        message = peer_messages.decode_message(encoded)
+        if message is None or message.sender == self._state.node_name:
+            return peer_messages.encode_message(PeerResponse())
+        if message.store_reachable is not None:
+            self._observations.record_store_health(message.sender, message.store_reachable)
+        self._exchange.on_peer_status(message.sender, message.sender_status())
+        handler = self._handlers.get(message.kind)
+        response = PeerResponse() if handler is None else handler(message)
+        self._add_local_status(response)
+        return peer_messages.encode_message(response)
+
+    def _add_local_status(self, response: PeerResponse) -> None:
+        """Add what every response reports of this node."""
+        state = self._state
+        workers_reach_this_node = state.clock() - state.last_worker_heartbeat_at < RECENT_HEARTBEAT_S
+        response.store_reachable = self._store.has_recent_response()
+        response.highest_token = state.vote_grant.fencing_token
+        response.heartbeat_count = state.worker_heartbeats_seen if workers_reach_this_node else 0
+        response.wanted_rates = self._exchange.rate_demand()
+        status = self._exchange.local_status()
+        response.storage_version = status.storage_version
+        response.limits_lowered = status.limits_lowered
+
+    def _on_heartbeat(self, message: PeerMessage) -> PeerResponse:
+        """A leader requests a quorum lease; a follower shows that it is there."""
+        state = self._state
+        fencing_token = message.fencing_token or 0
+        if fencing_token <= 0:
             return PeerResponse()
-        if not self.lead.may_grant() or not self.lead.vote_grant.renew_lease(message.sender, token):
-            return PeerResponse(voted_to_replace=self.lead.vote_grant.may_be_replaced(token))
-        self.lead.leader_contact_at = self.lead.clock()
+        if not state.may_grant() or not state.vote_grant.renew_lease(message.sender, fencing_token):
+            return PeerResponse(voted_to_replace=state.vote_grant.may_be_replaced(fencing_token))
+        state.leader_contact_at = state.clock()
         if message.successor_hint is not None:
-            self.lead.on_successor_hints(message.successor_hint)
-        if self.lead.role is Role.FOLLOWER:
-            self.lead.on_rate_lent(message.lent_rates)
-        told = self.lead.known_cancellations(message.revision)
-        if token > self.lead.fencing_token and self.lead.role.holds_leader_key():
-            self.lead.step_down("a peer leads with a newer token")
-        return PeerResponse(granted=True, cancellations=told.cancellations, cancellations_complete=told.complete)
+            self._exchange.on_successor_hints(message.successor_hint)
+        if state.role is Role.FOLLOWER:
+            self._exchange.on_rate_lent(message.lent_rates)
+        known = self._exchange.known_cancellations(message.revision)
+        if fencing_token > state.fencing_token and state.role.holds_leader_key():
+            state.step_down("a peer leads with a newer fencing token")
+        return PeerResponse(granted=True, cancellations=known.cancellations, cancellations_complete=known.complete)
 
     def _on_vote(self, message: PeerMessage) -> PeerResponse:
-        """A candidate asks for support."""
-        if self.lead.role.holds_leader_key() or not self.lead.may_grant():
+        """A candidate requests a vote."""
+        state = self._state
+        if state.role.holds_leader_key() or not state.may_grant():
             return PeerResponse()
-        dead = message.proves_leader_gone is not False
-        voted = self.lead.vote_grant.grant_vote(
-            message.sender, message.replaces_version or 0, dead, message.election or 0
-        )
-        return PeerResponse(
-            granted=voted, fence_version=self.lead.vote_fence.version if self.lead.vote_fence is not None else 0
+        granted = state.vote_grant.grant_vote(
+            message.sender,
+            message.replaces_version or 0,
+            message.proves_leader_gone is not False,
+            message.election or 0,
         )
+        fence_version = state.vote_fence.version if state.vote_fence is not None else 0
+        return PeerResponse(granted=granted, fence_version=fence_version)
 
     def _on_release(self, message: PeerMessage) -> PeerResponse:
-        """A leader gives support back, and may name who is to lead next."""
+        """A leader or candidate gives its grant back; a leader may name who is to lead next."""
+        state = self._state
         if message.fencing_token is not None:
-            self.lead.vote_grant.release(message.sender, message.fencing_token)
+            state.vote_grant.release(message.sender, message.fencing_token)
         if message.abandoned_election is not None:
-            self.lead.vote_grant.clear_replacement(message.sender, message.abandoned_election)
-        if message.transfer_to == self.lead.node_name:
-            self.lead.next_election_at = 0.0
+            state.vote_grant.clear_replacement(message.sender, message.abandoned_election)
+        if message.transfer_to == state.node_name:
+            state.next_election_at = 0.0
         return PeerResponse(granted=True)
 
-    def _on_fit(self, message: PeerMessage) -> PeerResponse:
-        """A leader asks whether the state service answers this node; it is asked at once."""
-        self.lead.probe_requested.set()
-        return PeerResponse(
-            store_contact_age_s=self.lead.clock() - self.lead.store.last_response_at
-            if self.lead.store.healthy()
-            else None
-        )
+    def _on_store_contact(self, _message: PeerMessage) -> PeerResponse:
+        """A leader asks whether the key-value store responds to this node; the store is asked at once."""
+        self._probe_requested.set()
+        if not self._store.healthy():
+            return PeerResponse(store_contact_age_s=None)
+        return PeerResponse(store_contact_age_s=self._state.clock() - self._store.last_response_at)
 
-    def _on_cancelled(self, message: PeerMessage) -> PeerResponse:
-        """A node tells of cancellations for its user's sake."""
-        return PeerResponse(
-            granted=True,
-            cancellations_applied=True,
-            is_leader=self.lead.on_cancellations_announced(message.cancellations),
-        )
+    def _on_cancellations(self, message: PeerMessage) -> PeerResponse:
+        """A node announces cancellations before it confirms them to a user."""
+        is_leader = self._exchange.on_cancellations_announced(message.cancellations)
+        return PeerResponse(granted=True, cancellations_applied=True, is_leader=is_leader)
--- a/hookwall/leadership/peer_heartbeat.py
+++ b/hookwall/leadership/peer_heartbeat.py
@@ -1,83 +1,116 @@
-"""Heartbeats between nodes: a leader asks for support with them, a follower says that it is there."""
+"""Heartbeats between nodes: a leader requests quorum leases with them, a follower shows that it is there.
+
+Invariant: a quorum lease counts from when its request was sent, and only after what came with it is applied.
+"""
 
 import asyncio
-from typing import TYPE_CHECKING
 
-from hookwall.leadership.peer_transport import PeerConnection
+from hookwall.leadership.instants import NEVER
+from hookwall.leadership.leadership_state import LeadershipState
+from hookwall.leadership.peer_exchange import PeerExchange
+from hookwall.leadership.peer_group import Peer, PeerGroup
+from hookwall.leadership.peer_observations import PeerObservations
 from hookwall.leadership.roles import LeaseMode
 from hookwall.protocol.peer_messages import KnownCancellations, MessageKind, PeerMessage, PeerResponse
-
-if TYPE_CHECKING:
-    from hookwall.leadership.state_machine import Leadership
+from hookwall.storage.client import KeyValueClient
 
 HEARTBEAT_INTERVAL_S = 1.0
-PING_WAIT_S = 1.5  # for the answer of one peer
-HINT_EVERY = 5  # pings
+RESPONSE_TIMEOUT_S = 1.5
+DEMAND_VALID_S = 2.0 * HEARTBEAT_INTERVAL_S  # a peer's older demand is not lent to
+HINT_PERIOD = 5  # heartbeats
 
 
 class PeerHeartbeat:
-    """Sends them while the node runs."""
-
-    def __init__(self, lead: "Leadership") -> None:
-        self.lead = lead
-
-    async def send(self, peer: PeerConnection, hint: object = None) -> None:
-        """One message to a peer, and what its answer tells."""
-        leading = self.lead.role.holds_leader_key()
-        token = self.lead.fencing_token if leading else 0
-        sent = self.lead.clock()
-        about = self.lead.local_status()
-        message = PeerMessage(
-            kind=MessageKind.HEARTBEAT,
-            sender=self.lead.node_name,
-            fencing_token=token,
-            store_reachable=self.lead.store.has_recent_response(),
-            storage_version=about.storage_version,
-            limits_lowered=about.limits_lowered,
-        )
-        if leading:
-            message.successor_hint = hint
-            at, want = self.lead.peer_rate_demand.get(peer.name, (-1e9, None))
-            message.lent_rates = self.lead.lend_rate(
-                peer.name, want if sent - at < 2.0 * HEARTBEAT_INTERVAL_S else None
-            )
-            message.revision = self.lead.records_revision()
-        answer = await self.lead.call_peer(peer, message, timeout=PING_WAIT_S)
-        if answer is None:
-            return
-        self.lead.record_peer_answer(peer, answer)
-        if token and token == self.lead.fencing_token and self.lead.role.holds_leader_key():
-            self._take_answer(peer, token, sent, answer)
+    """Sends heartbeats to all peers while the node runs."""
 
-    def _take_answer(self, peer: PeerConnection, token: int, sent: float, answer: PeerResponse) -> None:
-        """Whether the peer supports this leader."""
-        if answer.granted:
-            # What the promise carries is applied before it counts.
-            self.lead.on_known_cancellations(
-                peer.name, sent, KnownCancellations(answer.cancellations, answer.cancellations_complete is True)
-            )
-            self.lead.report_validity_lapse()
-            self.lead.quorum_acks[peer.name] = max(sent, self.lead.quorum_acks.get(peer.name, -1e9))
-        elif answer.highest_token is not None and answer.highest_token > token:
-            self.lead.step_down(f"{peer.name} knows a newer token")
-        elif answer.voted_to_replace is True:
-            # It never supports this token again, so a new one is needed, if the key was not replaced after all.
-            self.lead.step_down(f"{peer.name} has voted to replace this key")
-            self.lead.next_election_at = self.lead.clock()
+    def __init__(
+        self,
+        state: LeadershipState,
+        peers: PeerGroup,
+        observations: PeerObservations,
+        store: KeyValueClient,
+        exchange: PeerExchange,
+    ) -> None:
+        self._state = state
+        self._peers = peers
+        self._observations = observations
+        self._store = store
+        self._exchange = exchange
 
     async def run(self) -> None:
-        """Tell each peer, every second, that this node is there, or that it leads."""
+        """Send a heartbeat to each peer every second, and renew the quorum lease that a leader grants itself."""
+        state = self._state
         turn = 0
         while True:
-            leading = self.lead.role.holds_leader_key()
-            # The hint grows with the fleet, so it is told now and then, and put together once for all.
-            hint = self.lead.successor_hints() if leading and turn % HINT_EVERY == 0 else None
+            leading = state.role.holds_leader_key()
+            # The hint grows with the fleet, so it is sent now and then, and put together once for all peers.
+            hint = self._exchange.successor_hints() if leading and turn % HINT_PERIOD == 0 else None
             turn += 1
-            for peer in self.lead.peers:
-                self.lead.spawn(self.send(peer, hint))
+            self.send_to_all(hint)
             if leading:
-                self.lead.report_validity_lapse()
-            supported = leading and self.lead.vote_grant.renew_lease(self.lead.node_name, self.lead.fencing_token)
-            if leading and not supported and self.lead.lease_mode is LeaseMode.QUORUM_LEASE:
-                self.lead.step_down("own promise is with another node")
+                self._renew_own_lease()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+
+    def send_to_all(self, hint: object = None) -> None:
+        """Send one heartbeat to each peer, in the background."""
+        for peer in self._peers:
+            self._peers.spawn(self.send(peer, hint))
+
+    async def send(self, peer: Peer, hint: object = None) -> None:
+        """Send one heartbeat to a peer and apply its response."""
+        state = self._state
+        fencing_token = state.fencing_token if state.role.holds_leader_key() else 0
+        sent_at = state.clock()
+        message = self._message(peer, fencing_token, sent_at, hint)
+        response = await self._peers.call(peer, message, timeout_s=RESPONSE_TIMEOUT_S)
+        if response is None:
+            return
+        self._observations.record_response(peer.name, response)
+        if fencing_token and fencing_token == state.fencing_token and state.role.holds_leader_key():
+            self._apply_lease_response(peer, fencing_token, sent_at, response)
+
+    def _message(self, peer: Peer, fencing_token: int, sent_at: float, hint: object) -> PeerMessage:
+        """The heartbeat to a peer; a leader's has what the other subsystems send with it."""
+        status = self._exchange.local_status()
+        message = PeerMessage(
+            kind=MessageKind.HEARTBEAT,
+            sender=self._state.node_name,
+            fencing_token=fencing_token,
+            store_reachable=self._store.has_recent_response(),
+            storage_version=status.storage_version,
+            limits_lowered=status.limits_lowered,
+        )
+        if self._state.role.holds_leader_key():
+            message.successor_hint = hint
+            message.lent_rates = self._exchange.lend_rate(peer.name, self._recent_demand(peer, sent_at))
+            message.revision = self._exchange.records_revision()
+        return message
+
+    def _recent_demand(self, peer: Peer, now: float) -> object:
+        """What a peer last reported to need of the store; None if that was too long ago."""
+        last = self._observations.rate_demand.get(peer.name)
+        return last.demand if last is not None and now - last.received_at < DEMAND_VALID_S else None
+
+    def _apply_lease_response(self, peer: Peer, fencing_token: int, sent_at: float, response: PeerResponse) -> None:
+        """Apply whether the peer granted its quorum lease."""
+        state = self._state
+        if response.granted:
+            # The cancellations that come with the lease are applied before it counts.
+            known = KnownCancellations(response.cancellations, response.cancellations_complete is True)
+            self._exchange.on_known_cancellations(peer.name, sent_at, known)
+            state.report_validity_lapse()
+            state.quorum_acks[peer.name] = max(sent_at, state.quorum_acks.get(peer.name, NEVER))
+        elif response.highest_token is not None and response.highest_token > fencing_token:
+            state.step_down(f"{peer.name} knows a newer fencing token")
+        elif response.voted_to_replace is True:
+            # It never grants this token a lease again, so a new one is needed, if the key was not replaced after all.
+            state.step_down(f"{peer.name} has voted to replace this leader key")
+            state.next_election_at = state.clock()
+
+    def _renew_own_lease(self) -> None:
+        """A leader's own quorum lease; one that granted it to another node steps down."""
+        state = self._state
+        state.report_validity_lapse()
+        granted = state.vote_grant.renew_lease(state.node_name, state.fencing_token)
+        if not granted and state.lease_mode is LeaseMode.QUORUM_LEASE:
+            state.step_down("the own quorum lease is granted to another node")
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -13,10 +13,10 @@
 
 from hookwall.config.platform import PeerSeed, parse_address
 from hookwall.errors import HookwallError
+from hookwall.leadership.peer_group import CALL_TIMEOUT_S
 
 log = logging.getLogger(__name__)
 
-CALL_TIMEOUT_S = 1.0
 MAX_FRAME_BYTES = 256 * 1024
 FRAME_LENGTH = struct.Struct(">I")
 SERIAL_FIELD = "s"
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -21,11 +21,10 @@
 from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import Role
 from hookwall.leadership.state_machine import Leadership
-from hookwall.leadership.vote_fence import VoteFence
 from hookwall.node.key_dispatch import KeyDispatcher
+from hookwall.node.peer_exchange import NodePeerExchange
 from hookwall.node.round_loop import RoundLoop
 from hookwall.node.supervision import Loop, run_supervised
-from hookwall.protocol.peer_messages import PeerStatus
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient
@@ -68,12 +67,23 @@
         self.scale_out.fresh = lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent
         self.scale_out.demand.intake_blocked = lambda: not self.store.healthy()
         self.scale_out.on_catalog = lambda catalog: self.key_dispatcher.publish_catalog(catalog)
+        exchange = NodePeerExchange(
+            storage_version=lambda: self.storage_version,
+            rate_shares=self.store.rate_shares,
+            hints=self.fleet.successor_hints,
+            cancellations=lambda: self.cancellations,
+        )
         self.leadership = Leadership(
-            settings.node_name, params.size, [PeerConnection(s) for s in settings.seeds], self.store, clock,
-            lambda: self.key_dispatcher.load_for_leadership(), self._on_role_change,
-        )  # fmt: skip
-        self.leadership.vote_fence = VoteFence(
-            settings.node_name, self.store, self.leadership.observe_fenced_leader_key
+            settings.node_name,
+            params.size,
+            [PeerConnection(seed) for seed in settings.seeds],
+            self.store,
+            clock,
+            lambda: self.key_dispatcher.load_for_leadership(),
+            self._on_role_change,
+            on_validity_lapse=self.fleet.end_validity,
+            exchange=exchange,
+            fence_votes=True,
         )
         self.cancellations = CancellationLedger(
             params.workers,
@@ -120,25 +130,8 @@
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
         self.scale_out.relocation_requests = self.drains.relocations
         self.job_service.cancellations_current = self.cancellations.records_are_current
-        self.leadership.local_status, self.leadership.on_peer_status = self._local_status, self._on_peer_status
-        self.leadership.rate_demand, self.leadership.lend_rate = (
-            self.store.rate_shares.demand.rates_per_s,
-            self.store.rate_shares.lend_rates,
-        )
-        self.leadership.on_rate_lent = self.store.rate_shares.borrow_rates
-        self.leadership.records_revision, self.leadership.known_cancellations = (
-            self.cancellations.records_revision,
-            self.cancellations.known_cancellations,
-        )
-        self.leadership.on_known_cancellations, self.leadership.on_cancellations_announced = (
-            self.cancellations.on_known_cancellations,
-            self.cancellations.on_cancellations_announced,
-        )
-        self.leadership.on_validity_lapse = self.fleet.end_validity
         self.job_table.on_cancelled = self._on_cancelled
         self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
-        self.leadership.successor_hints = self.fleet.successor_hints.next_message
-        self.leadership.on_successor_hints = self.fleet.successor_hints.apply_message
         self.job_table.on_record_applied = self._on_record_applied
         self.fleet.delegated_leases.on_machines_delegated = self._on_machines_delegated
         self.round_requested = asyncio.Event()
@@ -174,16 +167,6 @@
         """Decisions were stored: starts can be launched, and others may be ready."""
         self.round_requested.set()
 
-    def _local_status(self) -> PeerStatus:
-        """What this node says of itself in each message to its peers."""
-        return PeerStatus(self.storage_version.current_version, self.store.rate_shares.has_seen_lower_limits())
-
-    def _on_peer_status(self, node: str, about: PeerStatus) -> None:
-        """What a peer says of itself; older programs say nothing."""
-        self.storage_version.record_reported_version(node, about.storage_version)
-        if about.limits_lowered:
-            self.store.rate_shares.apply_lower_limits(f"{node} says so")
-
     def _on_record_applied(self, job: Job, before: list[Allocation]) -> None:
         if self.leadership.role is Role.LEADER:
             self.fleet.replace_allocations(job, before)
@@ -218,7 +201,7 @@
         """Healthy while this node can serve users, or while it knows that no other node could either."""
         if not self.watch.loaded:
             return False
-        return self.store.healthy() or self.leadership.store_outage_is_shared()
+        return self.store.healthy() or self.leadership.peer_observations.store_outage_is_shared()
 
     async def run(self) -> None:
         await self.store.open()
@@ -248,7 +231,7 @@
             "formats": self.storage_version.run,
             "round": self.round_loop.run,
             "ping": lead.peer_heartbeat.run,
-            "probe": lead.probe_store,
+            "probe": lead.store_probe.run,
             **({"fence": lead.vote_fence.establish} if lead.vote_fence is not None else {}),
             "lead": lambda: lead.run(lambda: bool(self.fleet.machines)),
             "keep": self.lease_delegate.run,
--- a/tests/production.py
+++ b/tests/production.py
@@ -66,7 +66,8 @@
         self.broken = broken
         self.dispatch = self.key_dispatcher.apply_key
         self.key_dispatcher.apply_key = self._apply_key
-        self.leadership.local_status, self.leadership.on_peer_status = PeerStatus, lambda node, about: None
+        self.leadership.exchange.local_status = PeerStatus
+        self.leadership.exchange.on_peer_status = lambda node, about: None
         self.leadership.vote_fence = None
         self.storage_version.reported_versions.clear()
         self.job_writer.packing_enabled = self.job_service.packing_enabled = lambda: False
--- a/tests/protocol/test_messages.py
+++ b/tests/protocol/test_messages.py
@@ -46,7 +46,7 @@
 def test_a_kind_that_only_newer_programs_know_is_refused_but_tells_how_this_node_is(clock: Clock, state: FakeState):
     state.last_response_at = clock()
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
-    lead.local_status = lambda: PeerStatus(4, False)
+    lead.exchange.local_status = lambda: PeerStatus(4, False)
     answer = decode_response(lead.handle_peer_message({"t": "sing", "n": "n1"}))
     assert (
         not answer.granted
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -102,10 +102,10 @@
 def test_messages_of_production_are_answered_in_a_way_that_it_reads(kind, clock: Clock, state: FakeState):
     state.last_response_at = clock()
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.local_status = lambda: PeerStatus(2, False)
-    lead.rate_demand = lambda: [1.0, 1.0]
-    lead.on_cancellations_announced = lambda jobs: False
-    lead.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
+    lead.exchange.local_status = lambda: PeerStatus(2, False)
+    lead.exchange.rate_demand = lambda: [1.0, 1.0]
+    lead.exchange.on_cancellations_announced = lambda jobs: False
+    lead.exchange.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
     clock.tick(6.0)
     answer = lead.handle_peer_message(GOLDEN["messages"][kind])
     golden = GOLDEN["answers"][kind]
@@ -118,7 +118,7 @@
 def test_answers_of_production_are_taken(clock: Clock, state: FakeState):
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
     told: list[PeerStatus] = []
-    lead.on_peer_status = lambda node, about: told.append(about)
+    lead.exchange.on_peer_status = lambda node, about: told.append(about)
 
     class Peer:
         name = "n1"
@@ -210,10 +210,10 @@
 def test_messages_of_format_2_are_answered_in_a_way_that_it_reads(kind, clock: Clock, state: FakeState):
     state.last_response_at = clock()
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.local_status = lambda: PeerStatus(3, False)
-    lead.rate_demand = lambda: [1.0, 1.0]
-    lead.on_cancellations_announced = lambda jobs: False
-    lead.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
+    lead.exchange.local_status = lambda: PeerStatus(3, False)
+    lead.exchange.rate_demand = lambda: [1.0, 1.0]
+    lead.exchange.on_cancellations_announced = lambda jobs: False
+    lead.exchange.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
     clock.tick(6.0)
     answer = stored(lead.handle_peer_message(GOLDEN_2["messages"][kind]))
     golden = GOLDEN_2["answers"][kind]
--- a/tests/world.py
+++ b/tests/world.py
@@ -512,7 +512,7 @@
             name, method, path(url), body, t
         )
         node.cloud_client.call = lambda session, method, url, body, t: self.cloud.call(name, method, path(url), body, t)
-        node.leadership.peers = [Link(self, name, n) for n in self.names if n != name]
+        node.leadership.peers[:] = [Link(self, name, n) for n in self.names if n != name]
         self.nodes[name] = node
         self.running[name] = contextvars.Context().run(self._work, name, node)
         return node
@@ -558,7 +558,7 @@
         self.thaw(name)
         self.running.pop(name).cancel()
         node = self.nodes.pop(name)
-        for task in node.leadership.background_tasks:
+        for task in node.leadership.peer_group.background_tasks:
             task.cancel()
 
     def leader(self) -> Node | None:
