--- a/hookwall/workers/delegated_leases.py
+++ b/hookwall/workers/delegated_leases.py
@@ -1,85 +1,85 @@
-"""What the leader knows of the leases that followers keep."""
+"""What the leader knows of the leases that followers renew for it.
+
+Invariant: a machine counts as delegated from before its lease can be renewed by a follower, and a renewal that may
+have gone unseen counts for every machine.
+"""
 
-import logging
 from collections.abc import Callable
+from typing import NamedTuple
+
+from hookwall.workers.delegation_record import decode_machines
+from hookwall.workers.machine import NEVER
+
 
-from hookwall.storage import job_records
-from hookwall.workers import name_codec
+class Delegation(NamedTuple):
+    """One lease delegate's key. `machines` is None where any machine may be meant."""
 
-log = logging.getLogger(__name__)
+    version: int
+    machines: frozenset[str] | None
+
+
+def ignore_delegation(_machines: frozenset[str] | None) -> None:
+    """For whoever makes no decisions that rest on expired leases."""
 
 
 class DelegatedLeases:
-    """The leader's view of what followers keep.
+    """The leader's view of the leases that followers renew.
 
-    `on_named` is called with machines that a key is seen to name and that no key named before: what was decided
-    while their leases seemed to be over rests on a belief that may have been wrong.
+    `on_machines_delegated` is called with machines that a key is seen to name and that it did not name before: what
+    was decided while their leases seemed to have expired rests on a belief that may have been wrong. None: any.
     """
 
-    def __init__(self, clock: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        on_machines_delegated: Callable[[frozenset[str] | None], None] = ignore_delegation,
+    ) -> None:
+        """No key is known yet."""
         self.clock = clock
-        self.delegations: dict[str, tuple[int, frozenset[str] | None]] = {}  # stamp and names; None: any machine
-        self.released_at: dict[str, float] = {}  # machine -> when its keeping was seen to be over
-        self.all_released_at = -1e9
-        self.on_machines_delegated: Callable[[frozenset[str] | None], None] = lambda machines: None
-
-    def apply_key(self, key: str, value: object, stamp: int) -> None:
-        """A keeper's key as read or watched; stamp 0: it is gone."""
-        old = self.delegations.get(key)
-        if stamp and old is not None and stamp <= old[0]:
+        self.on_machines_delegated = on_machines_delegated
+        self.delegations: dict[str, Delegation] = {}
+        self.released_at: dict[str, float] = {}  # machine -> when its delegation was seen to have ended
+        self.all_released_at = NEVER
+
+    def apply_key(self, key: str, value: object, version: int) -> None:
+        """A lease delegate's key as read or watched; version 0: it is deleted. Older versions are ignored."""
+        known = self.delegations.get(key)
+        if version and known is not None and version <= known.version:
             return
-        before = old[1] if old is not None else frozenset()
-        names = decode_machines(value) if stamp else frozenset()
-        self._release(before, names)
-        if stamp:
-            self.delegations[key] = (stamp, names)
+        before = known.machines if known is not None else frozenset()
+        machines = decode_machines(value) if version else frozenset()
+        self._release(before, machines)
+        if version:
+            self.delegations[key] = Delegation(version, machines)
         else:
             self.delegations.pop(key, None)
-        if names is None:
+        if machines is None:
             self.on_machines_delegated(None)
-        elif named := names - (before or frozenset()):
-            self.on_machines_delegated(named)
+        elif added := machines - (before or frozenset()):
+            self.on_machines_delegated(added)
 
-    def _release(self, before: frozenset[str] | None, names: frozenset[str] | None) -> None:
-        """Machines that a key named and does not name any more have been kept until now."""
+    def _release(self, before: frozenset[str] | None, machines: frozenset[str] | None) -> None:
+        """Leases of machines that a key no longer names may have been renewed until now."""
         if before is None:
             self.record_missed_changes()
-        elif names is not None:
+        elif machines is not None:
             now = self.clock()
-            self.released_at.update((name, now) for name in before - names)
+            self.released_at.update((name, now) for name in before - machines)
 
     def record_missed_changes(self) -> None:
-        """A key may have come and gone unseen: anyone may have been kept until now."""
+        """A key may have come and gone unseen: any lease may have been renewed until now."""
         self.all_released_at = self.clock()
 
     def is_delegated(self, machine: str) -> bool:
         """Whether some key names the machine now."""
-        return any(names is None or machine in names for _, names in self.delegations.values())
+        return any(
+            delegation.machines is None or machine in delegation.machines for delegation in self.delegations.values()
+        )
 
     def last_possible_renewal(self, machine: str) -> float:
-        """Until when a keeper may have answered this machine, as far as it is over."""
-        return max(self.all_released_at, self.released_at.get(machine, -1e9))
+        """Until when a follower may have renewed the machine's lease, as far as its delegation has ended."""
+        return max(self.all_released_at, self.released_at.get(machine, NEVER))
 
     def preconditions(self, keys: list[str]) -> list[tuple[str, int]]:
-        """What each write of the leader is conditional on."""
-        return [(k, self.delegations[k][0] if k in self.delegations else 0) for k in keys]
-
-
-def decode_machines(value: object) -> frozenset[str] | None:
-    """The machines that a keeper's key names; None, which stands for any, where that can't be read."""
-    if not isinstance(value, dict):
-        log.error("a keeper's key is not an object")
-        return None
-    names = value.get("machines")
-    try:
-        if isinstance(value.get("packed"), str):
-            names = job_records.decompress(value["packed"], list[str])
-        elif "numbered" in value:
-            names = name_codec.decode(value["numbered"])
-    except job_records.MalformedRecordError as error:
-        log.error("a keeper's key is malformed: %s", error)
-        return None
-    if not isinstance(names, list):
-        log.error("a keeper's key names no machines")
-        return None
-    return frozenset(str(n) for n in names)
+        """The versions of the keys on which each write of the leader is conditional; 0: no such key."""
+        return [(key, self.delegations[key].version if key in self.delegations else 0) for key in keys]
--- /dev/null
+++ b/hookwall/workers/fleet_state.py
@@ -0,0 +1,160 @@
+"""What the leader knows of all machines, machine types and names.
+
+Invariant: `machines` holds each machine that records, heartbeats or the cloud's list name and whose deletion the cloud
+has not confirmed; a machine's index in `machines_by_index` never changes within a leadership. Nothing here decides:
+`fleet_transitions` changes phases and allocations.
+"""
+
+from collections.abc import Callable
+
+from hookwall.config.platform import PlatformParameters
+from hookwall.protocol.cloud_messages import Catalog, MachineType
+from hookwall.scheduling.placement import UNKNOWN_ZONE, FreeCapacity
+from hookwall.workers.machine import SCHEDULABLE_PHASES, Machine, MachineDescription, NameIndex
+
+
+class FleetState:
+    """Machines, machine types and the indices of names, with look-ups on them."""
+
+    def __init__(self, params: PlatformParameters, clock: Callable[[], float]) -> None:
+        """No machines and no catalog; zones and teams of the settings have the lowest indices."""
+        self.params = params
+        self.clock = clock
+        self.type_names = NameIndex()
+        self.zone_names = NameIndex()
+        self.image_names = NameIndex()
+        self.team_names = NameIndex()
+        for zone in params.zones:
+            self.zone_names.index_of(zone)
+        for team in params.teams:
+            self.team_names.index_of(team.name)
+        self.catalog: Catalog | None = None
+        self.machine_types: list[MachineType | None] = []
+        self.machines: dict[str, Machine] = {}
+        self.machines_by_index: list[Machine] = []
+        self.deleted_names: set[str] = set()  # deletion confirmed; the cloud's late lists still name them
+        self.on_demand_images: set[int] = set()  # of jobs that can't run on spot instances
+        self.cordoned: set[str] = set()  # machines that get no new work, since they are being drained (drains/)
+        self.in_maintenance: set[str] = set()  # those of them that are empty: their workers may be unresponsive
+        self.fencing_token = 0
+        self.valid_since: float | None = None  # since when no other node can have answered a worker
+
+    # -- this leadership -----------------------------------------------------------------------
+
+    def begin_validity(self, now: float) -> None:
+        """From now on no other node can answer a worker; leases are counted from here."""
+        if self.valid_since is None:
+            self.valid_since = now
+
+    def end_validity(self) -> None:
+        """This leader was not valid for a while, so another node may have answered workers meanwhile."""
+        self.valid_since = None
+
+    # -- machine types -------------------------------------------------------------------------
+
+    def set_catalog(self, catalog: Catalog) -> None:
+        """Replace what is known of the machine types."""
+        self.catalog = catalog
+        for machine_type in catalog.types:
+            index = self.type_names.index_of(machine_type.name)
+            while len(self.machine_types) <= index:
+                self.machine_types.append(None)
+            self.machine_types[index] = machine_type
+        self.invalidate_free_capacity()
+
+    def invalidate_free_capacity(self) -> None:
+        """What free capacity is computed from has changed on all machines: rare, unlike rounds."""
+        for machine in self.machines.values():
+            machine.free_capacity = None
+
+    def machine_type(self, type_: int) -> MachineType | None:
+        """The machine type with this index; None while the catalog does not have it."""
+        return self.machine_types[type_] if 0 <= type_ < len(self.machine_types) else None
+
+    def image_fetch_s(self, type_: int, gb: float) -> float:
+        """Seconds that a machine of the type takes to fetch an image; 0 where the catalog names no rate."""
+        info = self.machine_type(type_)
+        return gb / info.image_pull_gb_per_s if info is not None and info.image_pull_gb_per_s > 0 else 0.0
+
+    # -- machines ------------------------------------------------------------------------------
+
+    def ensure_machine(self, name: str, type_: str, zone: str, spot: bool) -> Machine:
+        """The machine of this name, new if nothing has named it before. An empty `type_` is not known."""
+        machine = self.machines.get(name)
+        if machine is None:
+            machine = Machine(
+                name,
+                len(self.machines_by_index),
+                self.type_names.index_of(type_),
+                self.zone_names.index_of(zone),
+                spot,
+                self.clock(),
+            )
+            self.machines[name] = machine
+            self.machines_by_index.append(machine)
+            machine.described_as = MachineDescription(type_, zone, spot)
+        elif type_ and machine.described_as != (type_, zone, spot):
+            machine.type = self.type_names.index_of(type_)
+            machine.zone = self.zone_names.index_of(zone)
+            machine.spot = spot
+            machine.described_as = MachineDescription(type_, zone, spot)
+            machine.free_capacity = None
+        return machine
+
+    def zone_of(self, name: str) -> int:
+        """The zone of a machine, or UNKNOWN_ZONE while only records name it."""
+        machine = self.machines.get(name)
+        return machine.zone if machine is not None and self.zone_names.names[machine.zone] else UNKNOWN_ZONE
+
+    def is_schedulable(self, machine: Machine, now: float) -> bool:
+        """Whether new tasks may be placed on the machine."""
+        return (
+            machine.phase in SCHEDULABLE_PHASES
+            and machine.name not in self.cordoned
+            and machine.acknowledges
+            and not machine.unresponsive
+            and machine.epoch > 0
+            and not machine.unrecorded_tasks
+            and now >= machine.rejects_tasks_until
+            and self.machine_type(machine.type) is not None
+        )
+
+    def free_capacity(self, machine: Machine) -> FreeCapacity:
+        """What is free on a machine whose type is known. Cached until something there changes: rounds are frequent."""
+        if machine.free_capacity is not None:
+            return machine.free_capacity
+        info = self.machine_type(machine.type)
+        assert info is not None
+        free = FreeCapacity(
+            machine.index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory_gb
+        )  # fmt: skip
+        images = set(machine.cached_images)
+        for job, _ in machine.allocations.values():
+            spec = job.spec
+            if spec is not None:
+                free.cpus -= spec.cpus
+                free.gpus -= spec.gpus
+                free.memory -= spec.memory_gb
+                images.add(job.image_index)  # being fetched: one fetch serves all tasks that wait for it
+        free.price = info.spot_price if machine.spot else info.price
+        free.penalty = float(machine.consecutive_errors)
+        free.cached_images = images
+        free.on_demand_image_gb = self.on_demand_image_gb(machine)
+        machine.free_capacity = free
+        return free
+
+    # -- images --------------------------------------------------------------------------------
+
+    def on_demand_image_gb(self, machine: Machine) -> float:
+        """GB of cached images on the machine that jobs which can't run on spot instances use."""
+        return sum(gb for image, gb in machine.cached_images.items() if image in self.on_demand_images)
+
+    def record_image_use(self, machine: Machine, image: int, gb: float) -> None:
+        """The machine has used an image just now; least recently used ones beyond the cache's size are evicted."""
+        machine.cached_images.pop(image, None)
+        machine.cached_images[image] = gb
+        machine.free_capacity = None
+        info = self.machine_type(machine.type)
+        if info is not None and info.image_cache_gb > 0:
+            while len(machine.cached_images) > 1 and sum(machine.cached_images.values()) > info.image_cache_gb:
+                machine.cached_images.popitem(last=False)
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -1,42 +1,74 @@
-"""One machine as the leader knows it, and the indices of names."""
+"""One machine as the leader knows it, and the dense indices of names.
+
+Invariant: a task is in `Machine.allocations` or `Machine.unrecorded_tasks` for as long as it may run there.
+"""
 
 from collections import OrderedDict
 from enum import Enum
+from typing import NamedTuple
 
 from hookwall.jobs.job import Allocation, Job
 from hookwall.scheduling.placement import FreeCapacity
 
+NEVER = -1e9  # before any time of the clock: a time that has not come yet, where a hot path compares it
+
 
 class NameIndex:
-    """Names become dense indices at the door."""
+    """Dense indices of names, in the order in which the names first appeared."""
 
     def __init__(self) -> None:
+        """Begin without any name."""
         self.index_by_name: dict[str, int] = {}
         self.names: list[str] = []
 
     def index_of(self, name: str) -> int:
-        i = self.index_by_name.get(name)
-        if i is None:
-            i = self.index_by_name[name] = len(self.names)
+        """The index of a name; a new name gets the next one."""
+        index = self.index_by_name.get(name)
+        if index is None:
+            index = self.index_by_name[name] = len(self.names)
             self.names.append(name)
-        return i
+        return index
 
 
 class MachinePhase(Enum):
-    BOOTING = "booting"  # rented, its worker has not reported yet
+    """Where a machine is in its life. `FleetTransitions.transition_to` makes each change."""
+
+    BOOTING = "booting"  # provisioned; its worker has sent no heartbeat yet
     UP = "up"
-    PREEMPTION_NOTICED = "noticed"  # the cloud will take it
-    QUARANTINED = "sick"  # fails its tasks; gets no more and is returned
-    DRAINING = "draining"  # to be returned once its tasks have saved
-    DELETING = "leaving"  # a deletion was sent or is about to be
-    DELETED = "gone"
+    PREEMPTION_NOTICED = "preemption_noticed"  # the cloud has announced that it takes the machine
+    QUARANTINED = "quarantined"  # fails its tasks; gets no more and is deleted
+    DRAINING = "draining"  # to be deleted once its tasks have written their checkpoints
+    DELETING = "deleting"  # a deletion was sent or is about to be
+    DELETED = "deleted"
 
 
 SCHEDULABLE_PHASES = (MachinePhase.UP,)
 
 
+class TaskKey(NamedTuple):
+    """Identifies a task among all jobs."""
+
+    job_id: str
+    task: int
+
+
+class AllocatedTask(NamedTuple):
+    """A start of a task that a record or a decision names on a machine."""
+
+    job: Job
+    allocation: Allocation
+
+
+class MachineDescription(NamedTuple):
+    """What a heartbeat or the cloud's list says of a machine; empty texts where only records name it."""
+
+    type: str
+    zone: str
+    spot: bool
+
+
 class Machine:
-    """One machine."""
+    """One machine: its identity, its worker's heartbeats, and what may run on it. Times are those of the clock."""
 
     __slots__ = (
         "acknowledged_at",
@@ -73,33 +105,49 @@
     )  # fmt: skip
 
     def __init__(self, name: str, index: int, type_: int, zone: int, spot: bool, now: float) -> None:
-        self.name, self.index, self.type, self.zone, self.spot = name, index, type_, zone, spot
-        self.described_as: tuple[str, str, bool] = ("", "", False)  # its type, zone and kind as last named
+        """A machine that was heard of just now; `type_` and `zone` are indices of their names."""
+        self.name = name
+        self.index = index
+        self.type = type_
+        self.zone = zone
+        self.spot = spot
+        self.described_as = MachineDescription("", "", False)
         self.phase = MachinePhase.BOOTING
-        self.first_known_at = self.provisioned_at = now
-        self.first_heartbeat_at = -1.0
-        self.last_listed_at = -1e9  # when the cloud last named it; never for one that only records name
+        self.reserved_for = ""  # the job for which it is set aside
+        self._init_cloud_state(now)
+        self._init_worker_state()
+        self._init_tasks()
+
+    def _init_cloud_state(self, now: float) -> None:
+        """What the cloud says of the machine."""
+        self.first_known_at = now
+        self.provisioned_at = now
+        self.last_listed_at = NEVER  # when the cloud last listed it; never for one that only records name
         self.listed_running_at = -1.0  # when it was first listed as running
+        self.preemption_at: float | None = None  # when the cloud takes it, as announced
+        self.provisioning_failed = False
+
+    def _init_worker_state(self) -> None:
+        """What the worker's heartbeats say."""
+        self.first_heartbeat_at = -1.0
         self.epoch = 0
         self.sequence = -1
         self.fencing_token = 0
-        self.last_response_at = -1e9  # when a report was last answered by this leader
-        self.allocations: dict[tuple[str, int], tuple[Job, Allocation]] = {}
-        self.unrecorded_tasks: set[tuple[str, int]] = (
-            set()
-        )  # tasks that its worker reports and that no start here explains
+        self.last_response_at = NEVER  # when this leader last answered a heartbeat
+        self.acknowledges = False  # whether its heartbeats show that our responses reach it
+        self.acknowledged_at = NEVER  # when one last did
+        self.unresponsive = False
+
+    def _init_tasks(self) -> None:
+        """What may run on the machine, and what is free there."""
+        self.allocations: dict[TaskKey, AllocatedTask] = {}
+        # Tasks that its worker reports and that no allocation known here explains.
+        self.unrecorded_tasks: set[TaskKey] = set()
+        # Its lease expired with cancelled tasks there, and its worker has not begun a new epoch since.
+        self.may_run_cancelled_tasks = False
         self.cached_images: OrderedDict[int, float] = OrderedDict()  # image -> GB, most recently used last
-        self.preemption_at: float | None = None
         self.consecutive_errors = 0
         self.jobs_with_errors: set[str] = set()
-        self.rejects_tasks_until = -1e9
-        self.provisioning_failed = False
-        self.reserved_for = ""
-        self.acknowledges = False  # whether its reports show that our answers reach it
-        self.acknowledged_at = -1e9  # when one last did
-        self.unresponsive = False
-        self.may_run_cancelled_tasks = (
-            False  # its lease ended with cancelled tasks there, and it has not been heard since
-        )
-        self.free_capacity: FreeCapacity | None = None  # what is free here; None: to be counted anew
-        self.last_on_demand_work_at = -1e9  # when it last had work that can't go to cheap machines
+        self.rejects_tasks_until = NEVER
+        self.free_capacity: FreeCapacity | None = None  # None: to be computed anew
+        self.last_on_demand_work_at = NEVER  # when it last had work that can't run on spot instances
--- /dev/null
+++ b/hookwall/workers/task_reconciliation.py
@@ -0,0 +1,146 @@
+"""Squares the tasks that a heartbeat reports with the allocations that records and decisions name.
+
+Invariant: a launch is sent only for an allocation that is stored and that no other machine may be running, and a task
+is forgotten by its worker only once no record names it.
+"""
+
+import logging
+from functools import lru_cache
+
+from hookwall.jobs.job import CANCELLED, OPEN, Allocation, Job
+from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.heartbeat_messages import Command, Heartbeat, TaskStatus
+from hookwall.workers.fleet_transitions import FleetTransitions
+from hookwall.workers.machine import AllocatedTask, Machine, MachinePhase, TaskKey
+from hookwall.workers.task_exits import TaskExits
+
+log = logging.getLogger(__name__)
+
+STOP_RETRY_S = 1.5
+
+
+class TaskReconciliation:
+    """Decides the commands that answer a heartbeat, and releases allocations that it shows to be gone."""
+
+    def __init__(self, fleet: FleetTransitions) -> None:
+        """For the machines of `fleet`."""
+        self.fleet = fleet
+        self.exits = TaskExits(fleet)
+
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
+        """Apply all task statuses of a heartbeat, and what it does not report; returns the commands."""
+        commands: list[Command] = []
+        present: set[TaskKey] = set()
+        unrecorded: set[TaskKey] = set()
+        for status in heartbeat.tasks:
+            key = task_key(status.task_id)
+            if key is None:
+                continue
+            allocated = machine.allocations.get(key)
+            if allocated is not None and allocated.allocation.attempt != status.attempt:
+                allocated = None  # the records name another start of this task
+            if status.phase == "exited":
+                if self._apply_exit(machine, key, status, allocated, commands):
+                    present.add(key)
+                continue
+            present.add(key)
+            if allocated is None:
+                unrecorded.add(key)
+                commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, 0.0))
+            else:
+                self._apply_status(machine, status, allocated, commands, now)
+        self.fleet.set_unrecorded_tasks(machine, unrecorded)
+        has_our_token = heartbeat.fencing_token == self.fleet.fencing_token
+        for key, (job, allocation) in list(machine.allocations.items()):
+            if key not in present:
+                self._reconcile_absent(machine, job, allocation, has_our_token, commands)
+        return commands
+
+    def _apply_status(
+        self, machine: Machine, status: TaskStatus, allocated: AllocatedTask, commands: list[Command], now: float
+    ) -> None:
+        """A task that is there as the records say."""
+        job, allocation = allocated
+        if status.phase != allocation.reported_phase:
+            self._apply_phase(machine, status, allocated, now)
+        if job.phase == CANCELLED:
+            commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, 0.0))
+        elif (
+            allocation.stop_grace_s is not None
+            and now - allocation.stop_sent_at > STOP_RETRY_S
+            and _stop_has_effect(allocation, status)
+        ):
+            allocation.stop_sent_at = now
+            commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, allocation.stop_grace_s))
+
+    def _apply_phase(self, machine: Machine, status: TaskStatus, allocated: AllocatedTask, now: float) -> None:
+        """A task has gone on to another phase."""
+        job, allocation = allocated
+        log.debug(
+            "task phase changed task=%s attempt=%d machine=%s phase=%s",
+            status.task_id, status.attempt, machine.name, status.phase,
+        )  # fmt: skip
+        allocation.reported_phase = status.phase
+        if status.phase in ("waiting", "running") and job.spec is not None:
+            self.fleet.record_image_use(machine, job.image_index, job.spec.image_gb)
+        if status.phase == "running":
+            allocation.running_since = now
+        self.fleet.on_change()
+
+    def _apply_exit(
+        self,
+        machine: Machine,
+        key: TaskKey,
+        status: TaskStatus,
+        allocated: AllocatedTask | None,
+        commands: list[Command],
+    ) -> bool:
+        """A task has ended. False if no record names it and its worker forgets it with the response."""
+        if allocated is not None:
+            self.exits.apply_exit(machine, allocated.job, allocated.allocation, status.cause or "")
+        job = self.fleet.table.jobs.get(key.job_id)
+        if job is not None and job.stored_starts.get(key.task) == (machine.name, status.attempt):
+            return True
+        # Only once the record no longer names this start: a leader that forgot it would
+        # otherwise launch the same attempt again.
+        commands.append(heartbeat_messages.forget_command(status.task_id, status.attempt))
+        return allocated is not None
+
+    def _reconcile_absent(
+        self, machine: Machine, job: Job, allocation: Allocation, has_our_token: bool, commands: list[Command]
+    ) -> None:
+        """An allocation that the heartbeat does not report."""
+        if not self._is_wanted(machine, job, allocation):
+            # The heartbeat answers none of our launches and the worker drops older leaders' responses.
+            if has_our_token:
+                self.fleet.release_allocation(job, allocation, "not reported")
+            return
+        if job.stored_starts.get(allocation.task) != (machine.name, allocation.attempt):
+            return
+        if allocation.epoch != machine.epoch:
+            self.fleet.release_allocation(job, allocation, "another epoch")
+            return
+        if allocation.reported_phase and has_our_token:
+            # It was reported before and is not now, without having exited: it can't be there.
+            self.fleet.release_allocation(job, allocation, "no longer reported")
+            return
+        if job.may_launch(allocation):
+            commands.append(heartbeat_messages.launch_command(job.job_id, allocation.task, allocation.attempt))
+
+    def _is_wanted(self, machine: Machine, job: Job, allocation: Allocation) -> bool:
+        """Whether the task is to run on the machine."""
+        if job.phase != OPEN or allocation.stop_grace_s is not None or allocation.finished:
+            return False
+        return machine.phase is MachinePhase.UP and machine.name not in self.fleet.cordoned
+
+
+@lru_cache(maxsize=8192)  # each heartbeat names the same tasks again; a few more than the machines run at once
+def task_key(task_id: str) -> TaskKey | None:
+    """`run-000412/3` as the key of an allocation; None for what names no task."""
+    parts = heartbeat_messages.parse_task_id(task_id)
+    return None if parts is None else TaskKey(*parts)
+
+
+def _stop_has_effect(allocation: Allocation, status: TaskStatus) -> bool:
+    """A task that writes its checkpoint already only heeds a stop that gives it no more time."""
+    return status.phase != "saving" or allocation.stop_grace_s == 0.0
--- a/tests/workers/test_fleet.py
+++ b/tests/workers/test_fleet.py
@@ -9,6 +9,7 @@
 from hookwall.leadership.peer_transport import MAX_FRAME_BYTES, encode_frame
 from hookwall.storage.job_records import encode_plain
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.machine import MachinePhase
 
 
 def started(cluster: Cluster, n=1, machine="vm-1", **changes) -> Job:
@@ -185,7 +186,7 @@
         cluster.beat("vm-1", running(job, "exited", "error"))
         cluster.store()
         job.phase = "withdrawn"
-    assert cluster.fleet.machines["vm-1"].phase.value == "sick"
+    assert cluster.fleet.machines["vm-1"].phase is MachinePhase.QUARANTINED
 
 
 def test_a_job_that_fails_everywhere_does_not_make_machines_sick(cluster: Cluster):
@@ -200,7 +201,7 @@
         if job.allocations:
             at = job.allocations[0].machine
             cluster.beat(at, running(job, "exited", "error"))
-    assert sum(m.phase.value == "sick" for m in cluster.fleet.machines.values()) == 0
+    assert sum(m.phase is MachinePhase.QUARANTINED for m in cluster.fleet.machines.values()) == 0
 
 
 @pytest.mark.parametrize("bad", [[("nonsense", 1, "running", None)], [("run-1/x", 1, "exited", None)]])
