--- a/hookwall/leadership/peer_exchange.py
+++ b/hookwall/leadership/peer_exchange.py
@@ -51,41 +51,41 @@
     """For a node without other subsystems: adds nothing to messages and drops what peers add."""
 
     def local_status(self) -> PeerStatus:
-        """Nothing, as programs before the first storage version do."""
+        """Report nothing, as programs that know no storage version do."""
         return PeerStatus()
 
     def on_peer_status(self, _peer: str, _status: PeerStatus, /) -> None:
-        """Dropped."""
+        """Drop it."""
 
     def rate_demand(self) -> object:
-        """Unknown."""
+        """Report none."""
         return None
 
     def lend_rate(self, _peer: str, _demand: object, /) -> object:
-        """Nothing."""
+        """Give nothing."""
         return None
 
     def on_rate_lent(self, _lent: object, /) -> None:
-        """Dropped."""
+        """Drop it."""
 
     def records_revision(self) -> int | None:
-        """Unknown."""
+        """Report none."""
         return None
 
     def known_cancellations(self, _revision: int | None, /) -> KnownCancellations:
-        """None, and perhaps not all."""
+        """Report none, and that there may be some."""
         return KnownCancellations((), False)
 
     def on_known_cancellations(self, _peer: str, _sent_at: float, _known: KnownCancellations, /) -> None:
-        """Dropped."""
+        """Drop it."""
 
     def on_cancellations_announced(self, _cancellations: object, /) -> bool:
-        """Not known to lead."""
+        """Report that this node does not lead."""
         return False
 
     def successor_hints(self) -> object:
-        """Nothing."""
+        """Give nothing."""
         return None
 
     def on_successor_hints(self, _hints: object, /) -> None:
-        """Dropped."""
+        """Drop it."""
--- /dev/null
+++ b/tests/leadership/scripted_leadership.py
@@ -0,0 +1,54 @@
+"""A node's leadership among peers that respond as a test says."""
+
+from collections.abc import Callable
+from typing import Any
+
+from conftest import Clock, FakeState
+
+from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.vote_grant import QUORUM_LEASE_S
+
+Message = dict[str, Any]
+
+
+class ScriptedPeer:
+    """Responds as a function says, and records what it was sent."""
+
+    def __init__(self, name: str, response: Callable[[Message], Message | None]) -> None:
+        self.name = name
+        self.response = response
+        self.calls: list[Message] = []
+
+    async def call(self, message: Message, timeout: float = 1.0) -> Message | None:
+        """The response, at once."""
+        self.calls.append(message)
+        return self.response(message)
+
+
+def make_leadership(
+    state: FakeState, clock: Clock, responses: list[Callable[[Message], Message | None]], **options: Any
+) -> Leadership:
+    """The leadership of a node whose process began long ago; it knows that there is no leader key."""
+
+    async def rebuild_state() -> None:
+        return None
+
+    peers = [ScriptedPeer(f"n{number}", response) for number, response in enumerate(responses, 1)]
+    lead = Leadership("n0", 3, peers, state, clock, rebuild_state, lambda role: None, **options)
+    clock.tick(QUORUM_LEASE_S * 2)
+    lead.observe_leader_key({}, 0)
+    return lead
+
+
+def grants(message: Message) -> Message:
+    """A peer that grants every vote and lease."""
+    return {"ok": True, "sok": True, "top": 0}
+
+
+def refuses(message: Message) -> Message:
+    """A peer that grants nothing."""
+    return {"ok": False, "sok": True, "top": 0}
+
+
+def silent(message: Message) -> None:
+    """A peer that does not respond."""
