--- a/hookwall/config/operations.py
+++ b/hookwall/config/operations.py
@@ -4,11 +4,10 @@
 switch on is off. Unknown fields are ignored; a bad one is refused by name.
 """
 
-import math
-
 import msgspec
 
-from hookwall.config.platform import InvalidSettingsError, PlatformParameters, read_toml
+from hookwall.config.checks import InvalidSettingsError, read_toml, require_positive
+from hookwall.config.platform import PlatformParameters
 
 DEFAULT_PERIOD_S = 300.0
 
@@ -33,14 +32,18 @@
 
 
 class Operations(msgspec.Struct, frozen=True):
-    """All that the operators' file may say."""
+    """All that the operators' file may set."""
 
     drain: DrainSettings = DrainSettings()
 
 
 def validate_operations(operations: Operations, params: PlatformParameters) -> Operations:
-    """Refuse what decodes but can't be meant, and teams that the platform's settings don't name."""
-    teams = [team.name for team in params.teams]
+    """Refuse what decodes but can't be meant, and teams that the platform's settings don't name.
+
+    Raises:
+        InvalidSettingsError: naming the team and the field.
+    """
+    teams = {team.name for team in params.teams}
     seen: set[str] = set()
     for budget in operations.drain.budgets:
         where = f"drain.budgets: team {budget.team!r}"
@@ -49,28 +52,32 @@
         if budget.team in seen:
             raise InvalidSettingsError(f"{where}: occurs twice")
         seen.add(budget.team)
-        _check_amounts(budget, where)
+        _validate_amounts(budget, where)
     return operations
 
 
-def _check_amounts(budget: DisruptionBudget, where: str) -> None:
-    """The numbers of one budget."""
+def _validate_amounts(budget: DisruptionBudget, where: str) -> None:
+    """Refuse the numbers of one budget that can't be meant."""
     if budget.jobs is None and budget.share is None:
         raise InvalidSettingsError(f"{where}: needs jobs (a whole number from 0) or share (a number from 0 to 1)")
     if budget.jobs is not None and budget.jobs < 0:
         raise InvalidSettingsError(f"{where}: jobs must be a whole number from 0, is {budget.jobs}")
     if budget.share is not None and not 0.0 <= budget.share <= 1.0:
         raise InvalidSettingsError(f"{where}: share must be a number from 0 to 1, is {budget.share}")
-    if not (math.isfinite(budget.period_s) and budget.period_s > 0):
-        raise InvalidSettingsError(f"{where}: period_s must be a positive number, is {budget.period_s}")
+    require_positive(f"{where}: period_s", budget.period_s)
 
 
 def load_operations(path: str | None, params: PlatformParameters) -> Operations:
-    """Read and check the operators' file; everything is off without one."""
+    """Read and check the operators' file; everything is off without one.
+
+    Raises:
+        InvalidSettingsError: the file can't be read or used.
+    """
     if path is None:
         return Operations()
     raw = read_toml(path, "--operations")
     try:
-        return validate_operations(msgspec.convert(raw, Operations), params)
+        operations = msgspec.convert(raw, Operations)
     except msgspec.ValidationError as error:
-        raise InvalidSettingsError(f"--operations: {error}") from None
+        raise InvalidSettingsError(f"--operations: {error}") from error
+    return validate_operations(operations, params)
--- a/hookwall/config/platform.py
+++ b/hookwall/config/platform.py
@@ -1,28 +1,47 @@
-"""The platform's settings file, checked once at the door.
+"""The platform's settings file, checked once when it is read.
 
-Unknown fields are ignored because the platform may add some at any time; a bad or missing field ends
-the program with one line that names it, since guessing a lease time could break a rule later.
+Fields have the names of the file, but for `Settings.platform`. Unknown ones are ignored because the platform may add
+some at any time; a bad or missing one ends the program with one line that names it, since guessing a lease time could
+break a rule later.
 """
 
-import math
-import tomllib
-from pathlib import Path
-from typing import Any
-
 import msgspec
 
-
-class InvalidSettingsError(Exception):
-    """The settings can't be used; the text names the field."""
+from hookwall.config.checks import InvalidSettingsError, read_toml, require_positive
+
+__all__ = [
+    "CloudLimits",
+    "ExternalServices",
+    "InvalidSettingsError",
+    "MachineLimits",
+    "PeerSeed",
+    "PlatformParameters",
+    "ServiceObjective",
+    "Settings",
+    "StoreLimits",
+    "TeamQuota",
+    "UpcomingStoreLimits",
+    "WorkerTimings",
+    "load_settings",
+    "parse_address",
+    "read_toml",
+    "validate_settings",
+]
+
+MAX_PORT = 65535
 
 
 class PeerSeed(msgspec.Struct, frozen=True):
+    """Another node, and where its peers reach it."""
+
     node_name: str
     peer_addr: str
     area: str = ""
 
 
 class ExternalServices(msgspec.Struct, frozen=True):
+    """The addresses of the cloud and of the key-value store."""
+
     cloud: str
     state: str
 
@@ -38,6 +57,8 @@
 
 
 class ServiceObjective(msgspec.Struct, frozen=True):
+    """A service-level objective that the operators judge by."""
+
     kind: str
     job_class: str | None = msgspec.field(default=None, name="class")
     within_s: float | None = None
@@ -45,6 +66,8 @@
 
 
 class WorkerTimings(msgspec.Struct, frozen=True):
+    """Seconds between heartbeats, of a lease, of the waits of gangs, and until a cancellation must be in effect."""
+
     report_s: float
     lease_s: float
     gang_wait_s: float
@@ -53,7 +76,7 @@
 
 
 class UpcomingStoreLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on; what is not named stays."""
+    """Limits that the key-value store will have from some moment on; what is not named stays."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -62,7 +85,7 @@
 
 
 class StoreLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service."""
+    """Limits of the key-value store: requests and changes a second, KiB a value, changes a transaction."""
 
     rps: float
     write_rps: float
@@ -86,17 +109,23 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
+    """Requests a second that the cloud allows, and by how many seconds its list of machines may lag."""
+
     rps: float
     list_lag_s: float
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
+    """What a node's own machine gives it."""
+
     core_share: float = 1.0
     memory_mb: float = 256.0
     sockets: int = 1000
 
 
 class PlatformParameters(msgspec.Struct, frozen=True):
+    """What all nodes of a cluster have in common; `size` is their number."""
+
     size: int
     zones: list[str]
     workers: WorkerTimings
@@ -109,6 +138,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """All that the settings file of a node may set."""
+
     node_name: str
     public_addr: str
     peer_listen: str
@@ -119,62 +150,65 @@
 
 
 def parse_address(text: str, field: str) -> tuple[str, int]:
-    """Split `host:port`."""
-    host, sep, port = text.rpartition(":")
-    if not sep or not host or not port.isdigit() or not 0 < int(port) < 65536:
+    """Host and port of `host:port`; InvalidSettingsError, which names the field, for anything else."""
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise InvalidSettingsError(f"{field}: not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
-def validate_settings(s: Settings) -> Settings:
-    """Refuse what decodes but can't be meant."""
-    parse_address(s.public_addr, "public_addr")
-    parse_address(s.peer_listen, "peer_listen")
-    parse_address(s.external.cloud, "external.cloud")
-    parse_address(s.external.state, "external.state")
-    for seed in s.seeds:
-        parse_address(seed.peer_addr, "seeds.peer_addr")
-    p = s.platform
-    if p.size < 1:
+def validate_settings(settings: Settings) -> Settings:
+    """Refuse what decodes but can't be meant.
+
+    Raises:
+        InvalidSettingsError: naming the field.
+    """
+    _validate_addresses(settings)
+    params = settings.platform
+    if params.size < 1:
         raise InvalidSettingsError("settings.size: must be at least 1")
-    positive = {
-        "workers.report_s": p.workers.report_s,
-        "workers.lease_s": p.workers.lease_s,
-        "workers.cancel_s": p.workers.cancel_s,
-        "state.rps": p.state.rps,
-        "state.write_rps": p.state.write_rps,
-        "state.value_kb": p.state.value_kb,
-        "state.txn_ops": p.state.txn_ops,
-        "cloud.rps": p.cloud.rps,
-    }
-    later = p.state.next
-    for name in later.__struct_fields__ if later is not None else ():
-        value = getattr(later, name)
-        if value is not None:
-            positive[f"state.next.{name}"] = value
-    for name, value in positive.items():
-        if not (math.isfinite(value) and value > 0):
-            raise InvalidSettingsError(f"settings.{name}: must be a positive number, is {value}")
-    names = [t.name for t in p.teams]
+    for field, value in _positive_fields(params).items():
+        require_positive(f"settings.{field}:", value)
+    names = [team.name for team in params.teams]
     if len(set(names)) != len(names):
         raise InvalidSettingsError("settings.teams: a name occurs twice")
-    return s
+    return settings
 
 
-def read_toml(path: str, option: str) -> dict[str, Any]:
-    """A settings file that a command-line option names, not checked yet."""
-    try:
-        return tomllib.loads(Path(path).read_text(encoding="utf-8"))
-    except OSError as e:
-        raise InvalidSettingsError(f"{option}: cannot read {path}: {e.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise InvalidSettingsError(f"{option}: {path} is not TOML: {e}") from None
+def _validate_addresses(settings: Settings) -> None:
+    parse_address(settings.public_addr, "public_addr")
+    parse_address(settings.peer_listen, "peer_listen")
+    parse_address(settings.external.cloud, "external.cloud")
+    parse_address(settings.external.state, "external.state")
+    for seed in settings.seeds:
+        parse_address(seed.peer_addr, "seeds.peer_addr")
+
+
+def _positive_fields(params: PlatformParameters) -> dict[str, float]:
+    """The numbers that must be above 0, by the field that gives each."""
+    upcoming = {} if params.state.next is None else msgspec.structs.asdict(params.state.next)
+    return {
+        "workers.report_s": params.workers.report_s,
+        "workers.lease_s": params.workers.lease_s,
+        "workers.cancel_s": params.workers.cancel_s,
+        "state.rps": params.state.rps,
+        "state.write_rps": params.state.write_rps,
+        "state.value_kb": params.state.value_kb,
+        "state.txn_ops": params.state.txn_ops,
+        "cloud.rps": params.cloud.rps,
+        **{f"state.next.{name}": value for name, value in upcoming.items() if value is not None},
+    }
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check the settings file."""
+    """Read and check the settings file.
+
+    Raises:
+        InvalidSettingsError: the file can't be read or used.
+    """
     raw = read_toml(path, "--config")
     try:
-        return validate_settings(msgspec.convert(raw, Settings, strict=False))
-    except msgspec.ValidationError as e:
-        raise InvalidSettingsError(str(e)) from None
+        settings = msgspec.convert(raw, Settings, strict=False)
+    except msgspec.ValidationError as error:
+        raise InvalidSettingsError(str(error)) from error
+    return validate_settings(settings)
