--- a/hookwall/protocol/cloud_messages.py
+++ b/hookwall/protocol/cloud_messages.py
@@ -1,4 +1,4 @@
-"""The cloud's answers: machine types, listed machines and provisioned ones, with the platform's words mapped."""
+"""The cloud's responses: machine types, listed machines and provisioned ones, with the platform's names mapped."""
 
 import msgspec
 
@@ -6,6 +6,8 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
+    """A type of machine that can be provisioned, with its capacity and its prices."""
+
     name: str = msgspec.field(name="label")
     cpus: Amount = msgspec.field(name="cores")
     gpus: Amount = msgspec.field(name="cards")
@@ -19,10 +21,14 @@
 
 
 class Catalog(msgspec.Struct, frozen=True):
+    """All machine types."""
+
     types: list[MachineType] = msgspec.field(name="hulls")
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
+    """A machine as the cloud lists it; `age_s` is for how long it has been provisioned."""
+
     name: str = msgspec.field(name="ref")
     type: str = msgspec.field(name="hull", default="")
     zone: str = msgspec.field(name="yard", default="")
@@ -32,9 +38,13 @@
 
 
 class MachineListPage(msgspec.Struct, frozen=True):
+    """A page of the list of machines, and whether more follow."""
+
     machines: list[ListedMachine] = msgspec.field(name="hosts")
     more: bool = False
 
 
 class ProvisionedMachines(msgspec.Struct, frozen=True):
+    """The names of the machines that a provisioning request has given."""
+
     machines: list[str] = msgspec.field(name="hosts")
--- /dev/null
+++ b/hookwall/protocol/errors.py
@@ -0,0 +1,15 @@
+"""Errors of messages and requests."""
+
+from hookwall.errors import HookwallError
+
+
+class ProtocolError(HookwallError):
+    """A message can't be read, or a request got no response."""
+
+
+class MalformedMessageError(ProtocolError):
+    """A message is malformed; the text says how."""
+
+
+class NoResponseError(ProtocolError):
+    """Nothing usable came back; the request may have been executed."""
--- a/hookwall/protocol/heartbeat_messages.py
+++ b/hookwall/protocol/heartbeat_messages.py
@@ -1,17 +1,24 @@
-"""Worker heartbeats and the commands that answer them: the platform's words are mapped to field names here.
+"""Worker heartbeats and the commands that answer them, with the platform's names mapped.
 
 msgspec decodes and checks in one pass, which matters: a leader decodes dozens of heartbeats a second on a third of a
 core.
 """
 
 from functools import lru_cache
+from typing import NamedTuple
 
 import msgspec
 
-from hookwall.protocol.json_messages import Count, MalformedMessageError
+from hookwall.protocol.errors import MalformedMessageError
+from hookwall.protocol.json_messages import Count
+
+MAX_TASK_DIGITS = 6
+CACHED_TASK_IDS = 8192  # a few more than the machines run at once
 
 
 class TaskStatus(msgspec.Struct):
+    """An attempt of a task as its worker reports it."""
+
     task_id: str = msgspec.field(name="piece")
     attempt: Count = msgspec.field(name="try")
     phase: str
@@ -20,6 +27,12 @@
 
 
 class Heartbeat(msgspec.Struct):
+    """A worker's heartbeat: which machine, which incarnation of its agent, and the status of its tasks.
+
+    `epoch` grows with each incarnation, `sequence` with each heartbeat of one; `fencing_token` is the newest leader's
+    that the agent knows. `preemption_notice_s` are the seconds left where the machine is being taken back.
+    """
+
     machine: str = msgspec.field(name="host")
     epoch: Count = msgspec.field(name="tenure")
     sequence: Count = msgspec.field(name="tick")
@@ -32,45 +45,59 @@
     tasks: list[TaskStatus] = msgspec.field(name="pieces", default_factory=list)
 
 
-_beat = msgspec.json.Decoder(Heartbeat)
+_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's report, or BadMessage."""
+    """A worker's heartbeat, or MalformedMessageError."""
     try:
-        return _beat.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError) as e:
-        raise MalformedMessageError(str(e)) from None
+        return _decoder.decode(body)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise MalformedMessageError(str(error)) from error
+
 
+class TaskId(NamedTuple):
+    """A task of a job, by its number."""
 
-@lru_cache(maxsize=8192)  # each report names the same tasks again; a few more than the machines run at once
-def parse_task_id(piece: str) -> tuple[str, int] | None:
-    """`run-000412/3` -> (job, task)."""
-    ref, sep, number = piece.rpartition("/")
-    if not sep or not number.isdigit() or len(number) > 6:
+    job_id: str
+    task: int
+
+
+@lru_cache(maxsize=CACHED_TASK_IDS)  # each heartbeat names the same tasks again
+def parse_task_id(text: str) -> TaskId | None:
+    """`run-000412/3` -> (job, task); None: not a task."""
+    job_id, separator, number = text.rpartition("/")
+    if not separator or not number.isdigit() or len(number) > MAX_TASK_DIGITS:
         return None
-    return ref, int(number)
+    return TaskId(job_id, int(number))
 
 
 class Command(msgspec.Struct, omit_defaults=True):
+    """What a worker is to do with an attempt of a task."""
+
     action: str = msgspec.field(name="verb")
     task_id: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
     grace_s: float | None = msgspec.field(name="windDownS", default=None)
 
 
-def launch_command(ref: str, task: int, attempt: int) -> Command:
-    return Command("launch", f"{ref}/{task}", attempt)
+def launch_command(job_id: str, task: int, attempt: int) -> Command:
+    """Start a new attempt of a task."""
+    return Command("launch", f"{job_id}/{task}", attempt)
 
 
-def stop_command(piece: str, attempt: int, grace_s: float) -> Command:
-    return Command("stop", piece, attempt, grace_s)
+def stop_command(task_id: str, attempt: int, grace_s: float) -> Command:
+    """Stop an attempt, which has `grace_s` seconds to store a checkpoint."""
+    return Command("stop", task_id, attempt, grace_s)
 
 
-def forget_command(piece: str, attempt: int) -> Command:
-    return Command("forget", piece, attempt)
+def forget_command(task_id: str, attempt: int) -> Command:
+    """Report an ended attempt no more."""
+    return Command("forget", task_id, attempt)
 
 
 class HeartbeatResponse(msgspec.Struct):
+    """The leader's fencing token, and its commands for the worker."""
+
     fencing_token: int = msgspec.field(name="mandate")
     commands: list[Command] = msgspec.field(name="orders")
--- a/hookwall/protocol/job_messages.py
+++ b/hookwall/protocol/job_messages.py
@@ -1,4 +1,7 @@
-"""Job submissions and answers as users send and get them: the platform's words are mapped to field names here."""
+"""Job submissions and responses as users send and get them, with the platform's names mapped.
+
+Texts of errors name fields as users do.
+"""
 
 import math
 import re
@@ -6,25 +9,27 @@
 
 import msgspec
 
-from hookwall.protocol.json_messages import Amount, MalformedMessageError
+from hookwall.protocol.errors import MalformedMessageError
+from hookwall.protocol.json_messages import Amount
 
 MAX_TASKS = 100_000
-
+MAX_NAME_CHARACTERS = 120
+MAX_TYPES = 64
 
 JOB_REF_PATTERN = re.compile(r"run-[0-9]{1,18}\Z")
-
-
 IMAGE_NAME_PATTERN = re.compile(r"[^\s/]{1,120}\Z")
 
-
-JOB_KINDS = ("batch", "ensemble", "daemon")
-
-
+GANG_KIND = "ensemble"
+SERVICE_KIND = "daemon"
+JOB_KINDS = ("batch", GANG_KIND, SERVICE_KIND)
 RANKS = ("production", "urgent", "standard", "low")
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a user asks for. Stored as it came, under the same names."""
+    """What a user asks for. Stored as it came, under the same names.
+
+    `cpus`, `gpus` and `memory_gb` are those of one task, `dependencies` the jobs that have to be done before.
+    """
 
     job_id: str = msgspec.field(name="ref")
     job_class: str = msgspec.field(name="hookset")
@@ -46,27 +51,34 @@
     types: list[str] | None = msgspec.field(name="hulls", default=None)
     zone: str | None = msgspec.field(name="yard", default=None)
     due_s: Amount | None = msgspec.field(name="dueS", default=None)
-    dependencies: list[str] | None = msgspec.field(name="awaits", default=None)  # jobs that have to be done before
+    dependencies: list[str] | None = msgspec.field(name="awaits", default=None)
 
     @property
     def gang(self) -> bool:
-        return self.kind == "ensemble"
+        """Whether all tasks run at the same time or none does."""
+        return self.kind == GANG_KIND
 
     @property
     def service(self) -> bool:
         """Replicas that run until the job is cancelled (docs/questions.md, 1)."""
-        return self.kind == "daemon"
+        return self.kind == SERVICE_KIND
 
 
-_spec = msgspec.json.Decoder(JobSpec)
+_decoder = msgspec.json.Decoder(JobSpec)
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """A submission, or BadMessage."""
+    """A submission, or MalformedMessageError."""
     try:
-        spec = _spec.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError) as e:
-        raise MalformedMessageError(str(e)) from None
+        spec = _decoder.decode(body)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise MalformedMessageError(str(error)) from error
+    _check_names(spec)
+    _check_amounts(spec)
+    return _without_duplicate_dependencies(spec)
+
+
+def _check_names(spec: JobSpec) -> None:
     if not JOB_REF_PATTERN.match(spec.job_id):
         raise MalformedMessageError("ref: not a job id")
     if spec.kind not in JOB_KINDS:
@@ -75,27 +87,37 @@
         raise MalformedMessageError("rank: unknown")
     if not IMAGE_NAME_PATTERN.match(spec.image) or not spec.team or not spec.job_class:
         raise MalformedMessageError("bundle, owner or hookset: empty or too long")
-    if len(spec.team) > 120 or len(spec.job_class) > 120:
+    if _too_long(spec.team) or _too_long(spec.job_class):
         raise MalformedMessageError("owner or hookset: too long")
-    if spec.types is not None and (len(spec.types) > 64 or any(len(t) > 120 for t in spec.types)):
+    if spec.types is not None and (len(spec.types) > MAX_TYPES or any(_too_long(name) for name in spec.types)):
         raise MalformedMessageError("hulls: too long")
-    if spec.zone is not None and len(spec.zone) > 120:
+    if spec.zone is not None and _too_long(spec.zone):
         raise MalformedMessageError("yard: too long")
-    for value in (spec.cpus, spec.gpus, spec.memory_gb, spec.image_gb, spec.estimated_duration_s):
-        if not math.isfinite(value):
+
+
+def _too_long(name: str) -> bool:
+    return len(name) > MAX_NAME_CHARACTERS
+
+
+def _check_amounts(spec: JobSpec) -> None:
+    for amount in (spec.cpus, spec.gpus, spec.memory_gb, spec.image_gb, spec.estimated_duration_s):
+        if not math.isfinite(amount):
             raise MalformedMessageError("an amount is not finite")
     if spec.cpus == 0 and spec.gpus == 0:
         raise MalformedMessageError("cores: a task takes neither cores nor cards")
+
+
+def _without_duplicate_dependencies(spec: JobSpec) -> JobSpec:
     if spec.dependencies is None:
         return spec
-    if not all(JOB_REF_PATTERN.match(name) for name in spec.dependencies):
+    if not all(JOB_REF_PATTERN.match(job_id) for job_id in spec.dependencies):
         raise MalformedMessageError("awaits: not a list of job ids")
     return msgspec.structs.replace(spec, dependencies=list(dict.fromkeys(spec.dependencies)) or None)
 
 
-def encode_job_status(ref: str, phase: str, done: int | None = None, running: int | None = None) -> bytes:
-    """What users are told about a job."""
-    body: dict[str, object] = {"ref": ref, "phase": phase}
+def encode_job_status(job_id: str, phase: str, done: int | None = None, running: int | None = None) -> bytes:
+    """What users are answered about a job: its phase, and how many of its tasks are done and running if known."""
+    body: dict[str, object] = {"ref": job_id, "phase": phase}
     if done is not None:
         body["done"] = done
         body["running"] = running or 0
--- a/hookwall/protocol/json_messages.py
+++ b/hookwall/protocol/json_messages.py
@@ -4,25 +4,20 @@
 
 import msgspec
 
-MAX_BODY_BYTES = 64 * 1024
-
-
-Message = TypeVar("Message")
-
+from hookwall.protocol.errors import MalformedMessageError
 
-class MalformedMessageError(Exception):
-    """A message is malformed; the text says how."""
+__all__ = ["MAX_BODY_BYTES", "Amount", "Count", "MalformedMessageError", "convert_message"]
 
+MAX_BODY_BYTES = 64 * 1024
 
+Message = TypeVar("Message")
 Count = Annotated[int, msgspec.Meta(ge=0)]
-
-
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
 
 def convert_message(raw: object, kind: type[Message]) -> Message:
-    """A decoded body as one of the kinds above, or BadMessage."""
+    """A decoded body as a message of this kind, or MalformedMessageError."""
     try:
         return msgspec.convert(raw, kind, strict=False)
-    except msgspec.ValidationError as e:
-        raise MalformedMessageError(str(e)) from None
+    except msgspec.ValidationError as error:
+        raise MalformedMessageError(str(error)) from error
--- a/tests/protocol/test_messages.py
+++ b/tests/protocol/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: what can't be read counts as missing, and what says nothing is not sent."""
+"""Messages between nodes: what can't be read counts as missing, and fields that are not set are not sent."""
 
 import pytest
 from conftest import Clock, FakeState
@@ -14,11 +14,11 @@
     encode_message,
 )
 
-PING = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3, "format": 2, "lowered": False}
+HEARTBEAT = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3, "format": 2, "lowered": False}
 
 
 def test_a_message_is_read_as_it_was_sent():
-    message = decode_message(PING)
+    message = decode_message(HEARTBEAT)
     assert message == PeerMessage(
         kind=MessageKind.HEARTBEAT,
         sender="n1",
@@ -28,22 +28,22 @@
         storage_version=2,
         limits_lowered=False,
     )
-    assert encode_message(message) == PING and message.sender_status() == PeerStatus(2, False)
+    assert encode_message(message) == HEARTBEAT and message.sender_status() == PeerStatus(2, False)
 
 
 @pytest.mark.parametrize("name", ["tok", "sok", "pos", "format", "lowered"])
 @pytest.mark.parametrize("nonsense", ["four", [], {"a": 1}, 1.5])
 def test_a_field_that_can_t_be_read_counts_as_missing(name, nonsense):
-    expected = {key: value for key, value in PING.items() if key != name}
-    assert encode_message(decode_message({**PING, name: nonsense})) == expected
+    expected = {key: value for key, value in HEARTBEAT.items() if key != name}
+    assert encode_message(decode_message({**HEARTBEAT, name: nonsense})) == expected
 
 
 @pytest.mark.parametrize("change", [{"t": 3}, {"n": None}, {"t": None}])
 def test_a_message_without_kind_or_sender_is_none(change):
-    assert decode_message({**PING, **change}) is None and decode_message({}) is None
+    assert decode_message({**HEARTBEAT, **change}) is None and decode_message({}) is None
 
 
-def test_a_kind_that_only_newer_programs_know_is_refused_but_tells_how_this_node_is(clock: Clock, state: FakeState):
+def test_a_kind_that_only_newer_programs_know_is_refused_with_the_status_of_this_node(clock: Clock, state: FakeState):
     state.last_response_at = clock()
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
     lead.local_status = lambda: PeerStatus(4, False)
@@ -57,14 +57,14 @@
 
 
 def test_unknown_fields_are_ignored():
-    assert decode_message({**PING, "later": [1]}) == decode_message(PING)
+    assert decode_message({**HEARTBEAT, "later": [1]}) == decode_message(HEARTBEAT)
 
 
-def test_an_answer_that_says_nothing_refuses():
+def test_an_empty_response_grants_nothing():
     assert decode_response({}) == PeerResponse() and not decode_response({"ok": "yes"}).granted
     assert encode_message(PeerResponse()) == {"ok": False, "sok": False}
 
 
-def test_that_the_state_service_fails_is_sent_too():
-    """A peer that hears nothing of it goes on believing what it heard last."""
+def test_an_unreachable_store_is_sent_too():
+    """A peer that gets no such field goes on with the value that it got last."""
     assert encode_message(PeerMessage(kind=MessageKind.HEARTBEAT, sender="n1", store_reachable=False))["sok"] is False
