--- a/hookwall/storage/chunk_collector.py
+++ b/hookwall/storage/chunk_collector.py
@@ -1,50 +1,105 @@
-"""Removes parts that no record names any more (records.py)."""
+"""Removes chunks that no record names any more (`job_records`).
+
+Invariant: a chunk is removed only in a transaction on the record that does not name it, so no record loses one.
+"""
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from typing import Protocol
 
-from hookwall.jobs.job_table import JobTable
-from hookwall.leadership.state_machine import Leadership
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.chunk_table import ChunkTable
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
 COLLECT_EVERY_S = 5.0
 
 
+class StoredJob(Protocol):
+    """What the collector asks of a job: its record as stored, and whether a write of it is under way."""
+
+    @property
+    def version(self) -> int:
+        """The version of its record; 0: none is stored."""
+
+    @property
+    def write_in_flight(self) -> bool:
+        """Whether a new record is being written."""
+
+    @property
+    def stored_value(self) -> object:
+        """Its record as stored."""
+
+
+class StoredJobs(Protocol):
+    """What the collector asks of the table of jobs."""
+
+    @property
+    def jobs(self) -> Mapping[str, StoredJob]:
+        """All jobs that are known, by their id."""
+
+    @property
+    def chunks(self) -> ChunkTable:
+        """The chunks of their records."""
+
+
+class FencingTokenHolder(Protocol):
+    """What the collector asks of the leadership."""
+
+    @property
+    def fencing_token(self) -> int:
+        """The version of the leader key as this leader has written it."""
+
+
 class ChunkCollector:
-    """Looks after one job's parts at a time, while changes are to spare."""
+    """Looks after one job's chunks at a time, while changes are to spare."""
 
-    def __init__(self, table: JobTable, store: KeyValueClient, lead: Leadership, clock: Callable[[], float]) -> None:
-        self.table, self.store, self.lead, self.clock = table, store, lead, clock
-        self.collected_at = -1e9
+    def __init__(
+        self, table: StoredJobs, store: KeyValueClient, leadership: FencingTokenHolder, clock: Callable[[], float]
+    ) -> None:
+        """Collect the chunks of these jobs, fenced by this leadership."""
+        self.table = table
+        self.store = store
+        self.leadership = leadership
+        self.clock = clock
+        self._collected_at: float | None = None
 
     async def collect(self) -> None:
-        """Remove parts of one job that its record does not name, unless the record changes meanwhile.
+        """Remove chunks of one job that its record does not name, unless the record changes meanwhile.
 
-        A job without a record may be about to get one, so its parts stay.
+        A job without a record may be about to get one, so its chunks stay.
         """
-        if not self.store.has_spare_changes() or self.clock() - self.collected_at < COLLECT_EVERY_S:
+        if not self.store.has_spare_changes() or not self._is_due():
             return
-        self.collected_at = self.clock()
-        ref = self.table.chunks.jobs_to_collect.pop()
-        job = self.table.jobs.get(ref)
+        self._collected_at = self.clock()
+        chunks = self.table.chunks
+        job_id = chunks.jobs_to_collect.pop()
+        job = self.table.jobs.get(job_id)
         if job is None or not job.version or job.write_in_flight:
             return
-        unused = self.table.chunks.unreferenced_chunks(ref, job.stored_value)[: self.store.batch_size()]
-        if not unused:
+        unreferenced = chunks.unreferenced_chunks(job_id, job.stored_value)[: self.store.batch_size()]
+        if not unreferenced:
             return
-        removed = max(self.table.chunks.versions.get(key, 0) for key in unused)
+        # Where the outcome is unknown they may be gone, so they are written anew if they are needed.
+        removed_at = max(chunks.versions.get(key, 0) for key in unreferenced)
+        preconditions = [
+            Precondition(keys.LEADER_KEY, self.leadership.fencing_token),
+            Precondition(keys.JOB_PREFIX + job_id, job.version),
+        ]
         try:
-            conditions = [(keys.LEADER_KEY, self.lead.fencing_token), (keys.JOB_PREFIX + ref, job.version)]
-            removed = await self.store.commit(conditions, delete=unused)
+            removed_at = await self.store.commit(preconditions, delete=unreferenced)
         except (PreconditionFailedError, RequestRejectedError) as error:
-            log.debug("parts of %s stay: %s", ref, type(error).__name__)
-            self.table.chunks.jobs_to_collect.add(ref)
+            log.debug("chunks not collected: job=%s reason=%s", job_id, type(error).__name__)
+            chunks.jobs_to_collect.add(job_id)
             return
-        except OutcomeUnknownError:
-            pass  # they may be gone, so they are written anew if they are needed
-        for key in unused:
-            self.table.chunks.remove(key, removed)
-        self.table.chunks.jobs_to_collect.add(ref)
+        except OutcomeUnknownError as error:
+            log.debug("outcome of chunk collection unknown: job=%s error=%s", job_id, error)
+        for key in unreferenced:
+            chunks.remove(key, removed_at)
+        chunks.jobs_to_collect.add(job_id)
+
+    def _is_due(self) -> bool:
+        return self._collected_at is None or self.clock() - self._collected_at >= COLLECT_EVERY_S
--- a/hookwall/storage/keys.py
+++ b/hookwall/storage/keys.py
@@ -1,13 +1,16 @@
-"""Keys in the state service. All lie below one root, which every node reads and watches."""
+"""Names of the stored keys. All lie below one root, which every node reads and watches.
+
+The names are stored data: programs of all versions read them, so they never change.
+"""
 
 ROOT = "hookwall/"
-JOB_PREFIX = ROOT + "job/"
-LEADER_KEY = ROOT + "leader"
-CATALOG_KEY = ROOT + "catalog"
-LEASE_DELEGATE_PREFIX = ROOT + "keep/"
-STORAGE_VERSION_PREFIX = ROOT + "format/"
-VOTE_FENCE_PREFIX = ROOT + "voter/"
-CHUNK_PREFIX = ROOT + "part/"
-DRAIN_PREFIX = ROOT + "drain/"
-CORDON_PREFIX = ROOT + "cordon/"
-DISRUPTION_PREFIX = ROOT + "disrupted/"
+LEADER_KEY = ROOT + "leader"  # who leads; its version is the fencing token
+CATALOG_KEY = ROOT + "catalog"  # the cloud's machine types
+JOB_PREFIX = ROOT + "job/"  # <job>: its record
+CHUNK_PREFIX = ROOT + "part/"  # <job>/<hash of the content>: a chunk of a job's record
+LEASE_DELEGATE_PREFIX = ROOT + "keep/"  # <node>: the machines whose leases it renews for the leader
+STORAGE_VERSION_PREFIX = ROOT + "format/"  # <node>: the newest storage version that its program knows
+VOTE_FENCE_PREFIX = ROOT + "voter/"  # <node>: the process that votes for it
+DRAIN_PREFIX = ROOT + "drain/"  # <drain>: its record
+CORDON_PREFIX = ROOT + "cordon/"  # <machine>: no new work is placed on it
+DISRUPTION_PREFIX = ROOT + "disrupted/"  # <page>: disruptions that count against the teams' budgets
--- a/hookwall/storage/read_confirmation.py
+++ b/hookwall/storage/read_confirmation.py
@@ -1,87 +1,125 @@
-"""Confirmation of cached answers with the state service."""
+"""Confirmation with the key-value store that cached versions are current.
+
+Invariant: a response from the cache that is not final leaves a node only after the store has confirmed its version; it
+could be older than what another node has answered the same user.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
 
-from hookwall.storage.client import (
-    PRECONDITIONS_PER_CHANGE,
-    KeyValueClient,
+from hookwall.storage.client import PRECONDITIONS_PER_CHANGE, KeyValueClient
+from hookwall.storage.entries import Precondition
+from hookwall.storage.errors import (
+    KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
     RequestRejectedError,
 )
 
+CONFIRM_TIMEOUT_S = 1.5
+COMPARE_TIMEOUT_S = 1.0
+BATCHING_DELAY_S = 0.03  # in which more keys come together for one comparison
+
+
+@dataclass(slots=True)
+class PendingConfirmation:
+    """A key's version that is to be confirmed, and those who wait for it."""
+
+    version: int
+    waiters: list[asyncio.Future[bool]] = field(default_factory=list)
+
+    def resolve(self, current: bool) -> None:
+        """Tell those who wait whether the version is current."""
+        for waiter in self.waiters:
+            if not waiter.done():
+                waiter.set_result(current)
+
+    def fail(self, error: KeyValueStoreError) -> None:
+        """Those who wait get the error: neither is known."""
+        for waiter in self.waiters:
+            if not waiter.done():
+                waiter.set_exception(error)
+
 
 class ReadConfirmation:
-    """Proves that cached versions are still current, many in one comparison.
+    """Confirms that cached versions are still current, many in one comparison.
 
-    An answer from a cache could be older than what another node has told the same user, so nothing
-    but a final state leaves a node unconfirmed.
+    Attributes:
+        refresh: reads a key again, whose version is not current.
+        max_batch_size: how many versions one comparison may have.
     """
 
     def __init__(self, store: KeyValueClient, refresh: Callable[[str], Awaitable[None]]) -> None:
+        """Confirm with this store; `refresh` reads a changed key again."""
         self.store = store
         self.refresh = refresh
         self.max_batch_size = max(1, store.limits.lowest_txn_ops() * PRECONDITIONS_PER_CHANGE - 1)
-        self.pending: dict[str, tuple[int, list[asyncio.Future]]] = {}
-        self.wake = asyncio.Event()
-
-    async def confirm(self, key: str, stamp: int) -> bool:
-        """True: the key still has this stamp. False: it was read again. Raises if neither is known."""
-        entry = self.pending.get(key)
-        future: asyncio.Future = asyncio.get_running_loop().create_future()
-        if entry is not None and entry[0] == stamp:
-            entry[1].append(future)
-        elif entry is not None:
-            # Another version of the same key is being asked about; a read settles both.
+        self.pending: dict[str, PendingConfirmation] = {}
+        self._requested = asyncio.Event()
+
+    async def confirm(self, key: str, version: int) -> bool:
+        """Whether the key still has this version; where it has not, the key was read again.
+
+        Raises:
+            RequestRejectedError, OutcomeUnknownError, TimeoutError: neither is known.
+        """
+        pending = self.pending.get(key)
+        if pending is not None and pending.version != version:
+            # Another version of the same key is being confirmed; a read settles both.
             await self.refresh(key)
             return False
+        waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        if pending is not None:
+            pending.waiters.append(waiter)
         else:
-            self.pending[key] = (stamp, [future])
-            self.wake.set()
-        async with asyncio.timeout(1.5):
-            return await future
+            self.pending[key] = PendingConfirmation(version, [waiter])
+            self._requested.set()
+        async with asyncio.timeout(CONFIRM_TIMEOUT_S):
+            return await waiter
 
     async def run(self) -> None:
+        """Confirm what is pending, batch after batch, for ever."""
         while True:
-            await self.wake.wait()
-            await asyncio.sleep(0.03)
-            self.wake.clear()
+            await self._requested.wait()
+            await asyncio.sleep(BATCHING_DELAY_S)
+            self._requested.clear()
             while self.pending:
-                batch = {k: self.pending.pop(k) for k in list(self.pending)[: self.max_batch_size]}
-                await self._ask(batch)
+                batch = {key: self.pending.pop(key) for key in list(self.pending)[: self.max_batch_size]}
+                await self._confirm_batch(batch)
 
-    async def _ask(self, batch: dict[str, tuple[int, list[asyncio.Future]]]) -> None:
+    async def _confirm_batch(self, batch: dict[str, PendingConfirmation]) -> None:
+        """Compare the versions of a batch until all are settled."""
         try:
             while batch:
-                try:
-                    await self.store.commit([(k, s) for k, (s, _) in batch.items()], timeout=1.0)
-                except PreconditionFailedError as c:
-                    changed = [k for k in c.keys if k in batch]
-                    if not changed:
-                        raise OutcomeUnknownError("conflict without keys") from None
-                    # The list might name only some of the keys, so the rest are asked about again.
-                    for k in changed:
-                        _, futures = batch.pop(k)
-                        try:
-                            await self.refresh(k)
-                        except (RequestRejectedError, OutcomeUnknownError) as e:
-                            _settle(futures, e)
-                        else:
-                            _settle(futures, False)
-                else:
-                    for _, futures in batch.values():
-                        _settle(futures, True)
-                    return
-        except (RequestRejectedError, OutcomeUnknownError) as e:
-            for _, futures in batch.values():
-                _settle(futures, e)
-
-
-def _settle(futures: list[asyncio.Future], result: object) -> None:
-    for f in futures:
-        if not f.done():
-            if isinstance(result, Exception):
-                f.set_exception(result)
+                await self._compare(batch)
+        except (RequestRejectedError, OutcomeUnknownError) as error:
+            for pending in batch.values():
+                pending.fail(error)
+
+    async def _compare(self, batch: dict[str, PendingConfirmation]) -> None:
+        """Compare once, and take the keys that this settles off the batch."""
+        preconditions = [Precondition(key, pending.version) for key, pending in batch.items()]
+        try:
+            await self.store.commit(preconditions, timeout=COMPARE_TIMEOUT_S)
+        except PreconditionFailedError as error:
+            changed = [key for key in error.keys if key in batch]
+            if not changed:
+                raise OutcomeUnknownError("a precondition failed, no key is named") from error
+            # The list might name only some of the keys, so the rest are compared again.
+            await self._refresh_changed(batch, changed)
+            return
+        for pending in batch.values():
+            pending.resolve(True)
+        batch.clear()
+
+    async def _refresh_changed(self, batch: dict[str, PendingConfirmation], changed: list[str]) -> None:
+        """Read changed keys again, and take them off the batch."""
+        for key in changed:
+            pending = batch.pop(key)
+            try:
+                await self.refresh(key)
+            except (RequestRejectedError, OutcomeUnknownError) as error:
+                pending.fail(error)
             else:
-                f.set_result(result)
+                pending.resolve(False)
--- a/hookwall/storage/watch.py
+++ b/hookwall/storage/watch.py
@@ -1,62 +1,72 @@
-"""Follows every key below our root in the state service: a full read, then a watch from there."""
+"""Follows every key below the root: a full read, then the changes from its revision on.
+
+Invariant: an observer is given every change after the last full read, in order; after a gap all keys are read again.
+"""
 
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable
-from typing import Any
 
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, RequestRejectedError, RevisionCompactedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import KeyValueEntry
+from hookwall.storage.errors import OutcomeUnknownError, RequestRejectedError, RevisionCompactedError
 
 log = logging.getLogger(__name__)
 
 WATCH_S = 3.0  # a watch that is quiet for long says nothing about how current this node is
-LEADER_PAUSE_S, FOLLOWER_PAUSE_S = 0.1, 0.25  # frequent changes come in batches, which cost few requests
-AFTER_TROUBLE_S = 0.4
+LEADER_PAUSE_S = 0.1  # frequent changes come in batches, which cost few requests
+FOLLOWER_PAUSE_S = 0.25
+RETRY_S = 0.4
 
 
 class Watch:
-    """Which changes this node has read."""
+    """Which changes this node has read.
+
+    Attributes:
+        loaded: whether all keys have been read since the last gap.
+        watched_revision: up to which the watch has given all changes to the observer.
+        scanned_revision: of the last full read by a new leader.
+    """
 
     def __init__(self, store: KeyValueClient, clock: Callable[[], float]) -> None:
-        self.store, self.clock = store, clock
-        self.loaded = False  # whether all keys have been read since the last gap
-        self.watched_revision = 0  # up to which the watch has told of all changes
-        self.scanned_revision = 0  # the same of the last full read by a new leader
+        """Follow this store."""
+        self.store = store
+        self.clock = clock
+        self.loaded = False
+        self.watched_revision = 0
+        self.scanned_revision = 0
         self.read_all: Callable[[], Awaitable[None]]
-        self.take: Callable[[str, Any, int], None]  # a key was set
+        self.take: Callable[[str, object, int], None]  # a key was set
         self.remove: Callable[[str, int], None]  # a key was deleted
         self.on_current: Callable[[float], None]  # all that was stored before this moment is known
         self.leads: Callable[[], bool] = lambda: False
 
     def known_revision(self) -> int:
-        """Up to which change this node has read the records."""
+        """Up to which revision this node has read the records."""
         return max(self.watched_revision, self.scanned_revision)
 
     async def run(self) -> None:
-        """Learn of every change."""
+        """Give the observer every change, for ever."""
         while True:
             try:
                 if not self.loaded:
                     await self.read_all()
-                await self._next()
+                await self._follow()
                 await asyncio.sleep(LEADER_PAUSE_S if self.leads() else FOLLOWER_PAUSE_S)
             except RevisionCompactedError:
                 self.loaded = False
             except (RequestRejectedError, OutcomeUnknownError) as error:
-                log.debug("watch: %s", error)
-                await asyncio.sleep(AFTER_TROUBLE_S)
-
-    async def _next(self) -> None:
-        """One batch of changes."""
-        sent = self.clock()
-        events, epoch = await self.store.read_changes(self.watched_revision, WATCH_S)
-        for event in events:
-            stamp = event.get("stamp")
-            if not isinstance(stamp, int):
-                continue
-            if isinstance(event.get("set"), str):
-                self.take(event["set"], event.get("value"), stamp)
-            elif isinstance(event.get("delete"), str):
-                self.remove(event["delete"], stamp)
-        self.watched_revision = epoch
-        self.on_current(sent)
+                log.debug("key watch failed: error=%s", error)
+                await asyncio.sleep(RETRY_S)
+
+    async def _follow(self) -> None:
+        """Apply one batch of changes."""
+        sent_at = self.clock()
+        changes, revision = await self.store.read_changes(self.watched_revision, WATCH_S)
+        for change in changes:
+            if isinstance(change, KeyValueEntry):
+                self.take(*change)
+            else:
+                self.remove(*change)
+        self.watched_revision = revision
+        self.on_current(sent_at)
--- a/tests/storage/test_records.py
+++ b/tests/storage/test_job_records.py
@@ -1,4 +1,4 @@
-"""Job records in all their forms: each fits its limit and says the same."""
+"""Job records in all their forms: each fits its limit and decodes to the same."""
 
 import random
 
@@ -9,23 +9,29 @@
 from hookwall.protocol import job_messages
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_table import ChunkTable
-from hookwall.storage.job_records import JobRecord, MalformedRecordError, MissingChunksError, RecordTooLargeError
+from hookwall.storage.job_records import (
+    JobRecord,
+    MalformedRecordError,
+    MissingChunksError,
+    RecordTooLargeError,
+)
 
-REF = "run-000001"
+JOB_ID = "run-000001"
 LIMIT = job_records.usable_value_bytes(2.0)
 
 
 def record(starts: int = 0, tasks: int = 10, done: str = "", **changes) -> JobRecord:
     spec = msgspec.convert(description(1, pieces=tasks, **changes), job_messages.JobSpec)
-    on = [(f"vm-{n * 7:06d}", 1 + n % 3, n % 9, f"{n}") for n in range(starts)]
+    allocations = [(f"vm-{n * 7:06d}", 1 + n % 3, n % 9, f"{n}") for n in range(starts)]
     return JobRecord(
-        task_count=tasks, next_attempt=9, allocations=on, spec=spec, submitted_at=1_700_000_000.25, done_tasks=done
-    )
+        task_count=tasks, next_attempt=9, allocations=allocations, spec=spec, submitted_at=1_700_000_000.25,
+        done_tasks=done,
+    )  # fmt: skip
 
 
-def ids(n: int, digits: int) -> list[str]:
+def job_ids(count: int, digits: int) -> list[str]:
     rng = random.Random(3)
-    return [f"run-{rng.randrange(10 ** (digits - 1), 10**digits)}" for _ in range(n)]
+    return [f"run-{rng.randrange(10 ** (digits - 1), 10**digits)}" for _ in range(count)]
 
 
 SCATTERED = job_records.encode_ranges(random.Random(5).sample(range(100_000), 3000))
@@ -36,52 +42,52 @@
     [
         (record(), (dict, dict, 0)),
         (record(starts=90, tasks=200), (str, str, 0)),
-        (record(starts=50, tasks=200, awaits=ids(120, 12)), (list, str, None)),
+        (record(starts=50, tasks=200, awaits=job_ids(120, 12)), (list, str, None)),
         (record(starts=400, tasks=100_000, done=SCATTERED), (list, list, None)),
-        (record(awaits=ids(2500, 18), bundle="i" * 120, hulls=["t" * 120 + str(n) for n in range(64)]),
+        (record(awaits=job_ids(2500, 18), bundle="i" * 120, hulls=["t" * 120 + str(n) for n in range(64)]),
          (list, str, None)),
     ],
-    ids=["plain", "packed", "description in parts", "both in parts", "longest submission"],
+    ids=["plain", "packed", "description in chunks", "both in chunks", "longest submission"],
 )  # fmt: skip
 def test_a_record_fits_its_limit_and_is_read_again(value, forms):
-    encoded = job_records.encode_record(REF, value, LIMIT)
-    fixed, state, parts = forms
+    encoded = job_records.encode_record(JOB_ID, value, LIMIT)
+    description_form, state_form, chunks = forms
     packed = encoded.value.get("packed", {"fixed": {}, "state": {}})
-    assert (type(packed["fixed"]), type(packed["state"])) == (fixed, state)
-    assert parts is None or len(encoded.chunks) == parts
+    assert (type(packed["fixed"]), type(packed["state"])) == (description_form, state_form)
+    assert chunks is None or len(encoded.chunks) == chunks
     assert all(job_records.json_bytes(v) <= LIMIT for v in (encoded.value, *encoded.chunks.values()))
-    assert job_records.chunk_keys(REF, encoded.value) == list(encoded.chunks)
-    assert job_records.decode_record(REF, encoded.value, encoded.chunks.get) == value
+    assert job_records.chunk_keys(JOB_ID, encoded.value) == list(encoded.chunks)
+    assert job_records.decode_record(JOB_ID, encoded.value, encoded.chunks.get) == value
     assert all(len(key) <= 200 and " " not in key for key in encoded.chunks)
 
 
 def test_the_description_is_written_once_while_the_state_changes():
-    first = job_records.encode_record(REF, record(starts=200, tasks=400, awaits=ids(120, 12)), LIMIT)
-    second = job_records.encode_record(REF, record(starts=250, tasks=400, awaits=ids(120, 12)), LIMIT)
+    first = job_records.encode_record(JOB_ID, record(starts=200, tasks=400, awaits=job_ids(120, 12)), LIMIT)
+    second = job_records.encode_record(JOB_ID, record(starts=250, tasks=400, awaits=job_ids(120, 12)), LIMIT)
     assert first.value["packed"]["fixed"] == second.value["packed"]["fixed"]
     assert first.value["packed"]["state"] != second.value["packed"]["state"]
 
 
-def test_a_record_whose_parts_are_not_known_says_which():
-    encoded = job_records.encode_record(REF, record(awaits=ids(300, 18)), LIMIT)
+def test_a_record_whose_chunks_are_not_known_names_them():
+    encoded = job_records.encode_record(JOB_ID, record(awaits=job_ids(300, 18)), LIMIT)
     some = dict(list(encoded.chunks.items())[1:])
     with pytest.raises(MissingChunksError) as error:
-        job_records.decode_record(REF, encoded.value, some.get)
+        job_records.decode_record(JOB_ID, encoded.value, some.get)
     assert error.value.keys == [next(iter(encoded.chunks))]
 
 
 def test_a_phase_that_is_changed_in_place_still_fits():
-    encoded = job_records.encode_record(REF, record(starts=90, tasks=200), LIMIT)
+    encoded = job_records.encode_record(JOB_ID, record(starts=90, tasks=200), LIMIT)
     assert job_records.json_bytes({**encoded.value, "phase": "withdrawn"}) <= 2048
 
 
 def test_what_fits_in_no_form_is_refused():
     with pytest.raises(RecordTooLargeError):
-        job_records.encode_record(REF, record(awaits=ids(2500, 18)), job_records.usable_value_bytes(0.5))
+        job_records.encode_record(JOB_ID, record(awaits=job_ids(2500, 18)), job_records.usable_value_bytes(0.5))
 
 
 def test_without_a_limit_the_form_is_the_one_that_every_version_reads():
-    assert "packed" not in job_records.encode_record(REF, record(starts=400, tasks=1000), None).value
+    assert "packed" not in job_records.encode_record(JOB_ID, record(starts=400, tasks=1000), None).value
 
 
 @pytest.mark.parametrize(
@@ -98,16 +104,16 @@
 )
 def test_a_malformed_record_is_an_error_of_its_own(value):
     with pytest.raises(MalformedRecordError):
-        job_records.decode_record(REF, value, lambda key: None)
+        job_records.decode_record(JOB_ID, value, lambda key: None)
 
 
-def test_a_part_that_was_written_again_since_its_removal_stays():
-    """The watch may tell of the removal after this node has written the part anew."""
-    parts = ChunkTable()
+def test_a_chunk_that_was_written_again_since_its_removal_stays():
+    """The watch may give the removal after this node has written the chunk anew."""
+    chunks = ChunkTable()
     key = f"{keys.CHUNK_PREFIX}run-000001/abc"
-    parts.add(key, "text", 5)
-    parts.add(key, "text", 9)
-    parts.remove(key, 7)
-    assert parts.get(key) == "text"
-    parts.remove(key, 9)
-    assert parts.get(key) is None
+    chunks.add(key, "text", 5)
+    chunks.add(key, "text", 9)
+    chunks.remove(key, 7)
+    assert chunks.get(key) == "text"
+    chunks.remove(key, 9)
+    assert chunks.get(key) is None
--- /dev/null
+++ b/tests/storage/test_storage_version.py
@@ -0,0 +1,80 @@
+"""Markers of what each node's program knows, and what may be written with them."""
+
+import asyncio
+
+import pytest
+from conftest import FakeState
+
+from hookwall.storage import keys
+from hookwall.storage.storage_version import CURRENT_VERSION, StorageVersion, StorageVersionGate
+
+KEY = keys.STORAGE_VERSION_PREFIX
+
+
+@pytest.fixture
+def gate(state: FakeState):
+    return StorageVersionGate("n0", ["n1", "n2"], state)
+
+
+def apply_markers(gate: StorageVersionGate, *versions):
+    for number, version in enumerate(versions):
+        gate.apply_marker(f"{KEY}n{number}", {"format": version}, 10 + number)
+
+
+async def for_a_moment(work):
+    task = asyncio.get_running_loop().create_task(work)
+    await asyncio.sleep(0.01)
+    task.cancel()
+
+
+def test_a_storage_version_may_be_written_once_all_nodes_know_it(gate: StorageVersionGate):
+    apply_markers(gate, CURRENT_VERSION, StorageVersion.DEPENDENCIES)
+    assert not gate.allows_dependencies()
+    gate.apply_marker(KEY + "n2", {"format": 2}, 12)
+    assert gate.allows_dependencies() and not gate.allows_numbered_machines()
+    gate.apply_marker(KEY + "n1", {"format": 3}, 13)
+    gate.apply_marker(KEY + "n2", {"format": 3}, 14)
+    assert gate.allows_numbered_machines()
+
+
+def test_a_marker_of_an_older_program_is_raised_and_never_lowered(gate: StorageVersionGate, state: FakeState):
+    """A program of version 2 has marked the node; it left such a marker as it was, whatever a program stated."""
+    state.epoch = 20
+    state.keys[KEY + "n0"] = ({"format": 2}, 10)
+    apply_markers(gate, 2, 2, 2)
+    asyncio.run(for_a_moment(gate.run()))
+    assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
+    assert gate.markers["n0"].storage_version == CURRENT_VERSION
+    gate.apply_marker(KEY + "n0", {"format": 2}, 99)
+    assert gate.markers["n0"].storage_version == CURRENT_VERSION, "what a node's program once knew it still knows"
+    gate.apply_marker(KEY + "n0", {"format": 2}, 98)
+    assert gate.markers["n0"].version == 99, "an older state of it changes nothing"
+
+
+def test_a_marker_that_is_not_known_is_read_before_it_is_raised(gate: StorageVersionGate, state: FakeState):
+    state.epoch = 20
+    state.keys[KEY + "n0"] = ({"format": 2}, 10)
+
+    async def twice():
+        await gate._store_marker("n0", CURRENT_VERSION)
+        assert gate.markers["n0"].storage_version == 2
+        await gate._store_marker("n0", CURRENT_VERSION)
+
+    asyncio.run(twice())
+    assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
+
+
+def test_a_node_that_states_its_version_is_vouched_for_with_just_that(gate: StorageVersionGate, state: FakeState):
+    gate.record_reported_version("n1", 2)
+    gate.record_reported_version("n2", 3)
+    gate.record_reported_version("stranger", 3)
+    gate.record_reported_version("n1", "3")
+    asyncio.run(for_a_moment(gate.run()))
+    stored = {key: value["format"] for key, (value, _) in state.keys.items()}
+    assert stored == {KEY + "n0": CURRENT_VERSION, KEY + "n1": 2, KEY + "n2": 3}
+
+
+def test_a_marker_that_can_t_be_read_marks_nothing(gate: StorageVersionGate):
+    for value in (None, "3", {"format": "3"}, {}):
+        gate.apply_marker(KEY + "n0", value, 11)
+    assert not gate.markers
