--- a/hookwall/config/operations.py
+++ b/hookwall/config/operations.py
@@ -15,7 +15,7 @@
 class DisruptionBudget(msgspec.Struct, frozen=True):
     """How many running jobs of a team may be disrupted within a period.
 
-    `jobs` is a number, `share` a part of the team's running jobs; where both are given the smaller one holds.
+    `jobs` is a number, `share` a part of the team's running jobs; where both are given the smaller one applies.
     """
 
     team: str
--- a/hookwall/protocol/heartbeat_messages.py
+++ b/hookwall/protocol/heartbeat_messages.py
@@ -30,7 +30,7 @@
     """A worker's heartbeat: which machine, which incarnation of its agent, and the status of its tasks.
 
     `epoch` grows with each incarnation, `sequence` with each heartbeat of one; `fencing_token` is the newest leader's
-    that the agent knows. `preemption_notice_s` are the seconds left where the machine is being taken back.
+    that the agent knows. `preemption_notice_s` are the seconds left where the machine is being preempted.
     """
 
     machine: str = msgspec.field(name="host")
--- a/hookwall/protocol/peer_messages.py
+++ b/hookwall/protocol/peer_messages.py
@@ -67,9 +67,9 @@
     voted_to_replace: bool | None = msgspec.field(name="replaced", default=None)
     fence_version: int | None = msgspec.field(name="fence", default=None)  # of the key that fences its votes
     store_contact_age_s: float | None = msgspec.field(name="age", default=None)  # since the store last answered it
-    # Cancellations that the leader has not shown to know: pairs of job and version; whether they are all it knows.
+    # Cancellations that the leader has not shown to know: pairs of job and version.
     cancellations: object = msgspec.field(name="cancelled", default=None)
-    cancellations_complete: bool | None = msgspec.field(name="complete", default=None)
+    cancellations_complete: bool | None = msgspec.field(name="complete", default=None)  # whether they are all it knows
     cancellations_applied: bool | None = msgspec.field(name="knows", default=None)  # those that it was sent
     is_leader: bool | None = msgspec.field(name="leads", default=None)  # validly
 
--- a/hookwall/storage/chunk_collector.py
+++ b/hookwall/storage/chunk_collector.py
@@ -55,7 +55,7 @@
 
 
 class ChunkCollector:
-    """Looks after one job's chunks at a time, while changes are to spare."""
+    """Removes the unreferenced chunks of one job at a time, while changes are to spare."""
 
     def __init__(
         self, table: StoredJobs, store: KeyValueClient, leadership: FencingTokenHolder, clock: Callable[[], float]
--- a/hookwall/storage/chunk_table.py
+++ b/hookwall/storage/chunk_table.py
@@ -61,7 +61,7 @@
             self.keys_by_job.pop(job_id, None)
 
     def await_chunks(self, job_id: str, value: object, version: int) -> None:
-        """Keep a record that names chunks that are not known, unless a newer one is kept."""
+        """Store a record that names chunks that are not known, unless a newer one is stored."""
         waiting = self.unreadable_records.get(job_id)
         if waiting is None or version > waiting.version:
             self.unreadable_records[job_id] = UnreadableRecord(value, version)
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -1,8 +1,8 @@
 """Client of the key-value store: transactions with preconditions, reads, session leases and changes.
 
 Requests are paced below this node's share of the store's limits, since a 429 costs as much as a response. A response
-that does not come means "perhaps": callers get `OutcomeUnknownError` and must treat the write as one that may still
-happen.
+that does not come leaves the outcome open: callers get `OutcomeUnknownError` and must treat the write as one that may
+still happen.
 """
 
 import asyncio
--- a/hookwall/storage/entries.py
+++ b/hookwall/storage/entries.py
@@ -1,4 +1,4 @@
-"""Keys as read, compared and written: what requests to the key-value store take and give.
+"""Keys as read, compared and written: the arguments and results of requests to the key-value store.
 
 A *version* is the revision at which a key was last written; 0 stands for a key that is absent. A *revision* counts the
 changes of the whole store, so versions of all keys are comparable.
--- a/hookwall/storage/errors.py
+++ b/hookwall/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the key-value store: rejected means not executed, unknown means perhaps executed, or still to be."""
+"""Errors of the key-value store: rejected means not executed, unknown means that it may have been, or may be later."""
 
 from hookwall.errors import HookwallError
 
@@ -28,7 +28,7 @@
 
     Attributes:
         keys: the keys that the store names; it may name only some.
-        revision: at which the store compared the versions; 0: it did not say.
+        revision: at which the store compared the versions; 0: not stated.
     """
 
     def __init__(self, keys: list[str], revision: int = 0) -> None:
--- a/hookwall/storage/rate_shares.py
+++ b/hookwall/storage/rate_shares.py
@@ -92,7 +92,7 @@
         return self.limits_lowered and self.limits.next is not None
 
     def apply_lower_limits(self, reason: str) -> None:
-        """The limits to come are in force: keep below them from now on."""
+        """The limits to come are in force: stay below them from now on."""
         if self.limits_lowered:
             return
         log.info("key-value store limits lowered: reason=%s", reason)
@@ -102,7 +102,7 @@
             bucket.exhaust()  # what was sent just now has used up this second
 
     def lend_rates(self, peer: str, demand: object) -> list[float]:
-        """Requests and changes a second that a follower may make beyond its own share, by what it says it wants.
+        """Requests and changes a second that a follower may make beyond its own share, by the demand that it reports.
 
         The leader makes so much less. Users come to the healthy nodes, whoever leads. When two of three nodes had
         crashed, all came to one follower, and with its tenth of the changes new jobs were accepted 20 s late.
--- a/hookwall/storage/read_confirmation.py
+++ b/hookwall/storage/read_confirmation.py
@@ -24,19 +24,19 @@
 
 @dataclass(slots=True)
 class PendingConfirmation:
-    """A key's version that is to be confirmed, and those who wait for it."""
+    """A key's version that is to be confirmed, and the waiters for the outcome."""
 
     version: int
     waiters: list[asyncio.Future[bool]] = field(default_factory=list)
 
     def resolve(self, current: bool) -> None:
-        """Tell those who wait whether the version is current."""
+        """All waiters get whether the version is current."""
         for waiter in self.waiters:
             if not waiter.done():
                 waiter.set_result(current)
 
     def fail(self, error: KeyValueStoreError) -> None:
-        """Those who wait get the error: neither is known."""
+        """All waiters get the error: neither is known."""
         for waiter in self.waiters:
             if not waiter.done():
                 waiter.set_exception(error)
@@ -98,7 +98,7 @@
                 pending.fail(error)
 
     async def _compare(self, batch: dict[str, PendingConfirmation]) -> None:
-        """Compare once, and take the keys that this settles off the batch."""
+        """Compare once, and remove the keys that this settles from the batch."""
         preconditions = [Precondition(key, pending.version) for key, pending in batch.items()]
         try:
             await self.store.commit(preconditions, timeout=COMPARE_TIMEOUT_S)
@@ -114,7 +114,7 @@
         batch.clear()
 
     async def _refresh_changed(self, batch: dict[str, PendingConfirmation], changed: list[str]) -> None:
-        """Read changed keys again, and take them off the batch."""
+        """Read changed keys again, and remove them from the batch."""
         for key in changed:
             pending = batch.pop(key)
             try:
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -23,7 +23,7 @@
 
 
 def stored(value: object) -> object:
-    """A value as the service gives it back."""
+    """A value as the key-value store returns it."""
     return json.loads(json.dumps(value))
 
 
@@ -35,7 +35,7 @@
         "keep": keys.LEASE_DELEGATE_PREFIX,
     }
     for new in (keys.STORAGE_VERSION_PREFIX, keys.CHUNK_PREFIX):
-        # Production looks at no other keys below the root that it reads and watches.
+        # Production applies no other keys below the root that it reads and watches.
         assert new.startswith(keys.ROOT) and not new.startswith(tuple(GOLDEN["keys"].values()))
 
 
@@ -43,12 +43,12 @@
 def test_a_record_of_production_is_read_and_written_back_the_same(name, clock: Clock):
     value = GOLDEN["jobs"][name]
     assert misread(value) == []
-    ref = "run-000003"
-    record = job_records.decode_record(ref, value, lambda key: None)
-    assert stored(job_records.encode_record(ref, record, None).value) == value
+    job_id = "run-000003"
+    record = job_records.decode_record(job_id, value, lambda key: None)
+    assert stored(job_records.encode_record(job_id, record, None).value) == value
     table = JobTable(clock)
-    table.apply_record(keys.JOB_PREFIX + ref, value, 7)
-    job = table.jobs[ref]
+    table.apply_record(keys.JOB_PREFIX + job_id, value, 7)
+    job = table.jobs[job_id]
     assert (job.version, job.stored_phase, job.task_count, job.next_attempt) == (
         7,
         value["phase"],
@@ -56,7 +56,7 @@
         value["next"],
     )
     if job.spec is not None:
-        assert stored(job_records.encode_record(ref, job.record(), None).value) == value
+        assert stored(job_records.encode_record(job_id, job.record(), None).value) == value
 
 
 def test_what_is_under_way_is_known_from_a_record_of_production(clock: Clock):
@@ -78,11 +78,11 @@
     # What the description of its decoder calls lost is what the new formats add.
     assert misread(job_records.encode_record(job.job_id, job.record(), 4096).value) == ["unknown field ended"]
     spec = msgspec.convert(description(2, awaits=["run-000001"]), job_messages.JobSpec)
-    needs = job_records.JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks="")
-    assert misread(job_records.encode_plain(needs)) == ["unknown field spec.awaits"]
+    record = job_records.JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks="")
+    assert misread(job_records.encode_plain(record)) == ["unknown field spec.awaits"]
 
 
-def test_the_keys_of_leader_keepers_and_catalog_are_read(clock: Clock, state: FakeState):
+def test_the_keys_of_leader_lease_delegates_and_catalog_are_read(clock: Clock, state: FakeState):
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.observe_leader_key(GOLDEN["leader_key"], 9)
     assert (lead.leader_key.leader, lead.leader_key.version, lead.leader_key.lease_mode) == (
@@ -90,9 +90,9 @@
         9,
         LeaseMode.QUORUM_LEASE,
     )
-    kept = DelegatedLeases(clock)
-    kept.apply_key(keys.LEASE_DELEGATE_PREFIX + "n0", GOLDEN["keep"], 3)
-    assert kept.is_delegated("vm-000231") and kept.is_delegated("vm-000300")
+    delegated = DelegatedLeases(clock)
+    delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n0", GOLDEN["keep"], 3)
+    assert delegated.is_delegated("vm-000231") and delegated.is_delegated("vm-000300")
     catalog = json_messages.convert_message(GOLDEN["catalog"], cloud_messages.Catalog)
     assert msgspec.to_builtins(catalog) == GOLDEN["catalog"]
     assert GOLDEN["hire"] == "hw-41-3"
@@ -128,13 +128,13 @@
     assert lead.peer_rate_demand["n1"][1] == [2.0, 0.5] and told and all(about == PeerStatus() for about in told)
 
 
-def test_a_keepers_key_names_machines_in_either_form():
+def test_a_lease_delegates_key_names_machines_in_either_form():
     names = [f"vm-{n:06d}" for n in range(300)]
     assert decode_machines({"token": 5, "packed": job_records.compress(names)}) == frozenset(names)
-    assert decode_machines({"token": 5, "packed": "nonsense"}) is None, "any machine may be kept"
+    assert decode_machines({"token": 5, "packed": "nonsense"}) is None, "any lease may be delegated"
 
 
-# -- format 2 ---------------------------------------------------------------------------------------
+# -- storage version 2 ------------------------------------------------------------------------------------
 
 
 def test_keys_are_those_of_format_2():
@@ -146,7 +146,7 @@
         "parts": keys.CHUNK_PREFIX,
     }
     assert GOLDEN_2["keys"] == {**names, "jobs": keys.JOB_PREFIX}
-    # Programs of format 2 look at no other keys below the root that they read and watch.
+    # Programs of storage version 2 apply no other keys below the root that they read and watch.
     assert keys.VOTE_FENCE_PREFIX.startswith(keys.ROOT) and not keys.VOTE_FENCE_PREFIX.startswith(
         tuple(GOLDEN_2["keys"].values())
     )
@@ -155,20 +155,20 @@
 @pytest.mark.parametrize("name", sorted(GOLDEN_2["jobs"]))
 def test_a_record_of_format_2_is_read_and_written_back_with_the_same_content(name, clock: Clock):
     value = GOLDEN_2["jobs"][name]
-    ref = "run-000006"  # the one whose record is in parts
-    record = job_records.decode_record(ref, value, GOLDEN_2["parts"].get)
+    job_id = "run-000006"  # the one whose record is in chunks
+    record = job_records.decode_record(job_id, value, GOLDEN_2["parts"].get)
     if "packed" not in value:
-        assert stored(job_records.encode_record(ref, record, 4096).value) == value
-    again = job_records.encode_record(ref, record, job_records.usable_value_bytes(1.0))
-    assert job_records.decode_record(ref, stored(again.value), again.chunks.get) == record
-    assert set(job_records.chunk_keys(ref, again.value)) == set(job_records.chunk_keys(ref, value)), (
-        "parts are written once"
+        assert stored(job_records.encode_record(job_id, record, 4096).value) == value
+    again = job_records.encode_record(job_id, record, job_records.usable_value_bytes(1.0))
+    assert job_records.decode_record(job_id, stored(again.value), again.chunks.get) == record
+    assert set(job_records.chunk_keys(job_id, again.value)) == set(job_records.chunk_keys(job_id, value)), (
+        "chunks are written once"
     )
     table = JobTable(clock)
     for key, text in GOLDEN_2["parts"].items():
         table.apply_chunk(key, text, 5)
-    table.apply_record(keys.JOB_PREFIX + ref, value, 7)
-    job = table.jobs[ref]
+    table.apply_record(keys.JOB_PREFIX + job_id, value, 7)
+    job = table.jobs[job_id]
     assert (job.version, job.stored_phase, job.task_count, job.next_attempt) == (
         7,
         value["phase"],
@@ -178,10 +178,10 @@
     assert not job.record_unreadable
 
 
-def test_what_a_record_of_format_2_says_is_known(clock: Clock):
+def test_the_content_of_a_record_of_format_2_is_known(clock: Clock):
     table = JobTable(clock)
-    for n, name in enumerate(("done", "dependent", "under_way"), 1):
-        table.apply_record(f"{keys.JOB_PREFIX}run-{n:06d}", GOLDEN_2["jobs"][name], 7 + n)
+    for number, name in enumerate(("done", "dependent", "under_way"), 1):
+        table.apply_record(f"{keys.JOB_PREFIX}run-{number:06d}", GOLDEN_2["jobs"][name], 7 + number)
     assert table.jobs["run-000001"].finished_at == 1_700_000_100.5
     assert table.dependencies.dependencies_of("run-000002") == ["run-000009"] and "run-000002" in table.blocked_jobs
     assert table.jobs["run-000003"].stored_starts == {task: (f"vm-{231 + task:06d}", 2) for task in (1, 4, 7)}
@@ -223,5 +223,5 @@
 
 
 def test_a_marker_of_this_version_is_one_for_format_2_too():
-    """It counts a node as marked from its own number on, and ignores who else is told of."""
+    """It counts a node as marked from its own number on, and ignores markers of unknown nodes."""
     assert GOLDEN_2["marker"]["format"] <= CURRENT_VERSION
--- a/tests/storage/test_rate_shares.py
+++ b/tests/storage/test_rate_shares.py
@@ -28,7 +28,7 @@
 
 
 def test_a_leader_lends_what_a_follower_wants_and_has_it_back(params: PlatformParameters, clock: Clock):
-    # All users came to one follower after the other nodes had crashed, and a tenth of the changes kept them 20 s.
+    # All users came to one follower after the other nodes had crashed, whose tenth of the changes took 20 s.
     leader, busy, idle = shares = [store_with(params.state, clock).rate_shares for _ in range(NODES)]
     leader.set_leading(True)
     own = busy.changes.rate
