--- a/hookwall/protocol/peer_messages.py
+++ b/hookwall/protocol/peer_messages.py
@@ -5,7 +5,7 @@
 """
 
 from enum import StrEnum
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -88,7 +88,7 @@
 Message = TypeVar("Message", PeerMessage, PeerResponse)
 
 
-def encode_message(message: PeerMessage | PeerResponse) -> dict[str, Any]:
+def encode_message(message: PeerMessage | PeerResponse) -> dict[str, object]:
     """What goes over the wire: all fields that are set."""
     return {
         field.encode_name: value
@@ -97,17 +97,17 @@
     }
 
 
-def decode_message(raw: dict[str, Any]) -> PeerMessage | None:
+def decode_message(raw: dict[str, object]) -> PeerMessage | None:
     """A peer's request; None if it does not state what it is for and whom it is from."""
     return _decode(raw, PeerMessage)
 
 
-def decode_response(raw: dict[str, Any]) -> PeerResponse:
+def decode_response(raw: dict[str, object]) -> PeerResponse:
     """A peer's response; one that can't be read grants nothing."""
     return _decode(raw, PeerResponse) or PeerResponse()
 
 
-def _decode(raw: dict[str, Any], kind: type[Message]) -> Message | None:
+def _decode(raw: dict[str, object], kind: type[Message]) -> Message | None:
     """A message; where some fields can't be read, one without them."""
     try:
         return msgspec.convert(raw, kind)
@@ -120,7 +120,7 @@
         return None
 
 
-def _is_readable(raw: dict[str, Any], field: msgspec.structs.FieldInfo) -> bool:
+def _is_readable(raw: dict[str, object], field: msgspec.structs.FieldInfo) -> bool:
     """Whether a field is there and can be read."""
     if field.encode_name not in raw:
         return False
--- a/hookwall/storage/chunk_collector.py
+++ b/hookwall/storage/chunk_collector.py
@@ -81,13 +81,17 @@
         if job is None or not job.version or job.write_in_flight:
             return
         unreferenced = chunks.unreferenced_chunks(job_id, job.stored_value)[: self.store.batch_size()]
-        if not unreferenced:
-            return
+        if unreferenced:
+            await self._remove(job_id, job.version, unreferenced)
+
+    async def _remove(self, job_id: str, version: int, unreferenced: list[str]) -> None:
+        """Remove chunks, if the job's record still has this version."""
+        chunks = self.table.chunks
         # Where the outcome is unknown they may be gone, so they are written anew if they are needed.
         removed_at = max(chunks.versions.get(key, 0) for key in unreferenced)
         preconditions = [
             Precondition(keys.LEADER_KEY, self.leadership.fencing_token),
-            Precondition(keys.JOB_PREFIX + job_id, job.version),
+            Precondition(keys.JOB_PREFIX + job_id, version),
         ]
         try:
             removed_at = await self.store.commit(preconditions, delete=unreferenced)
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -9,7 +9,7 @@
 import logging
 from collections.abc import Callable, Sequence
 from http import HTTPStatus
-from typing import Any
+from typing import Any, TypeAlias
 
 import aiohttp
 import msgspec
@@ -66,6 +66,8 @@
 SPARE_SHARE = 0.5  # of the burst
 NO_RESPONSE_YET = -1e9  # a time so long ago that nothing counts as recent; peers are sent the age as a number
 
+JsonObject: TypeAlias = dict[str, Any]  # as decoded; each field is checked where it is read
+
 
 class KeyValueClient:
     """Requests to the key-value store, with what is known about its health.
@@ -233,7 +235,7 @@
 
     async def _send(
         self, method: str, path: str, body: object = None, timeout: float = REQUEST_TIMEOUT_S, changes: int = 0
-    ) -> tuple[int, dict[str, Any]]:
+    ) -> tuple[int, JsonObject]:
         """Status and decoded body of one request, once the rate limits allow it."""
         await self._wait_for_rate_limit(changes)
         try:
@@ -273,7 +275,7 @@
             log.info("key-value store fails: reason=%s", reason)
 
 
-def _decode_body(raw: bytes) -> dict[str, Any] | None:
+def _decode_body(raw: bytes) -> JsonObject | None:
     """The JSON object of a response, empty where there is none; None: the body is something else."""
     try:
         body = msgspec.json.decode(raw) if raw else {}
@@ -282,7 +284,7 @@
     return body if isinstance(body, dict) else None
 
 
-def _revision(status: int, body: dict[str, Any], request: str) -> int:
+def _revision(status: int, body: JsonObject, request: str) -> int:
     """The revision that a successful response names."""
     revision = body.get(wire_format.REVISION)
     if status != HTTPStatus.OK or not isinstance(revision, int):
--- a/hookwall/storage/job_records.py
+++ b/hookwall/storage/job_records.py
@@ -12,7 +12,7 @@
 import hashlib
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -92,7 +92,7 @@
 class EncodedRecord:
     """A record as it is written: the value of its own key, and the chunks that the value names, by their keys."""
 
-    value: dict[str, Any]
+    value: dict[str, object]
     chunks: dict[str, str] = field(default_factory=dict)
 
 
@@ -106,9 +106,9 @@
     return value_kb * 1024 * PLAIN_SHARE - DESCRIPTION_BYTES
 
 
-def encode_plain(record: JobRecord) -> dict[str, Any]:
+def encode_plain(record: JobRecord) -> dict[str, object]:
     """The form that every version reads; it has the allocations even where there are none."""
-    value: dict[str, Any] = msgspec.to_builtins(record)
+    value: dict[str, object] = msgspec.to_builtins(record)
     value.setdefault(TASK_COUNT, record.task_count)
     value.setdefault(PHASE, record.phase)
     value.setdefault(NEXT_ATTEMPT, record.next_attempt)
@@ -154,7 +154,7 @@
 
 def _encode_packed(job_id: str, record: JobRecord, limit: int) -> EncodedRecord:
     """The shortest packed form that fits."""
-    head: dict[str, Any] = {
+    head: dict[str, object] = {
         PHASE: record.phase, TASK_COUNT: record.task_count, NEXT_ATTEMPT: record.next_attempt,
     }  # fmt: skip
     if record.finished_at is not None:
@@ -177,7 +177,7 @@
     return EncodedRecord(_packed(head, names, state_names), {**description_chunks, **state_chunks})
 
 
-def _packed(head: dict[str, Any], description: str | list[str], state: str | list[str]) -> dict[str, Any]:
+def _packed(head: dict[str, object], description: str | list[str], state: str | list[str]) -> dict[str, object]:
     """The value of a packed record; each part is a text, or the names of the chunks that it is in."""
     return {**head, PACKED: {PACKED_DESCRIPTION: description, PACKED_STATE: state}}
 
