--- a/hookwall/autoscaling/inventory.py
+++ b/hookwall/autoscaling/inventory.py
@@ -1,16 +1,19 @@
 """The cloud's machine list: late, and for a large fleet in many pages.
 
-Pages are asked for one at a time beside renting and returning, so that a rental waits for one page at most. A list
-takes no more than half of the requests that the cloud allows, so a larger fleet is listed less often.
+Pages are requested one at a time beside scaling out and in, so that a provisioning request waits for one page at most.
+A list takes no more than half of the requests that the cloud allows, so a larger fleet is listed less often.
+
+Invariant: what a list shows counts from when it was requested, and only under the leadership that requested it.
 """
 
 import asyncio
 import logging
+import math
 from collections.abc import Callable
 
-from hookwall.autoscaling.cloud_client import CloudClient, CloudUnavailableError
+from hookwall.autoscaling.cloud_client import POLL_INTERVAL_S, RETRY_AFTER_S, CloudClient, CloudUnavailableError
 from hookwall.config.platform import CloudLimits
-from hookwall.protocol import cloud_messages
+from hookwall.protocol.cloud_messages import ListedMachine
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.machine import Machine
 
@@ -18,73 +21,88 @@
 
 LIST_INTERVAL_S = 4.0
 FIRST_LIST_RETRY_S = 0.5  # until a new leader has its first list
-LOOK_S = 0.3
-AFTER_TROUBLE_S = 0.7
 REQUEST_SHARE = 0.5  # of the requests that the cloud allows
+MAX_LISTING_LAGS = 2.0  # no list is older than this many of the cloud's lags
+LISTING_MARGIN_S = 1.0  # and this
 
 
 class Inventory:
     """What the newest lists have shown, for one leadership at a time."""
 
     def __init__(self, fleet: Fleet, client: CloudClient, cloud: CloudLimits, clock: Callable[[], float]) -> None:
-        self.fleet, self.client, self.clock = fleet, client, clock
+        """`cloud` gives the rate of requests and the lag of lists."""
+        self.fleet = fleet
+        self.client = client
+        self.clock = clock
         self.rps = cloud.rps
-        self.max_age_s = 2.0 * cloud.list_lag_s + 1.0  # no list is older than this
+        self.max_age_s = MAX_LISTING_LAGS * cloud.list_lag_s + LISTING_MARGIN_S
         self.leadership_number = 0
+        self.leading_since = -math.inf
         self.has_listing = False
-        self.listed_at = -1e9  # when the newest list was asked for
-        self.requested_at = -1e9
+        self.listed_at = -math.inf  # when the newest list was requested
+        self.requested_at = -math.inf
 
     def reset(self) -> None:
         """A new leadership: nothing has been listed yet."""
         self.leadership_number += 1
-        self.has_listing, self.listed_at, self.requested_at = False, -1e9, -1e9
+        self.leading_since = self.clock()
+        self.has_listing = False
+        self.listed_at = -math.inf
+        self.requested_at = -math.inf
+
+    def leading_for_s(self, now: float) -> float:
+        """How long this node has been leading, in seconds."""
+        return now - self.leading_since
 
-    def take(self, listed: list[cloud_messages.ListedMachine], asked_at: float) -> None:
-        """Take in a list that was asked for then. It may be older than the one before."""
-        fleet, now = self.fleet, asked_at
+    def apply_listing(self, listed: list[ListedMachine], requested_at: float) -> None:
+        """Bring the fleet up to a list that was requested then. It may be older than the one before."""
         for item in listed:
-            if item.name in fleet.deleted_names:
-                continue
-            m = fleet.machines.get(item.name)
-            fresh = m is None
-            m = fleet.ensure_machine(item.name, item.type, item.zone, item.spot)
-            if fresh:
-                m.provisioned_at = now - item.age_s
-                m.first_known_at = now if item.phase != "booting" else m.provisioned_at
-            m.last_listed_at = max(now, m.last_listed_at)
-            if item.phase == "running" and m.listed_running_at < 0:
-                m.listed_running_at = now
-            if item.phase == "failed":
-                m.provisioning_failed = True
-        self.has_listing, self.listed_at = True, now
-
-    def is_missing(self, m: Machine) -> bool:
+            if item.name not in self.fleet.deleted_names:
+                self._apply_item(item, requested_at)
+        self.has_listing = True
+        self.listed_at = requested_at
+
+    def _apply_item(self, item: ListedMachine, requested_at: float) -> None:
+        """Bring one machine up to what the list says of it."""
+        is_new = item.name not in self.fleet.machines
+        machine = self.fleet.ensure_machine(item.name, item.type, item.zone, item.spot)
+        if is_new:
+            machine.provisioned_at = requested_at - item.age_s
+            machine.first_known_at = requested_at if item.phase != "booting" else machine.provisioned_at
+        machine.last_listed_at = max(requested_at, machine.last_listed_at)
+        if item.phase == "running" and machine.listed_running_at < 0:
+            machine.listed_running_at = requested_at
+        if item.phase == "failed":
+            machine.provisioning_failed = True
+
+    def is_missing(self, machine: Machine) -> bool:
         """Whether the lists have lacked the machine for so long that it must be gone.
 
-        A new leader's records name machines that were taken meanwhile. They counted as standing, and as
-        ordinary ones at that, so nothing was rented in their place until they were deleted.
+        A new leader's records name machines that were taken meanwhile. They counted as ready, and as
+        on-demand ones at that, so nothing was provisioned in their place until they were deleted.
         """
-        return self.listed_at - m.last_listed_at > self.max_age_s
+        return self.listed_at - machine.last_listed_at > self.max_age_s
 
     def interval_s(self) -> float:
         """How long from one list to the next."""
         pages = 1 + len(self.fleet.machines) // self.client.page_size
         return max(LIST_INTERVAL_S, pages / (self.rps * REQUEST_SHARE))
 
-    async def run(self, valid: Callable[[], bool]) -> None:
-        """Ask for lists while this node leads."""
+    async def run(self, leads: Callable[[], bool]) -> None:
+        """Request lists while this node leads."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             now = self.clock()
-            if not valid() or now - self.requested_at < (self.interval_s() if self.has_listing else FIRST_LIST_RETRY_S):
+            interval_s = self.interval_s() if self.has_listing else FIRST_LIST_RETRY_S
+            if not leads() or now - self.requested_at < interval_s:
                 continue
-            term, self.requested_at = self.leadership_number, now
+            leadership_number = self.leadership_number
+            self.requested_at = now
             try:
                 listed = await self.client.machines()
             except CloudUnavailableError as error:
-                log.debug("machine list: %s", error)
-                await asyncio.sleep(AFTER_TROUBLE_S)
+                log.debug("machine list failed error=%s", error)
+                await asyncio.sleep(RETRY_AFTER_S)
                 continue
-            if valid() and term == self.leadership_number:
-                self.take(listed, now)
+            if leads() and leadership_number == self.leadership_number:
+                self.apply_listing(listed, now)
--- a/hookwall/autoscaling/scale_in.py
+++ b/hookwall/autoscaling/scale_in.py
@@ -1,167 +1,247 @@
-"""Which machines are let go: those beyond need, and those that are of no use any more."""
+"""Scaling in: which machines are drained since they are beyond need, and which are deleted.
 
-from collections.abc import Callable
+Invariant: an UP machine that responds is only ever drained; it is deleted once it is empty.
+"""
 
-from hookwall.autoscaling.capacity import Capacity
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from hookwall.autoscaling.capacity import Capacity, pool_of
 from hookwall.autoscaling.demand import Demand
 from hookwall.config.platform import PlatformParameters
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.machine import Machine, MachinePhase
 
-KEEP_IDLE_S = 25.0
+IDLE_BEFORE_DRAIN_S = 25.0
+NEVER_UP_BOOTS = 5.0  # a machine that boots for so many times its usual boot is given up
+PREEMPTION_MARGIN_S = 3.0  # after the moment at which the cloud takes a machine
+LEADING_LEASES = 2  # a new leader gives up no unresponsive machine before it has led for so many leases
+KNOWN_LEASES = 3  # nor one that boots before it has been known for so many
+SPOT_PATIENCE_REPORTS = 3.2  # intervals of heartbeats that an unresponsive spot instance is given
+ON_DEMAND_PATIENCE_S = 25.0  # beyond the lease
+CUT_OFF_PATIENCE_S = 100.0  # beyond the lease, where the network is in trouble
+LATE_REPORTS = 1.8  # intervals of heartbeats after which one is late
+LEAST_LATE_MACHINES = 3  # in a zone that counts as cut off
+ROUNDING = 1e-6  # of machines
+
+
+@dataclass(slots=True)
+class Excess:
+    """Machines beyond the targets; negative where they are short."""
+
+    on_demand: float
+    total: float
+
+    def remove(self, machine: Machine) -> None:
+        """One machine less."""
+        self.on_demand -= not machine.spot
+        self.total -= 1
+
+    def add(self, machine: Machine) -> None:
+        """One machine more."""
+        self.on_demand += not machine.spot
+        self.total += 1
+
+
+@dataclass(slots=True, frozen=True)
+class WaitingWork:
+    """What kind of work waits."""
+
+    any: bool
+    spot: bool  # any that may run on spot instances
 
 
 class ScaleIn:
-    """Decides what to return; `renting` carries it out."""
+    """Decides what to drain and delete; `scale_out` carries deletions out."""
 
     def __init__(
-        self,
-        params: PlatformParameters,
-        fleet: Fleet,
-        scheduler: Scheduler,
-        supply: Capacity,
-        demand: Demand,
-        clock: Callable[[], float],
+        self, params: PlatformParameters, fleet: Fleet, scheduler: Scheduler, capacity: Capacity, demand: Demand
     ) -> None:
-        self.params, self.fleet, self.scheduler = params, fleet, scheduler
-        self.capacity, self.demand = supply, demand
-        self.leading_since = -1e9
-        self.clock = clock
+        """`capacity` and `demand` are what scaling out goes by as well."""
+        self.params = params
+        self.fleet = fleet
+        self.scheduler = scheduler
+        self.capacity = capacity
+        self.demand = demand
 
-    def reset(self) -> None:
-        """A new leadership."""
-        self.leading_since = self.clock()
+    # -- beyond need -----------------------------------------------------------------------------
 
     def drain_excess_machines(self, now: float) -> None:
-        """Let go of what is beyond need: ordinary machines that hold only work for cheap ones first."""
-        fleet, t = self.fleet, self.demand.targets
-        solid, total = self.capacity.machine_counts(now)
-        over_solid, over = solid - t.on_demand, total - t.total_with(solid)
-        waits = [w.job.spec for w in self.scheduler.waiting.values() if w.job.spec is not None]
-        wait_cheap = any(spec.spot for spec in waits)
-        draining = [m for m in fleet.machines.values() if m.phase is MachinePhase.DRAINING]
-        for m in draining:
-            if wait_cheap or (waits and not m.spot) or (over_solid < -1e-6 and not m.spot) or over < -1e-6:
-                fleet.transition_to(m, MachinePhase.UP, "needed again")
-                over_solid += not m.spot
-                over += 1
-        if wait_cheap or over < 1 - 1e-6:
+        """Drain what is beyond need: on-demand machines that hold only work for spot instances first."""
+        targets = self.demand.targets
+        counts = self.capacity.machine_counts(now)
+        excess = Excess(counts.on_demand - targets.on_demand, counts.total - targets.total_with(counts.on_demand))
+        specs = [queued.job.spec for queued in self.scheduler.waiting.values() if queued.job.spec is not None]
+        waiting = WaitingWork(any=bool(specs), spot=any(spec.spot for spec in specs))
+        self._resume_draining(excess, waiting)
+        if waiting.spot or excess.total < 1 - ROUNDING:
             return
-        idle = []
-        for m in fleet.machines.values():
-            if (
-                m.phase is not MachinePhase.UP
-                or m.reserved_for
-                or m.unrecorded_tasks
-                or m.unresponsive
-                or (waits and not m.spot)
-            ):
-                continue
-            if m.name in fleet.cordoned:
+        idle = [machine for machine in self.fleet.machines.values() if self._is_drainable(machine, waiting, now)]
+        idle.sort(key=self._dearest_first)
+        for machine in idle:
+            if excess.total < 1 - ROUNDING:
+                return
+            if not machine.spot and excess.on_demand < 1 - ROUNDING:
                 continue
-            if m.allocations and len(fleet.machine_types) > 1:
-                continue  # with several types, need in all says little about the need of this one
-            if m.spot and now - m.first_heartbeat_at > KEEP_IDLE_S:
-                # Also with tasks on it: spread thinly over many machines they kept all of them.
-                idle.append(m)
-            solid = any(j.spec is not None and not j.spec.spot for j, _ in m.allocations.values())
-            if not m.spot and not solid and now - max(m.first_heartbeat_at, m.last_on_demand_work_at) > KEEP_IDLE_S:
-                idle.append(m)
-        # The dearest first, then those that hold and do least.
-        idle.sort(
-            key=lambda m: (
-                -self.capacity.hourly_price((m.type, m.zone, m.spot)),
-                fleet.on_demand_image_gb(m),
-                len(m.allocations),
-                m.index,
-            )
+            excess.remove(machine)
+            self.fleet.transition_to(machine, MachinePhase.DRAINING, "beyond need")
+
+    def _resume_draining(self, excess: Excess, waiting: WaitingWork) -> None:
+        """Use draining machines again that turn out to be needed."""
+        draining = [machine for machine in self.fleet.machines.values() if machine.phase is MachinePhase.DRAINING]
+        for machine in draining:
+            is_needed_on_demand = not machine.spot and (waiting.any or excess.on_demand < -ROUNDING)
+            if waiting.spot or is_needed_on_demand or excess.total < -ROUNDING:
+                self.fleet.transition_to(machine, MachinePhase.UP, "needed again")
+                excess.add(machine)
+
+    def _is_drainable(self, machine: Machine, waiting: WaitingWork, now: float) -> bool:
+        """Whether a machine has been of little use for long enough."""
+        if machine.phase is not MachinePhase.UP or machine.unresponsive:
+            return False
+        if machine.reserved_for or machine.unrecorded_tasks or machine.name in self.fleet.cordoned:
+            return False
+        if waiting.any and not machine.spot:
+            return False
+        if machine.allocations and len(self.fleet.machine_types) > 1:
+            return False  # with several types, need in all says little about the need of this one
+        if machine.spot:
+            # Also with tasks on it: spread thinly over many machines they held all of them.
+            return now - machine.first_heartbeat_at > IDLE_BEFORE_DRAIN_S
+        has_on_demand_work = any(job.spec is not None and not job.spec.spot for job, _ in machine.allocations.values())
+        used_at = max(machine.first_heartbeat_at, machine.last_on_demand_work_at)
+        return not has_on_demand_work and now - used_at > IDLE_BEFORE_DRAIN_S
+
+    def _dearest_first(self, machine: Machine) -> tuple[float, float, int, int]:
+        """The dearest first, then those that have and do least."""
+        return (
+            -self.capacity.hourly_price(pool_of(machine)),
+            self.fleet.on_demand_image_gb(machine),
+            len(machine.allocations),
+            machine.index,
         )
-        for m in idle:
-            if over < 1 - 1e-6:
-                return
-            if not m.spot:
-                if over_solid < 1 - 1e-6:
-                    continue
-                over_solid -= 1
-            over -= 1
-            fleet.transition_to(m, MachinePhase.DRAINING, "beyond need")
+
+    # -- of no use ---------------------------------------------------------------------------------
 
     def machines_to_delete(self, now: float) -> list[Machine]:
         """Machines to delete now. They get no more work from this moment on."""
-        out: list[Machine] = []
-        lease = self.params.workers.lease_s
-        leading = now - self.leading_since
-        cut: set[int] | None = None
-        for m in self.fleet.machines.values():
-            if m.phase is MachinePhase.UP and not (
-                m.unresponsive or m.provisioning_failed or m.may_run_cancelled_tasks or m.first_heartbeat_at < 0
-            ):
-                continue  # as nearly all are
-            if cut is None:
-                cut = self._cut_zones(now)
-            info = self.fleet.machine_type(m.type)
-            boot = info.boot_s if info is not None else 30.0
-            why = ""
-            if m.phase is MachinePhase.DELETING:
-                out.append(m)
+        suspects = [machine for machine in self.fleet.machines.values() if _is_suspect(machine)]
+        if not suspects:
+            return []
+        cut_off_zones = self._cut_off_zones(now)
+        to_delete: list[Machine] = []
+        for machine in suspects:
+            if machine.phase is MachinePhase.DELETING:
+                to_delete.append(machine)
                 continue
-            if m.name in self.fleet.in_maintenance and not m.may_run_cancelled_tasks:
-                continue  # out of service and empty: its worker may be silent for long
-            if m.provisioning_failed:
-                why = "it has failed"
-            elif (
-                m.first_heartbeat_at < 0
-                and self.capacity.inventory.is_missing(m)
-                and leading > self.capacity.inventory.max_age_s
-            ):
-                why = "it is not listed any more"
-            elif m.phase is MachinePhase.BOOTING:
-                if now - m.provisioned_at > 5.0 * boot and leading > 2 * lease and now - m.first_known_at > 3 * lease:
-                    why = "it never came up"
-            elif m.may_run_cancelled_tasks:
-                why = "cancelled tasks may go on there"
-            elif m.unresponsive and leading > 2 * lease and now - m.acknowledged_at > self._patience(m, cut):
-                why = "its worker is silent"
-            elif (
-                m.phase is MachinePhase.PREEMPTION_NOTICED
-                and m.preemption_at is not None
-                and now > m.preemption_at + 3.0
-                and m.unresponsive
-            ):
-                why = "the cloud has taken it"
-            elif m.phase is MachinePhase.QUARANTINED and not m.allocations:
-                why = "it fails its tasks"
-            elif m.phase is MachinePhase.DRAINING and not m.allocations and not m.unrecorded_tasks:
-                why = "empty"
-            if why:
-                self.fleet.transition_to(m, MachinePhase.DELETING, why)
-                out.append(m)
-        return out
-
-    def _patience(self, m: Machine, cut: set[int]) -> float:
-        """How long a silent machine is kept before it is deleted.
-
-        A cheap one was most likely taken without notice. Its deletion is confirmed sooner than its
-        lease is over, so its tasks go on elsewhere sooner; and if it was only cut off, they were lost
-        anyway. An ordinary one is more likely to come back with its images.
+            if machine.name in self.fleet.in_maintenance and not machine.may_run_cancelled_tasks:
+                continue  # out of service and empty: its worker may send nothing for long
+            reason = self._deletion_reason(machine, now, cut_off_zones)
+            if reason:
+                self.fleet.transition_to(machine, MachinePhase.DELETING, reason)
+                to_delete.append(machine)
+        return to_delete
+
+    def _deletion_reason(self, machine: Machine, now: float, cut_off_zones: set[int]) -> str | None:
+        """Why a machine is of no use any more, or None. A machine that boots is only given the first three reasons."""
+        if machine.provisioning_failed:
+            return "provisioning failed"
+        if self._is_unlisted(machine, now):
+            return "it is not listed any more"
+        if machine.phase is MachinePhase.BOOTING:
+            return "it never came up" if self._never_came_up(machine, now) else None
+        if machine.may_run_cancelled_tasks:
+            return "cancelled tasks may go on there"
+        if self._is_lost(machine, now, cut_off_zones):
+            return "its worker is unresponsive"
+        if _was_preempted(machine, now):
+            return "preempted by the cloud"
+        if machine.phase is MachinePhase.QUARANTINED and not machine.allocations:
+            return "it fails its tasks"
+        if machine.phase is MachinePhase.DRAINING and not machine.allocations and not machine.unrecorded_tasks:
+            return "drained"
+        return None
+
+    def _is_unlisted(self, machine: Machine, now: float) -> bool:
+        """Whether a machine without a heartbeat is missing from lists that must name it."""
+        inventory = self.capacity.inventory
+        return (
+            machine.first_heartbeat_at < 0
+            and inventory.is_missing(machine)
+            and inventory.leading_for_s(now) > inventory.max_age_s
+        )
+
+    def _never_came_up(self, machine: Machine, now: float) -> bool:
+        """Whether a booting machine has had all the time that it can need."""
+        return (
+            now - machine.provisioned_at > NEVER_UP_BOOTS * self.capacity.boot_s(machine)
+            and self._has_led_for_leases(now)
+            and now - machine.first_known_at > KNOWN_LEASES * self.params.workers.lease_s
+        )
+
+    def _is_lost(self, machine: Machine, now: float, cut_off_zones: set[int]) -> bool:
+        """Whether a machine has been unresponsive for longer than it is given."""
+        if not machine.unresponsive or not self._has_led_for_leases(now):
+            return False
+        return now - machine.acknowledged_at > self._patience_s(machine, cut_off_zones)
+
+    def _has_led_for_leases(self, now: float) -> bool:
+        """Whether this node has led for so long that all workers should have come to it."""
+        return self.capacity.inventory.leading_for_s(now) > LEADING_LEASES * self.params.workers.lease_s
+
+    def _patience_s(self, machine: Machine, cut_off_zones: set[int]) -> float:
+        """How long an unresponsive machine is given before it is deleted.
+
+        A spot instance was most likely preempted without notice. Its deletion is confirmed sooner than
+        its lease is over, so its tasks go on elsewhere sooner; and if it was only cut off, they were lost
+        anyway. An on-demand machine is more likely to come back with its images.
         """
-        lease = self.params.workers.lease_s
-        if m.zone in cut or self.fleet.delegated_leases.is_delegated(m.name):
-            return lease + 100.0
-        return 3.2 * self.params.workers.report_s if m.spot else lease + 25.0
+        workers = self.params.workers
+        if machine.zone in cut_off_zones or self.fleet.delegated_leases.is_delegated(machine.name):
+            return workers.lease_s + CUT_OFF_PATIENCE_S
+        if machine.spot:
+            return SPOT_PATIENCE_REPORTS * workers.report_s
+        return workers.lease_s + ON_DEMAND_PATIENCE_S
 
-    def _cut_zones(self, now: float) -> set[int]:
-        """Zones most of whose machines are late with a report: the network's trouble, not the machines'.
+    def _cut_off_zones(self, now: float) -> set[int]:
+        """Zones most of whose machines are late with a heartbeat: the network's trouble, not the machines'.
 
-        After a cut of half a minute each of them had been deleted and was rented again. Being late is
-        enough here: the first to count as silent are so two seconds before most of their zone.
+        After a cut of half a minute each of them had been deleted and was provisioned again. Being late is
+        enough here: the first to count as unresponsive are so two seconds before most of their zone.
         """
-        late: dict[int, list[bool]] = {}
-        after = 1.8 * self.params.workers.report_s
-        for m in self.fleet.machines.values():
-            if m.phase in (MachinePhase.UP, MachinePhase.DRAINING, MachinePhase.PREEMPTION_NOTICED):
-                late.setdefault(m.zone, []).append(now - m.acknowledged_at > after)
-            elif m.phase is MachinePhase.BOOTING and m.unresponsive:
-                late.setdefault(m.zone, []).append(True)
-        return {z for z, s in late.items() if sum(s) >= 3 and 2 * sum(s) > len(s)}
+        late_by_zone: dict[int, list[bool]] = {}
+        late_after_s = LATE_REPORTS * self.params.workers.report_s
+        for machine in self.fleet.machines.values():
+            if machine.phase in (MachinePhase.UP, MachinePhase.DRAINING, MachinePhase.PREEMPTION_NOTICED):
+                late_by_zone.setdefault(machine.zone, []).append(now - machine.acknowledged_at > late_after_s)
+            elif machine.phase is MachinePhase.BOOTING and machine.unresponsive:
+                late_by_zone.setdefault(machine.zone, []).append(True)
+        return {zone for zone, late in late_by_zone.items() if _is_cut_off(late)}
+
+
+def _is_suspect(machine: Machine) -> bool:
+    """Whether there may be a reason to delete a machine; nearly all are up and well."""
+    return (
+        machine.phase is not MachinePhase.UP
+        or machine.unresponsive
+        or machine.provisioning_failed
+        or machine.may_run_cancelled_tasks
+        or machine.first_heartbeat_at < 0
+    )
+
+
+def _was_preempted(machine: Machine, now: float) -> bool:
+    """Whether the cloud has taken a machine, as it had announced."""
+    return (
+        machine.phase is MachinePhase.PREEMPTION_NOTICED
+        and machine.preemption_at is not None
+        and now > machine.preemption_at + PREEMPTION_MARGIN_S
+        and machine.unresponsive
+    )
+
+
+def _is_cut_off(late: Iterable[bool]) -> bool:
+    """Whether most machines of a zone are late."""
+    flags = list(late)
+    return sum(flags) >= LEAST_LATE_MACHINES and 2 * sum(flags) > len(flags)
--- a/hookwall/autoscaling/scale_out.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -1,47 +1,52 @@
-"""Renting machines, and carrying out what is rented and returned.
+"""Scaling out, and carrying out at the cloud what scaling out and in have decided.
 
-Requests name themselves `hw-<token>-<n>`: the token is new with each leadership and the number with
-each request, so a name is never used twice. A request without an answer is repeated under its own
-name until it has one.
+Provisioning requests name themselves `hw-<fencing token>-<n>`: the token is new with each leadership and the number
+with each request, so a name is never used twice. A request without a response is repeated under its own name until it
+has one.
+
+Invariant: every request that was ever sent is either pending here or has its final response, and a new leader decides
+nothing before it has learned what there is.
 """
 
 import asyncio
 import logging
 import math
-from collections.abc import Awaitable, Callable
-
-from hookwall.autoscaling.capacity import Capacity, Pool, ProvisioningRequest
-from hookwall.autoscaling.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
+from collections.abc import Awaitable, Callable, Iterable
+
+from hookwall.autoscaling.capacity import Capacity, ProvisioningRequest
+from hookwall.autoscaling.cloud_client import (
+    POLL_INTERVAL_S,
+    RETRY_AFTER_S,
+    CloudClient,
+    CloudUnavailableError,
+    NoCapacityError,
+)
 from hookwall.autoscaling.demand import Demand
 from hookwall.autoscaling.inventory import Inventory
+from hookwall.autoscaling.pool_backoff import PoolBackoff
+from hookwall.autoscaling.provisioning_plan import MAX_PER_REQUEST, ProvisioningPlanner
 from hookwall.autoscaling.scale_in import ScaleIn
 from hookwall.config.platform import PlatformParameters
 from hookwall.protocol.cloud_messages import Catalog
-from hookwall.scheduling.placement import EPSILON, ResourceRequest, placeable_task_count, satisfies_constraints
-from hookwall.scheduling.round_state import provisioning_order
+from hookwall.scheduling.resources import ResourceRequest
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.workers.fleet import Fleet
 
 log = logging.getLogger(__name__)
 
-MAX_PER_REQUEST = 50
 MAX_PER_DELETE = 100
-MAX_PRICE_RATIO = 2.5  # a pool is no substitute for another that costs so much less
-SCALE_IN_AFTER_S = 30.0  # a new leader lets nothing go before it has seen this much
-SETTLE_S = 4.0  # a new leader first learns what there is; renting before that would double it
-LOOK_S = 0.3
+SCALE_IN_AFTER_S = 30.0  # a new leader drains nothing before it has seen this much
+SETTLE_S = 4.0  # a new leader first learns what there is; provisioning before that would double it
 PLAN_EVERY_S = 1.0
 CATALOG_EVERY_S = 60.0
-AFTER_TROUBLE_S = 0.7
-FIRST_PAUSE_S, MOST_PAUSE_S = 3.0, 30.0  # before a pool that refused is asked again
 
 
-async def _no_catalog(catalog: Catalog) -> None:
-    """Where nobody wants to know the machine types."""
+async def _ignore_catalog(catalog: Catalog) -> None:
+    """Where nobody needs to know the machine types."""
 
 
 class ScaleOut:
-    """What to rent. Decides; `run` carries it out while this node leads."""
+    """Provisions and deletes machines while this node leads: `run` does what the planner and `scale_in` decide."""
 
     def __init__(
         self,
@@ -50,223 +55,141 @@
         scheduler: Scheduler,
         client: CloudClient,
         clock: Callable[[], float],
+        *,
+        is_first_leadership: Callable[[], bool] = lambda: False,
+        intake_blocked: Callable[[], bool] = lambda: False,
+        relocation_requests: Callable[[], Iterable[ResourceRequest]] = tuple,
+        on_catalog: Callable[[Catalog], Awaitable[None]] = _ignore_catalog,
     ) -> None:
-        self.fleet, self.scheduler, self.client, self.clock = fleet, scheduler, client, clock
+        """Builds the parts of autoscaling.
+
+        `is_first_leadership`: whether nobody can have led lately, so that there are no requests and heartbeats to wait
+        for. `intake_blocked`: see `Demand`. `relocation_requests`: see `ProvisioningPlanner`. `on_catalog`: gets the
+        machine types each time they were fetched.
+        """
+        self.fleet = fleet
+        self.scheduler = scheduler
+        self.client = client
+        self.clock = clock
+        self.is_first_leadership = is_first_leadership
+        self.on_catalog = on_catalog
         self.inventory = Inventory(fleet, client, params.cloud, clock)
-        self.capacity = Capacity(fleet, self.inventory, clock)
-        self.demand = Demand(params, fleet, scheduler, clock)
-        self.scale_in = ScaleIn(params, fleet, scheduler, self.capacity, self.demand, clock)
+        self.capacity = Capacity(fleet, self.inventory)
+        self.demand = Demand(params, fleet, scheduler, clock, intake_blocked)
+        self.scale_in = ScaleIn(params, fleet, scheduler, self.capacity, self.demand)
+        self.backoff = PoolBackoff(clock)
+        self.planner = ProvisioningPlanner(
+            fleet, scheduler, self.capacity, self.demand, self.backoff, relocation_requests
+        )
         self.request_serial = 0
-        self.refused_pools: dict[Pool, tuple[float, float]] = {}  # pool -> (not before, pause)
-        self.leading_since = -1e9
-        # Whether nobody can have led lately, so that there are no hires and reports to wait for.
-        self.fresh: Callable[[], bool] = lambda: False
-        # What has to find room elsewhere before machines that are being drained can be emptied.
-        self.relocation_requests: Callable[[], list[ResourceRequest]] = list
-        self.on_catalog: Callable[[Catalog], Awaitable[None]] = _no_catalog
+        self._planned_at = -math.inf
+        self._catalog_requested_at = -math.inf
 
     def reset(self) -> None:
-        """A new leadership: lists and reports tell what there is."""
+        """A new leadership: lists and heartbeats tell what there is."""
         self.capacity.pending_requests.clear()
-        self.refused_pools.clear()
+        self.backoff.reset()
         self.inventory.reset()
-        self.demand.reset(unmeasured=not self.fresh())
-        self.scale_in.reset()
+        self.demand.reset(jobs_precede_leadership=not self.is_first_leadership())
         self.request_serial = 0
-        self.leading_since = self.clock()
 
     def is_gone(self, machine: str) -> bool:
         """Whether a machine that records name is known to be no more."""
         if machine in self.fleet.deleted_names:
             return True
-        leading_s = self.clock() - self.leading_since
-        return (
-            machine not in self.fleet.machines
-            and self.inventory.has_listing
-            and leading_s > 2 * self.inventory.max_age_s
-        )
-
-    # -- what to rent --------------------------------------------------------------------------
-
-    def available_pools(self, now: float) -> list[Pool]:
-        """Kinds of machine that might be had now, cheapest first, zones with fewest machines first."""
-        fleet = self.fleet
-        have = self.capacity.machine_count_by_pool()
-        out: list[Pool] = []
-        for i, info in enumerate(fleet.machine_types):
-            if info is None:
-                continue
-            for z in info.zones:
-                for spot in (False, True):
-                    pool = (i, fleet.zone_names.index_of(z), spot)
-                    if now >= self.refused_pools.get(pool, (0.0, 0.0))[0]:
-                        out.append(pool)
-        return sorted(out, key=lambda p: (self.capacity.hourly_price(p), have.get(p, 0), p))
-
-    def wanted(self, now: float) -> dict[Pool, int]:
-        """What to rent for the jobs that wait, beyond the machines that are coming."""
-        coming = self.capacity.incoming_machines(now)
-        pools = self.available_pools(now)
-        have = self.capacity.machine_count_by_pool()
-        new: dict[Pool, int] = {}
-
-        with_gpus = [r for r in coming if r.gpus > EPSILON]  # what others have filled is not looked at again
-
-        def more(ask: ResourceRequest, left: int) -> None:
-            nonlocal with_gpus
-            if ask.gpus > 0:
-                with_gpus = [r for r in with_gpus if r.gpus > EPSILON]
-            for room in with_gpus if ask.gpus > 0 else coming:
-                if left <= 0:
-                    return
-                if satisfies_constraints(ask, room):
-                    n = min(left, placeable_task_count(ask, room))
-                    room.cpus -= n * ask.cpus
-                    room.gpus -= n * ask.gpus
-                    room.memory -= n * ask.memory
-                    left -= n
-            while left > 0:
-                # Evenly over the zones: one that has no room then costs one refusal, not the start.
-                for pool in sorted(
-                    pools, key=lambda p: (self.capacity.hourly_price(p), have.get(p, 0) + new.get(p, 0), p)
-                ):
-                    room = self.capacity.empty_machine(pool, -1)
-                    n = min(left, placeable_task_count(ask, room))
-                    if satisfies_constraints(ask, room) and n > 0:
-                        break
-                else:
-                    return
-                if new.get(pool, 0) >= MAX_PER_REQUEST:
-                    return  # the rest with the next plan, rather than of a dearer kind
-                if ask.one_zone and ask.zone < 0:
-                    ask.zone = pool[1]
-                new[pool] = new.get(pool, 0) + 1
-                room.cpus -= n * ask.cpus
-                room.gpus -= n * ask.gpus
-                room.memory -= n * ask.memory
-                coming.append(room)
-                with_gpus.append(room)
-                left -= n
-
-        for w in provisioning_order(self.scheduler.waiting):
-            if w.job.spec is not None:
-                more(self.scheduler.resource_request(w.job, w.count), w.count)
-        for ask in self.relocation_requests():
-            more(ask, ask.count)
-        return new
-
-    def plan_standby(self, now: float) -> dict[Pool, int]:
-        """What to rent ahead of need, once nothing that waits needs anything."""
-        t = self.demand.targets
-        have_solid, have = self.capacity.machine_counts(now)
-        total = t.total_with(have_solid)
-        out: dict[Pool, int] = {}
-        pools = self.available_pools(now)
-        cheapest: dict[int, float] = {}
-        for pool in pools:
-            cheapest[pool[0]] = min(cheapest.get(pool[0], math.inf), self.capacity.hourly_price(pool))
-        for solid_only in (True, False):
-            for pool in pools:
-                if solid_only and pool[2]:
-                    continue
-                if not solid_only and self.capacity.hourly_price(pool) > MAX_PRICE_RATIO * cheapest[pool[0]]:
-                    continue
-                lack = (t.on_demand - have_solid) if solid_only else (total - have)
-                n = min(int(lack + 1e-9), MAX_PER_REQUEST)
-                if n > 0:
-                    out[pool] = out.get(pool, 0) + n
-                    have += n
-                    if not pool[2]:
-                        have_solid += n
-                        total = t.total_with(have_solid)
-        return out
-
-    # -- carrying out --------------------------------------------------------------------------
-
-    def _log_need(self, now: float) -> None:
-        """Why machines are rented and returned, in one line."""
-        if log.isEnabledFor(logging.DEBUG):
-            solid, total = self.capacity.machine_counts(now)
-            demand, t = self.demand, self.demand.targets
-            log.debug(
-                "need %.0f ordinary, %.0f in all; targets %.0f, %.0f; standing %.0f, %.0f; %d jobs wait",
-                demand.on_demand_need, demand.on_demand_need + demand.spot_need, t.on_demand, t.total, solid, total,
-                len(self.scheduler.waiting),
-            )  # fmt: skip
-
-    async def _hire(self, hire: ProvisioningRequest) -> None:
-        type_ = self.fleet.type_names.names[hire.pool[0]]
-        zone = self.fleet.zone_names.names[hire.pool[1]]
-        try:
-            names = await self.client.rent(hire.name, type_, zone, hire.pool[2], hire.count)
-        except NoCapacityError:
-            self.capacity.pending_requests.remove(hire)
-            self._close(hire.pool)
-            return
-        self.capacity.pending_requests.remove(hire)
-        log.info("rented %d of %d %s %s%s", len(names), hire.count, type_, zone, " spot" if hire.pool[2] else "")
-        if len(names) < hire.count:
-            self._close(hire.pool)
-        else:
-            self.refused_pools.pop(hire.pool, None)
-        for name in names:
-            self.fleet.ensure_machine(name, type_, zone, hire.pool[2]).last_listed_at = self.clock()
-
-    def _close(self, pool: Pool) -> None:
-        """Refused: ask this pool again only after a pause, which grows."""
-        pause = min(MOST_PAUSE_S, self.refused_pools.get(pool, (0.0, FIRST_PAUSE_S))[1] * 2)
-        self.refused_pools[pool] = (self.clock() + pause, pause)
-
-    async def run(self, valid: Callable[[], bool], token: Callable[[], int]) -> None:
-        """Look at need and supply every moment; rent and return."""
-        last_plan = last_catalog = -1e9
+        if machine in self.fleet.machines or not self.inventory.has_listing:
+            return False
+        return self.inventory.leading_for_s(self.clock()) > 2 * self.inventory.max_age_s
+
+    async def run(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
+        """Compare need and capacity every moment while this node leads; provision and delete."""
+        self._planned_at = -math.inf
+        self._catalog_requested_at = -math.inf
         while True:
-            await asyncio.sleep(LOOK_S)
-            if not valid():
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if not leads():
                 continue
             try:
-                if self.fleet.catalog is None or self.clock() - last_catalog > CATALOG_EVERY_S:
-                    last_catalog = self.clock()
-                    await self.on_catalog(await self.client.catalog())
-                if not valid():
-                    continue
-                await self._return()
-                for hire in list(self.capacity.pending_requests):
-                    await self._hire(hire)
-                settle_s = 0.0 if self.fresh() else SETTLE_S
-                now = self.clock()
-                if (
-                    self.inventory.has_listing
-                    and now - self.leading_since >= settle_s
-                    and now - last_plan >= PLAN_EVERY_S
-                ):
-                    last_plan = now
-                    await self._rent(valid, token)
-            except CloudUnavailableError as e:
-                log.debug("cloud: %s", e)
-                await asyncio.sleep(AFTER_TROUBLE_S)
-
-    async def _return(self) -> None:
-        """Let go of what is beyond need and of what is of no use any more."""
+                await self._reconcile(leads, fencing_token)
+            except CloudUnavailableError as error:
+                log.debug("cloud request failed error=%s", error)
+                await asyncio.sleep(RETRY_AFTER_S)
+
+    async def _reconcile(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
+        """One pass: the catalog, then scale in, then the pending requests, then new ones."""
+        if self.fleet.catalog is None or self.clock() - self._catalog_requested_at > CATALOG_EVERY_S:
+            self._catalog_requested_at = self.clock()
+            await self.on_catalog(await self.client.fetch_catalog())
+        if not leads():
+            return
+        await self._scale_in()
+        for request in list(self.capacity.pending_requests):
+            await self._provision(request)
+        settle_s = 0.0 if self.is_first_leadership() else SETTLE_S
+        now = self.clock()
+        has_settled = self.inventory.has_listing and self.inventory.leading_for_s(now) >= settle_s
+        if has_settled and now - self._planned_at >= PLAN_EVERY_S:
+            self._planned_at = now
+            await self._scale_out(leads, fencing_token)
+
+    async def _scale_in(self) -> None:
+        """Drain what is beyond need, and delete what is of no use any more."""
         self.demand.measure(self.clock())
-        if self.inventory.has_listing and self.clock() - self.leading_since > SCALE_IN_AFTER_S:
+        if self.inventory.has_listing and self.inventory.leading_for_s(self.clock()) > SCALE_IN_AFTER_S:
             self.scale_in.drain_excess_machines(self.clock())
-        gone = self.scale_in.machines_to_delete(self.clock())[:MAX_PER_DELETE]
-        if not gone:
+        to_delete = self.scale_in.machines_to_delete(self.clock())[:MAX_PER_DELETE]
+        if not to_delete:
             return
-        await self.client.delete([m.name for m in gone])
-        for m in gone:
-            if self.fleet.machines.get(m.name) is m:
-                self.fleet.confirm_deletion(m, "deleted")
+        await self.client.delete_machines([machine.name for machine in to_delete])
+        for machine in to_delete:
+            if self.fleet.machines.get(machine.name) is machine:
+                self.fleet.confirm_deletion(machine, "deleted")
 
-    async def _rent(self, valid: Callable[[], bool], token: Callable[[], int]) -> None:
-        """Rent for what waits, else ahead of need."""
+    async def _scale_out(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
+        """Provision for what waits, else ahead of need."""
         self._log_need(self.clock())
-        plan = self.wanted(self.clock()) or self.plan_standby(self.clock())
+        plan = self.planner.plan_for_waiting_jobs(self.clock()) or self.planner.plan_standby(self.clock())
         for pool, count in plan.items():
-            if not valid():
+            if not leads():
                 return
             self.request_serial += 1
-            hire = ProvisioningRequest(f"hw-{token()}-{self.request_serial}", pool, min(count, MAX_PER_REQUEST))
-            self.capacity.pending_requests.append(hire)
-            await self._hire(hire)
+            name = f"hw-{fencing_token()}-{self.request_serial}"
+            request = ProvisioningRequest(name, pool, min(count, MAX_PER_REQUEST))
+            self.capacity.pending_requests.append(request)
+            await self._provision(request)
+
+    async def _provision(self, request: ProvisioningRequest) -> None:
+        """Send a pending request. Without a response it stays pending, and CloudUnavailableError goes on."""
+        pool = request.pool
+        type_ = self.fleet.type_names.names[pool.type]
+        zone = self.fleet.zone_names.names[pool.zone]
+        try:
+            names = await self.client.provision(request.name, type_, zone, pool.spot, request.count)
+        except NoCapacityError:
+            self.capacity.pending_requests.remove(request)
+            self.backoff.record_refusal(pool)
+            return
+        self.capacity.pending_requests.remove(request)
+        log.info(
+            "machines provisioned request=%s type=%s zone=%s spot=%s provisioned=%d requested=%d",
+            request.name, type_, zone, pool.spot, len(names), request.count,
+        )  # fmt: skip
+        if len(names) < request.count:
+            self.backoff.record_refusal(pool)
+        else:
+            self.backoff.record_success(pool)
+        for name in names:
+            self.fleet.ensure_machine(name, type_, zone, pool.spot).last_listed_at = self.clock()
+
+    def _log_need(self, now: float) -> None:
+        """Why machines are provisioned and deleted, in one line."""
+        if not log.isEnabledFor(logging.DEBUG):
+            return
+        counts = self.capacity.machine_counts(now)
+        demand = self.demand
+        log.debug(
+            "demand on_demand_need=%.0f total_need=%.0f on_demand_target=%.0f total_target=%.0f "
+            "on_demand_machines=%d machines=%d waiting_jobs=%d",
+            demand.on_demand_need, demand.on_demand_need + demand.spot_need, demand.targets.on_demand,
+            demand.targets.total, counts.on_demand, counts.total, len(self.scheduler.waiting),
+        )  # fmt: skip
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -60,13 +60,27 @@
         self.read_confirmation = ReadConfirmation(self.store, self._reload_record)
         self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
         self.fleet = Fleet(params, self.job_table, clock)
-        self.scheduler = Scheduler(params, self.job_table, self.fleet, clock, wall)
-        self.scheduler.unstored_job_count = lambda: sum(j.has_unsaved_starts for j in self.job_table.open_jobs.values())
+        self.scheduler = Scheduler(
+            params,
+            self.job_table,
+            self.fleet,
+            clock,
+            wall,
+            unstored_job_count=lambda: sum(job.has_unsaved_starts for job in self.job_table.open_jobs.values()),
+            start_record_budget=lambda: self.job_writer.start_record_budget(),
+        )
         self.cloud_client = CloudClient(settings.external.cloud, params.cloud.rps, clock)
-        self.scale_out = ScaleOut(params, self.fleet, self.scheduler, self.cloud_client, clock)
-        self.scale_out.fresh = lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent
-        self.scale_out.demand.intake_blocked = lambda: not self.store.healthy()
-        self.scale_out.on_catalog = lambda catalog: self.key_dispatcher.publish_catalog(catalog)
+        self.scale_out = ScaleOut(
+            params,
+            self.fleet,
+            self.scheduler,
+            self.cloud_client,
+            clock,
+            is_first_leadership=lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent,
+            intake_blocked=lambda: not self.store.healthy(),
+            relocation_requests=lambda: self.drains.relocations(),
+            on_catalog=lambda catalog: self.key_dispatcher.publish_catalog(catalog),
+        )
         exchange = NodePeerExchange(
             storage_version=lambda: self.storage_version,
             rate_shares=self.store.rate_shares,
@@ -125,10 +139,8 @@
             self.storage_version.allows_numbered_machines,
         )
         self.job_writer.delegation_guard.watched_revision = lambda: self.watch.watched_revision
-        self.scheduler.start_record_budget = self.job_writer.start_record_budget
         drain = (operations or Operations()).drain
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
-        self.scale_out.relocation_requests = self.drains.relocations
         self.job_service.cancellations_current = self.cancellations.records_are_current
         self.job_table.on_cancelled = self._on_cancelled
         self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
--- a/hookwall/scheduling/preemption.py
+++ b/hookwall/scheduling/preemption.py
@@ -124,7 +124,7 @@
         ]  # fmt: skip
 
     def _placeable_after_stops(self, request: ResourceRequest, machine_index: int) -> int:
-        """How many tasks fit on a machine once all that is told to stop there has ended."""
+        """How many tasks fit on a machine once all that was requested to stop there has ended."""
         machine = self.fleet.machines_by_index[machine_index]
         trial = replace(self.fleet.free_capacity(machine))
         for job, allocation in machine.allocations.values():
--- a/hookwall/scheduling/reservations.py
+++ b/hookwall/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Machines that are kept free: for gangs that wait, and for gangs of whole machines that are likely to come.
+"""Machines that are reserved or set aside: for gangs that wait, and for whole-machine gangs that are likely to come.
 
 Small tasks take each GPU that is freed, so without this no machine ever becomes empty.
 
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -58,7 +58,7 @@
         table: JobTable,
         fleet: Fleet,
         clock: Callable[[], float],
-        wall: Callable[[], float] = time.time,
+        time_of_day: Callable[[], float] = time.time,
         unstored_job_count: Callable[[], int] = lambda: 0,
         start_record_budget: Callable[[], StartRecordBudget] | None = None,
     ) -> None:
@@ -71,7 +71,7 @@
         self.table = table
         self.fleet = fleet
         self.clock = clock
-        self.time_of_day = wall
+        self.time_of_day = time_of_day
         self.unstored_job_count = unstored_job_count
         plain_bytes = plain_allocations_bytes(params.state.value_kb)
         plain = StartRecordBudget(plain_bytes, plain_bytes)
@@ -85,7 +85,7 @@
         self.latest_start_s = _latest_starts_s(params.objectives)
         team_settings = list(params.teams)
         self.quotas = Quotas(team_settings, table)
-        self.image_affinity = ImageAffinity(self.waiting, fleet, wall, self.latest_start_s)
+        self.image_affinity = ImageAffinity(self.waiting, fleet, time_of_day, self.latest_start_s)
         self.preemption = Preemption(team_settings, fleet, self.resource_request)
         self.reservations = Reservations(table, fleet, self.waiting, self.image_affinity, self.preemption)
         self.machine_selection = MachineSelection(fleet, self.reservations, self.image_affinity)
--- /dev/null
+++ b/tests/autoscaling/test_inventory.py
@@ -0,0 +1,99 @@
+"""The loop of the machine inventory."""
+
+import asyncio
+
+import pytest
+from conftest import Cluster
+from world import VirtualLoop
+
+from hookwall.autoscaling.cloud_client import CloudUnavailableError
+from hookwall.autoscaling.inventory import Inventory
+from hookwall.config.platform import PlatformParameters
+from hookwall.protocol import cloud_messages
+
+LISTED = [cloud_messages.ListedMachine(name="vm-1", type="g4", zone="east", phase="running")]
+
+
+class Cloud:
+    """Responds with a list after a while, or fails."""
+
+    page_size = 500
+
+    def __init__(self) -> None:
+        self.requests = 0
+        self.response_s = 1.0
+        self.fails = False
+
+    async def machines(self):
+        self.requests += 1
+        await asyncio.sleep(self.response_s)
+        if self.fails:
+            raise CloudUnavailableError("503")
+        return LISTED
+
+
+@pytest.fixture
+def play(cluster: Cluster, params: PlatformParameters):
+    """Runs a scenario beside the loop of a list, on one fake clock."""
+    loop = VirtualLoop()
+
+    def run(scenario, leads=lambda: True):
+        inventory = Inventory(cluster.fleet, Cloud(), params.cloud, loop.time)
+
+        async def main():
+            inventory.reset()
+            running = loop.create_task(inventory.run(leads))
+            await scenario(inventory)
+            running.cancel()
+
+        loop.run_until_complete(main())
+
+    yield run
+    loop.close()
+
+
+def test_a_list_counts_from_when_it_was_requested(play, cluster: Cluster):
+    async def scenario(inventory: Inventory):
+        while not inventory.has_listing:
+            await asyncio.sleep(0.1)
+        assert inventory.clock() - inventory.listed_at >= inventory.client.response_s
+        assert cluster.fleet.machines["vm-1"].last_listed_at == inventory.listed_at
+
+    play(scenario)
+
+
+def test_a_list_that_an_earlier_leadership_requested_is_ignored(play, cluster: Cluster):
+    async def scenario(inventory: Inventory):
+        while not inventory.client.requests:
+            await asyncio.sleep(0.1)
+        inventory.reset()
+        inventory.client.response_s = 60.0
+        await asyncio.sleep(2.0)
+        assert not inventory.has_listing and "vm-1" not in cluster.fleet.machines
+
+    play(scenario)
+
+
+def test_a_list_is_neither_requested_nor_applied_without_leadership(play, cluster: Cluster):
+    leading = [True]
+
+    async def scenario(inventory: Inventory):
+        while not inventory.client.requests:
+            await asyncio.sleep(0.1)
+        leading[0] = False
+        await asyncio.sleep(10.0)
+        assert inventory.client.requests == 1 and not inventory.has_listing
+
+    play(scenario, lambda: leading[0])
+
+
+def test_a_list_that_fails_is_requested_again_soon(play):
+    async def scenario(inventory: Inventory):
+        inventory.client.fails = True
+        await asyncio.sleep(10.0)
+        assert inventory.client.requests >= 4 and not inventory.has_listing
+        inventory.client.fails = False
+        await asyncio.sleep(3.0)
+        assert inventory.has_listing
+
+    play(scenario)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -162,7 +162,7 @@
         self.fleet.set_catalog(CATALOG)
         self.fleet.fencing_token = 5
         self.fleet.begin_validity(clock())
-        self.scheduler = Scheduler(params, self.table, self.fleet, clock, wall=lambda: clock() - 1000.0)
+        self.scheduler = Scheduler(params, self.table, self.fleet, clock, time_of_day=lambda: clock() - 1000.0)
         self.table.on_record_applied = self.fleet.replace_allocations
         self.stamp = 10
         self.ticks: dict[str, int] = {}
