--- a/hookwall/node/key_dispatch.py
+++ b/hookwall/node/key_dispatch.py
@@ -24,14 +24,13 @@
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.entries import KeyValueEntry
 from hookwall.storage.storage_version import StorageVersionGate
-from hookwall.storage.watch import Watch
+from hookwall.storage.watch import WatchProgress
 from hookwall.workers.fleet import Fleet
 
 log = logging.getLogger(__name__)
 
-KeyEntry = tuple[str, object, int]  # key, value, version
-
 
 class KeyDispatcher:
     """Takes in the stored keys for all subsystems of one node."""
@@ -39,7 +38,7 @@
     def __init__(
         self,
         store: KeyValueClient,
-        watch: Watch,
+        progress: WatchProgress,
         leadership: Leadership,
         job_table: JobTable,
         job_service: JobService,
@@ -53,7 +52,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.store = store
-        self.watch = watch
+        self.progress = progress
         self.leadership = leadership
         self.job_table = job_table
         self.job_service = job_service
@@ -113,11 +112,19 @@
             self.apply_key(key, value, version)
         if all(key != keys.LEADER_KEY for key, _, _ in entries):
             self.leadership.observe_leader_key({}, 0, revision)
-        self.watch.watched_revision = revision
-        self.watch.loaded = True
+        self.progress.watched_revision = revision
+        self.progress.loaded = True
         self._records_were_read(sent_at)
         log.info("read all records: jobs=%d", len(self.job_table.jobs))
 
+    def confirm_current(self, as_of: float) -> None:
+        """All that was stored before this moment, on this node's clock, has been applied."""
+        self.cancellations.confirm_records_read(as_of)
+
+    def is_leader(self) -> bool:
+        """Whether this node leads, and so needs changes sooner."""
+        return self.leadership.role is Role.LEADER
+
     async def load_for_leadership(self) -> None:
         """Rebuild a new leader's picture from the records as they are after its key was written."""
         self.job_table.invalidate_decisions()
@@ -131,7 +138,7 @@
         for job_id in list(self.job_table.chunks.unreadable_records):
             # Its chunks were replaced while the keys were read.
             await self.job_service.reload_record(keys.JOB_PREFIX + job_id)
-        self.watch.scanned_revision = revision
+        self.progress.scanned_revision = revision
         self._records_were_read(sent_at)
         self.catalog_was_absent = all(key != keys.CATALOG_KEY for key, _, _ in entries)
         self.fleet.reset(self.leadership.fencing_token)
@@ -143,7 +150,7 @@
         self.cancellations.all_records_read = True
         self.cancellations.confirm_records_read(sent_at)
 
-    def _drop_missing_delegations(self, entries: list[KeyEntry]) -> None:
+    def _drop_missing_delegations(self, entries: list[KeyValueEntry]) -> None:
         """Lease delegates' keys that a full read does not show are gone."""
         present = {key for key, _, _ in entries}
         delegated = self.fleet.delegated_leases
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -30,7 +30,7 @@
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.read_confirmation import ReadConfirmation
 from hookwall.storage.storage_version import StorageVersionGate
-from hookwall.storage.watch import Watch
+from hookwall.storage.watch import Watch, WatchProgress
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.heartbeat_router import HeartbeatReply, HeartbeatRouter
 from hookwall.workers.lease_delegate import LeaseDelegate
@@ -55,7 +55,7 @@
         params = settings.platform
         self.clock = clock
         self.store = KeyValueClient(settings.external.state, params.state, params.size, clock)
-        self.watch = Watch(self.store, clock)
+        self.watch_progress = WatchProgress()
         self.job_table = JobTable(clock)
         self.read_confirmation = ReadConfirmation(self.store, self._reload_record)
         self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
@@ -104,7 +104,7 @@
             self.leadership,
             self.store,
             clock,
-            self.watch.known_revision,
+            self.watch_progress.known_revision,
             self.job_table.apply_cancellation,
         )
         self.lease_delegate = LeaseDelegate(
@@ -124,11 +124,6 @@
             clock,
         )
         self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
-        self.watch.read_all = lambda: self.key_dispatcher.read_all()
-        self.watch.on_current = self.cancellations.confirm_records_read
-        self.watch.take = lambda key, value, version: self.key_dispatcher.apply_key(key, value, version)
-        self.watch.remove = lambda key, revision: self.key_dispatcher.apply_deletion(key, revision)
-        self.watch.leads = lambda: self.leadership.role is Role.LEADER
         self.job_writer.reload_record, self.job_writer.on_decisions_stored = (
             self._reload_record,
             self._on_decisions_stored,
@@ -138,7 +133,7 @@
             self.storage_version.allows_dependencies,
             self.storage_version.allows_numbered_machines,
         )
-        self.job_writer.delegation_guard.watched_revision = lambda: self.watch.watched_revision
+        self.job_writer.delegation_guard.watched_revision = lambda: self.watch_progress.watched_revision
         drain = (operations or Operations()).drain
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
         self.job_service.cancellations_current = self.cancellations.records_are_current
@@ -149,9 +144,10 @@
         self.round_requested = asyncio.Event()
         self.fleet.on_change = self.round_requested.set
         self.key_dispatcher = KeyDispatcher(
-            self.store, self.watch, self.leadership, self.job_table, self.job_service, self.job_writer,
+            self.store, self.watch_progress, self.leadership, self.job_table, self.job_service, self.job_writer,
             self.cancellations, self.fleet, self.scheduler, self.scale_out, self.storage_version, self.drains, clock,
         )  # fmt: skip
+        self.watch = Watch(self.store, self.watch_progress, self.key_dispatcher, clock)
         self.round_loop = RoundLoop(
             self.leadership, self.fleet, self.scheduler, self.job_writer, clock, self.round_requested
         )
@@ -211,7 +207,7 @@
 
     def is_healthy(self) -> bool:
         """Healthy while this node can serve users, or while it knows that no other node could either."""
-        if not self.watch.loaded:
+        if not self.watch_progress.loaded:
             return False
         return self.store.healthy() or self.leadership.peer_observations.store_outage_is_shared()
 
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -152,7 +152,7 @@
 
     async def scan(self, prefix: str) -> ScanResult:
         """All keys below a prefix, page by page; raises as `read` does."""
-        found: list[tuple[str, object, int]] = []
+        found: list[KeyValueEntry] = []
         first_revision: int | None = None
         after = ""
         while True:
--- a/hookwall/storage/entries.py
+++ b/hookwall/storage/entries.py
@@ -47,7 +47,7 @@
 class ScanResult(NamedTuple):
     """All keys below a prefix. Watching from this revision misses nothing after it."""
 
-    entries: list[tuple[str, object, int]]  # of KeyValueEntry
+    entries: list[KeyValueEntry]
     revision: int
 
 
--- a/hookwall/storage/watch.py
+++ b/hookwall/storage/watch.py
@@ -5,7 +5,9 @@
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
 
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.entries import KeyValueEntry
@@ -19,8 +21,28 @@
 RETRY_S = 0.4
 
 
-class Watch:
-    """Which changes this node has read.
+class KeyObserver(Protocol):
+    """What the watch asks of whoever applies the keys."""
+
+    async def read_all(self) -> None:
+        """Read and apply every key; sets `watched_revision` and `loaded` of the progress."""
+
+    def apply_key(self, key: str, value: object, version: int) -> None:
+        """A key was set."""
+
+    def apply_deletion(self, key: str, revision: int) -> None:
+        """A key was deleted."""
+
+    def confirm_current(self, as_of: float) -> None:
+        """All that was stored before this moment, on this node's clock, has been applied."""
+
+    def is_leader(self) -> bool:
+        """Whether this node leads, and so needs changes sooner."""
+
+
+@dataclass(slots=True)
+class WatchProgress:
+    """Which changes this node has applied.
 
     Attributes:
         loaded: whether all keys have been read since the last gap.
@@ -28,33 +50,37 @@
         scanned_revision: of the last full read by a new leader.
     """
 
-    def __init__(self, store: KeyValueClient, clock: Callable[[], float]) -> None:
-        """Follow this store."""
-        self.store = store
-        self.clock = clock
-        self.loaded = False
-        self.watched_revision = 0
-        self.scanned_revision = 0
-        self.read_all: Callable[[], Awaitable[None]]
-        self.take: Callable[[str, object, int], None]  # a key was set
-        self.remove: Callable[[str, int], None]  # a key was deleted
-        self.on_current: Callable[[float], None]  # all that was stored before this moment is known
-        self.leads: Callable[[], bool] = lambda: False
+    loaded: bool = False
+    watched_revision: int = 0
+    scanned_revision: int = 0
 
     def known_revision(self) -> int:
         """Up to which revision this node has read the records."""
         return max(self.watched_revision, self.scanned_revision)
 
+
+class Watch:
+    """Gives an observer every change of the stored keys."""
+
+    def __init__(
+        self, store: KeyValueClient, progress: WatchProgress, observer: KeyObserver, clock: Callable[[], float]
+    ) -> None:
+        """Follow this store, and note in `progress` how far."""
+        self.store = store
+        self.progress = progress
+        self.observer = observer
+        self.clock = clock
+
     async def run(self) -> None:
         """Give the observer every change, for ever."""
         while True:
             try:
-                if not self.loaded:
-                    await self.read_all()
+                if not self.progress.loaded:
+                    await self.observer.read_all()
                 await self._follow()
-                await asyncio.sleep(LEADER_PAUSE_S if self.leads() else FOLLOWER_PAUSE_S)
+                await asyncio.sleep(LEADER_PAUSE_S if self.observer.is_leader() else FOLLOWER_PAUSE_S)
             except RevisionCompactedError:
-                self.loaded = False
+                self.progress.loaded = False
             except (RequestRejectedError, OutcomeUnknownError) as error:
                 log.debug("key watch failed: error=%s", error)
                 await asyncio.sleep(RETRY_S)
@@ -62,11 +88,11 @@
     async def _follow(self) -> None:
         """Apply one batch of changes."""
         sent_at = self.clock()
-        changes, revision = await self.store.read_changes(self.watched_revision, WATCH_S)
+        changes, revision = await self.store.read_changes(self.progress.watched_revision, WATCH_S)
         for change in changes:
             if isinstance(change, KeyValueEntry):
-                self.take(*change)
+                self.observer.apply_key(*change)
             else:
-                self.remove(*change)
-        self.watched_revision = revision
-        self.on_current(sent_at)
+                self.observer.apply_deletion(*change)
+        self.progress.watched_revision = revision
+        self.observer.confirm_current(sent_at)
--- /dev/null
+++ b/tests/storage/test_watch.py
@@ -0,0 +1,66 @@
+"""What the watch gives its observer."""
+
+import asyncio
+import json
+
+import pytest
+from conftest import Clock
+from key_value_stub import store_with
+
+from hookwall.config.platform import PlatformParameters
+from hookwall.storage.watch import Watch, WatchProgress
+
+
+class Observer:
+    """Notes what it is given; a full read ends at revision 5."""
+
+    def __init__(self, progress: WatchProgress) -> None:
+        self.progress = progress
+        self.events: list[tuple] = []
+
+    async def read_all(self) -> None:
+        self.events.append(("read all",))
+        self.progress.watched_revision = 5
+        self.progress.loaded = True
+
+    def apply_key(self, key: str, value: object, version: int) -> None:
+        self.events.append(("set", key, value, version))
+
+    def apply_deletion(self, key: str, revision: int) -> None:
+        self.events.append(("deleted", key, revision))
+
+    def confirm_current(self, as_of: float) -> None:
+        self.events.append(("current", as_of))
+
+    def is_leader(self) -> bool:
+        return True
+
+
+def watch_all(params: PlatformParameters, clock: Clock, *responses: tuple[int, bytes]):
+    """How far the watch gets, and what its observer is given, until the responses are used up."""
+    progress = WatchProgress()
+    observer = Observer(progress)
+    watch = Watch(store_with(params.state, clock, *responses), progress, observer, clock)
+    with pytest.raises(IndexError):
+        asyncio.run(watch.run())
+    return progress, observer.events
+
+
+def test_changes_are_given_in_order_and_unreadable_ones_are_passed_over(params: PlatformParameters, clock: Clock):
+    log = [
+        {"set": "a", "value": 1, "stamp": 6},
+        3,
+        {"set": "b", "stamp": "6"},
+        {"stamp": 6},
+        {"delete": "a", "stamp": 7},
+    ]
+    progress, events = watch_all(params, clock, (200, json.dumps({"epoch": 8, "log": log}).encode()))
+    assert events == [("read all",), ("set", "a", 1, 6), ("deleted", "a", 7), ("current", clock())]
+    assert progress.known_revision() == 8
+
+
+def test_all_keys_are_read_again_after_changes_were_compacted(params: PlatformParameters, clock: Clock):
+    responses = ((200, b'{"epoch":9,"log":[]}'), (410, b"{}"), (200, b'{"epoch":6,"log":[]}'))
+    progress, events = watch_all(params, clock, *responses)
+    assert events == [("read all",), ("current", clock()), ("read all",), ("current", clock())]
+    assert progress.watched_revision == 6
