--- /dev/null
+++ b/tests/autoscaling/scripted_cloud.py
@@ -0,0 +1,25 @@
+"""A cloud that responds as a test says, and autoscaling that asks it."""
+
+from conftest import Clock, Cluster
+
+from hookwall.autoscaling.scale_out import ScaleOut
+from hookwall.config.platform import PlatformParameters
+
+
+class ScriptedCloud:
+    """Responds to provisioning requests as `respond` says."""
+
+    def __init__(self) -> None:
+        self.requests: list[tuple] = []
+        self.respond = lambda count: [f"vm-9{i}" for i in range(count)]
+
+    async def provision(self, request_name, type_, zone, spot, count):
+        self.requests.append((request_name, type_, zone, spot, count))
+        return self.respond(count)
+
+
+def new_scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+    """Autoscaling of a leadership that begins now."""
+    scale_out = ScaleOut(params, cluster.fleet, cluster.scheduler, ScriptedCloud(), clock)
+    scale_out.reset()
+    return scale_out
--- a/tests/autoscaling/test_inventory.py
+++ b/tests/autoscaling/test_inventory.py
@@ -1,15 +1,18 @@
-"""The loop of the machine inventory."""
+"""The machine inventory: its loop, and what a list changes."""
 
 import asyncio
 
 import pytest
-from conftest import Cluster
+from conftest import Clock, Cluster
+from scripted_cloud import new_scale_out
 from world import VirtualLoop
 
 from hookwall.autoscaling.cloud_client import CloudUnavailableError
 from hookwall.autoscaling.inventory import Inventory
+from hookwall.autoscaling.scale_out import ScaleOut
 from hookwall.config.platform import PlatformParameters
 from hookwall.protocol import cloud_messages
+from hookwall.workers.machine import MachinePhase
 
 LISTED = [cloud_messages.ListedMachine(name="vm-1", type="g4", zone="east", phase="running")]
 
@@ -52,6 +55,11 @@
     loop.close()
 
 
+@pytest.fixture
+def scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+    return new_scale_out(cluster, params, clock)
+
+
 def test_a_list_counts_from_when_it_was_requested(play, cluster: Cluster):
     async def scenario(inventory: Inventory):
         while not inventory.has_listing:
@@ -97,3 +105,24 @@
         assert inventory.has_listing
 
     play(scenario)
+
+
+def test_machines_that_nobody_requested_are_used(cluster: Cluster, scale_out: ScaleOut):
+    scale_out.inventory.apply_listing(
+        [cloud_messages.ListedMachine(name="vm-77", type="g4", zone="west", phase="running")], cluster.clock()
+    )
+    assert cluster.fleet.machines["vm-77"].phase is MachinePhase.BOOTING
+    cluster.beat("vm-77", zone="west")
+    job = cluster.submit(1)
+    cluster.scheduler.run_round()
+    assert job.allocations[0].machine == "vm-77"
+
+
+def test_a_late_list_does_not_bring_a_deleted_machine_back(cluster: Cluster, scale_out: ScaleOut):
+    """It would count as incoming, and nothing would be provisioned in its place."""
+    cluster.beat("vm-1")
+    cluster.fleet.confirm_deletion(cluster.fleet.machines["vm-1"], "deleted")
+    scale_out.inventory.apply_listing(
+        [cloud_messages.ListedMachine(name="vm-1", type="g4", zone="east", phase="running")], cluster.clock()
+    )
+    assert "vm-1" not in cluster.fleet.machines
--- a/tests/scheduling/test_fit.py
+++ b/tests/scheduling/test_fit.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("needs", "weight", "whole"),
+    ("needs", "machine_share", "whole_machine"),
     [
         ({"cards": 1.0}, 0.25, False),
         ({"cards": 3.0}, 1.0, True),
@@ -19,12 +19,15 @@
         ({"cards": 5.0}, 0.0, True),
     ],
 )
-def test_what_a_task_takes_of_a_machine(cluster: Cluster, needs, weight, whole):
+def test_a_task_s_share_of_a_machine_is_that_of_the_resource_it_uses_most(
+    cluster: Cluster, needs, machine_share, whole_machine
+):
     fit = task_fit(cluster.submit(1, **needs), cluster.fleet)
-    assert (fit.machine_share, fit.needs_whole_machine, fit.startup_s) == (weight, whole, 25.0 + 5.0 / 0.5)
+    assert (fit.machine_share, fit.needs_whole_machine) == (machine_share, whole_machine)
+    assert fit.startup_s == 25.0 + 5.0 / 0.5
 
 
-def test_a_new_catalog_is_taken_into_account(cluster: Cluster):
+def test_a_new_catalog_changes_the_fit(cluster: Cluster):
     job = cluster.submit(1, cards=1.0)
     assert task_fit(job, cluster.fleet).machine_share == 0.25
     larger = msgspec.structs.replace(CATALOG.types[0], gpus=8.0, cpus=64.0, memory_gb=512.0, boot_s=40.0)
--- /dev/null
+++ b/tests/scheduling/test_image_affinity.py
@@ -0,0 +1,109 @@
+"""Jobs that wait leave machines to those whose image these have, for a while."""
+
+import msgspec
+from conftest import Cluster
+from scheduling_steps import bring_up
+
+
+def test_a_machine_reserved_without_the_image_is_used_once_it_is_free(cluster: Cluster):
+    """It was left empty for twelve seconds, as if the machine that had the image were on its way."""
+    bring_up(cluster, "vm-1")
+    low = cluster.submit(1, pieces=4, rank="low")
+    cluster.scheduler.run_round()
+    urgent = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
+    cluster.scheduler.run_round()
+    assert cluster.fleet.machines["vm-1"].reserved_for == urgent.job_id
+    for a in list(low.allocations.values()):
+        cluster.fleet.release_allocation(low, a, "halted")
+    cluster.scheduler.run_round()
+    assert urgent.allocations
+
+
+def test_in_a_queue_a_machine_goes_to_the_job_whose_image_it_has(cluster: Cluster):
+    bring_up(cluster, "vm-1")
+    m = cluster.fleet.machines["vm-1"]
+    running = cluster.submit(1, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
+    cluster.scheduler.run_round()
+    first = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
+    second = cluster.submit(3, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
+    cluster.scheduler.run_round()
+    m.cached_images[cluster.fleet.image_names.index_of("img-8")] = 10.0
+    cluster.fleet.release_allocation(running, running.allocations[0], "halted")
+    running.phase = "withdrawn"
+    cluster.scheduler.run_round()
+    assert second.allocations and not first.allocations
+    # But not for ever.
+    cluster.fleet.release_allocation(second, second.allocations[0], "halted")
+    cluster.clock.tick(8.0)
+    bring_up(cluster, "vm-1")
+    cluster.scheduler.run_round()
+    assert first.allocations
+
+
+def queue_of_pairs(cluster: Cluster):
+    """Two machines with an image that the second of two waiting gangs of two needs, and the first does not."""
+    bring_up(cluster, "vm-1", "vm-2")
+    pair = {"shape": "ensemble", "pieces": 2, "cards": 4.0, "sizeGb": 10.0}
+    running = cluster.submit(1, **pair, bundle="img-8")
+    cluster.scheduler.run_round()
+    first, second = cluster.submit(2, **pair, bundle="img-9"), cluster.submit(3, **pair, bundle="img-8")
+    cluster.scheduler.run_round()
+    for name in ("vm-1", "vm-2"):
+        cluster.fleet.record_image_use(cluster.fleet.machines[name], cluster.fleet.image_names.index_of("img-8"), 10.0)
+    for a in list(running.allocations.values()):
+        cluster.fleet.release_allocation(running, a, "halted")
+    running.phase = "withdrawn"
+    return first, second
+
+
+def test_in_a_queue_gangs_of_several_yield_machines_to_the_gang_whose_image_they_have(cluster: Cluster):
+    first, second = queue_of_pairs(cluster)
+    cluster.scheduler.run_round()
+    assert len(second.allocations) == 2 and not first.allocations
+    # But not for ever: the fetch takes 20 s.
+    for a in list(second.allocations.values()):
+        cluster.fleet.release_allocation(second, a, "halted")
+    cluster.clock.tick(25.0)
+    bring_up(cluster, "vm-1", "vm-2")
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 2
+
+
+def test_a_gang_that_would_miss_the_latest_start_of_its_class_yields_nothing(cluster: Cluster):
+    cluster.scheduler.latest_start_s["k"] = 60.0
+    first, second = queue_of_pairs(cluster)
+    cluster.clock.tick(45.0)  # and it has waited for 43 s, under whatever leader
+    bring_up(cluster, "vm-1", "vm-2")
+    for queued in cluster.scheduler.waiting.values():
+        queued.waiting_since = queued.last_served_at = cluster.clock()
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 2 and not second.allocations
+
+
+def test_in_a_queue_arrays_yield_freed_gpus_to_those_whose_image_is_there(cluster: Cluster):
+    bring_up(cluster, "vm-1")
+    m = cluster.fleet.machines["vm-1"]
+    full = cluster.submit(1, pieces=4, bundle="img-8")
+    cluster.scheduler.run_round()
+    first = cluster.submit(2, pieces=2, bundle="img-9", sizeGb=10.0)
+    second = cluster.submit(3, pieces=2, bundle="img-8", sizeGb=10.0)
+    cluster.scheduler.run_round()
+    m.cached_images[cluster.fleet.image_names.index_of("img-8")] = 10.0
+    cluster.fleet.release_allocation(full, full.allocations[0], "done")
+    full.mark_task_done(0)
+    cluster.scheduler.run_round()
+    assert len(second.allocations) == 1 and not first.allocations
+    cluster.clock.tick(15.0)
+    bring_up(cluster, "vm-1")
+    cluster.fleet.release_allocation(full, full.allocations[1], "done")
+    full.mark_task_done(1)
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 1, "but not for ever"
+
+
+def test_a_gang_that_starves_yields_nothing_to_equals_whatever_the_fetch_takes(cluster: Cluster):
+    first, second = queue_of_pairs(cluster)
+    first.spec = msgspec.structs.replace(first.spec, image_gb=100.0)  # 200 s to fetch
+    cluster.scheduler.waiting[first.job_id].last_served_at = cluster.clock() - 61.0
+    cluster.scheduler.run_round()
+    assert len(first.allocations) == 2 and not second.allocations
--- /dev/null
+++ b/tests/scheduling/test_reservations.py
@@ -0,0 +1,145 @@
+"""Machines that are reserved for gangs that wait, or set aside for those that are expected."""
+
+from conftest import Cluster
+from scheduling_steps import bring_up
+
+
+def test_a_waiting_gang_is_not_starved_by_later_small_jobs(cluster: Cluster):
+    bring_up(cluster, "vm-1")
+    small = cluster.submit(1, pieces=2)
+    cluster.scheduler.run_round()
+    cluster.store()
+    gang = cluster.submit(2, shape="ensemble", cards=4.0)
+    cluster.scheduler.run_round()
+    cluster.clock.tick(1.5)
+    bring_up(cluster, "vm-1")
+    later = cluster.submit(3, pieces=2)
+    cluster.scheduler.run_round()
+    assert not later.allocations and not gang.allocations and len(small.allocations) == 2
+
+
+def test_some_machines_are_set_aside_for_gangs_that_need_one_whole(cluster: Cluster):
+    """Small tasks of the same rank refill each GPU that is freed: a gang waited for minutes under load."""
+    bring_up(cluster, "vm-1", "vm-2")
+    gang = cluster.submit(1, shape="ensemble", cards=4.0)
+    for _ in range(60):
+        cluster.clock.tick(5.0)
+        bring_up(cluster, "vm-1", "vm-2")
+        cluster.scheduler.run_round()
+    assert len(gang.allocations) == 1
+    cluster.submit(2, pieces=8)
+    cluster.scheduler.run_round()
+    used = {m.name for m in cluster.fleet.machines.values() if m.allocations}
+    assert used == {gang.allocations[0].machine}
+
+
+def test_the_zone_reserved_for_a_gang_does_not_change(cluster: Cluster):
+    for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
+        cluster.beat(name, zone=zone)
+    fillers = [cluster.submit(n, pieces=1, cards=c, yard=z) for n, c, z in ((1, 2.0, "east"), (2, 2.0, "west"))]
+    fillers.append(cluster.submit(3, pieces=1, cards=1.0, yard="west"))
+    cluster.scheduler.run_round()
+    gang = cluster.submit(4, shape="ensemble", pieces=2, cards=4.0, samePlace=True)
+    cluster.scheduler.run_round()
+    cluster.clock.tick(2.0)
+    for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
+        cluster.beat(name, zone=zone)
+    cluster.scheduler.run_round()
+    zone = cluster.scheduler.waiting[gang.job_id].reserved_zone
+    assert zone == cluster.fleet.zone_names.index_of("east")
+    cluster.fleet.release_allocation(fillers[2], fillers[2].allocations[0], "done")
+    later = cluster.submit(5, pieces=4)
+    cluster.scheduler.run_round()
+    assert cluster.scheduler.waiting[gang.job_id].reserved_zone == zone
+    assert {a.machine[0] for a in later.allocations.values()} == {"w"}
+
+
+def test_gangs_of_a_queue_reserve_each_machine_once(cluster: Cluster):
+    # What is still unreserved is cached for a round, and must not name a machine twice.
+    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+    cluster.submit(1, pieces=16)
+    cluster.scheduler.run_round()
+    gangs = [cluster.submit(n, shape="ensemble", pieces=2, cards=4.0) for n in (2, 3, 4)]
+    cluster.scheduler.run_round()
+    cluster.clock.tick(1.5)
+    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+    state = cluster.scheduler.round_state(cluster.clock())
+    for gang in gangs:
+        cluster.scheduler.reservations.reserve_for_gang(
+            gang, cluster.scheduler.resource_request(gang, 2), state, cluster.clock()
+        )
+    assert sorted(state.reserved_for.values()) == [gangs[0].job_id] * 2 + [gangs[1].job_id] * 2
+
+
+def test_arrays_yield_the_emptiest_machines_to_a_gang_that_waits(cluster: Cluster):
+    """Older arrays refilled each GPU that was freed, and gangs of whole machines waited for minutes."""
+    bring_up(cluster, "vm-1", "vm-2")
+    old = cluster.submit(1, pieces=20, loaners=True)
+    cluster.scheduler.run_round()
+    cluster.store()
+    gang = cluster.submit(2, shape="ensemble", cards=4.0)
+    cluster.scheduler.run_round()
+    for a in [a for a in old.allocations.values() if a.machine == "vm-1"]:
+        cluster.clock.tick(1.0)
+        old.mark_task_done(a.task)
+        cluster.fleet.release_allocation(old, a, "done")
+        bring_up(cluster, "vm-1", "vm-2")
+        cluster.scheduler.run_round()
+    assert gang.allocations[0].machine == "vm-1"
+
+
+def test_an_array_that_starves_gets_machines_set_aside_for_waiting_gangs(cluster: Cluster):
+    bring_up(cluster, "vm-1")
+    old = cluster.submit(1, pieces=20, loaners=True)
+    cluster.scheduler.run_round()
+    cluster.store()
+    gang = cluster.submit(2, shape="ensemble", pieces=2, cards=4.0)
+    cluster.scheduler.run_round()
+    first = next(iter(old.allocations.values()))
+    old.mark_task_done(first.task)
+    cluster.fleet.release_allocation(old, first, "done")
+    cluster.scheduler.run_round()
+    assert len(old.allocations) == 3 and not gang.allocations
+    for _ in range(40):
+        cluster.clock.tick(2.0)
+        bring_up(cluster, "vm-1")
+        cluster.scheduler.run_round()
+    assert len(old.allocations) == 4, "the gang lacks a second machine, and the array starved"
+
+
+def test_a_job_that_starves_gets_machines_set_aside_for_expected_gangs(cluster: Cluster):
+    """Nobody has a guarantee here, so an array waited for as long as gangs might come, beside idle machines."""
+    bring_up(cluster, "vm-1", "vm-2")
+    gang = cluster.submit(1, shape="ensemble", cards=4.0)
+    for _ in range(60):
+        cluster.clock.tick(5.0)
+        bring_up(cluster, "vm-1", "vm-2")
+        cluster.scheduler.run_round()
+    assert len(gang.allocations) == 1
+    array = cluster.submit(2, pieces=4)
+    cluster.scheduler.run_round()
+    assert not array.allocations
+    for _ in range(44):
+        cluster.clock.tick(2.0)
+        bring_up(cluster, "vm-1", "vm-2")
+        cluster.scheduler.run_round()
+    assert len(array.allocations) == 4
+
+
+def test_what_is_reserved_in_vain_for_long_goes_to_a_job_that_starves(cluster: Cluster):
+    """A gang waits for a second machine; the first stood idle for it, whoever else could have used it."""
+    bring_up(cluster, "vm-1")
+    gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0, rank="urgent")
+    cluster.scheduler.run_round()
+    cluster.clock.tick(2.0)
+    bring_up(cluster, "vm-1")
+    cluster.scheduler.run_round()
+    later = cluster.submit(2, rank="low")
+    waited = 0.0
+    while not later.allocations:
+        cluster.scheduler.run_round()
+        cluster.clock.tick(2.0)
+        waited += 2.0
+        bring_up(cluster, "vm-1")
+        assert waited < 90.0
+    assert waited > 50.0 and not gang.allocations
