--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -22,17 +22,16 @@
 from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import Role
 from hookwall.leadership.state_machine import Leadership
-from hookwall.leadership.vote_fence import VoteFence
 from hookwall.node.key_dispatch import KeyDispatcher
+from hookwall.node.peer_exchange import NodePeerExchange
 from hookwall.node.round_loop import RoundLoop
 from hookwall.node.supervision import Loop, run_supervised
-from hookwall.protocol.peer_messages import PeerStatus
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.read_confirmation import ReadConfirmation
 from hookwall.storage.storage_version import StorageVersionGate
-from hookwall.storage.watch import Watch
+from hookwall.storage.watch import Watch, WatchProgress
 from hookwall.workers.delegation_guard import DelegationGuard
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.heartbeat_router import HeartbeatReply, HeartbeatRouter
@@ -58,31 +57,56 @@
         params = settings.platform
         self.clock = clock
         self.store = KeyValueClient(settings.external.state, params.state, params.size, clock)
-        self.watch = Watch(self.store, clock)
+        self.watch_progress = WatchProgress()
         self.job_table = JobTable(clock, self._on_record_applied, self._on_cancelled)
         self.record_reader = JobRecordReader(self.job_table, self.store)
         self.read_confirmation = ReadConfirmation(self.store, self.record_reader.reload)
         self.fleet = Fleet(params, self.job_table, clock)
-        self.scheduler = Scheduler(params, self.job_table, self.fleet, clock, wall)
-        self.scheduler.unstored_job_count = lambda: sum(j.has_unsaved_starts for j in self.job_table.open_jobs.values())
+        self.scheduler = Scheduler(
+            params,
+            self.job_table,
+            self.fleet,
+            clock,
+            wall,
+            unstored_job_count=lambda: sum(job.has_unsaved_starts for job in self.job_table.open_jobs.values()),
+            start_record_budget=lambda: self.job_writer.start_record_budget(),
+        )
         self.cloud_client = CloudClient(settings.external.cloud, params.cloud.rps, clock)
-        self.scale_out = ScaleOut(params, self.fleet, self.scheduler, self.cloud_client, clock)
-        self.scale_out.fresh = lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent
-        self.scale_out.demand.intake_blocked = lambda: not self.store.healthy()
-        self.scale_out.on_catalog = lambda catalog: self.key_dispatcher.publish_catalog(catalog)
+        self.scale_out = ScaleOut(
+            params,
+            self.fleet,
+            self.scheduler,
+            self.cloud_client,
+            clock,
+            is_first_leadership=lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent,
+            intake_blocked=lambda: not self.store.healthy(),
+            relocation_requests=lambda: self.drains.relocations(),
+            on_catalog=lambda catalog: self.key_dispatcher.publish_catalog(catalog),
+        )
+        exchange = NodePeerExchange(
+            storage_version=lambda: self.storage_version,
+            rate_shares=self.store.rate_shares,
+            hints=self.fleet.successor_hints,
+            cancellations=lambda: self.cancellations,
+        )
         self.leadership = Leadership(
-            settings.node_name, params.size, [PeerConnection(s) for s in settings.seeds], self.store, clock,
-            lambda: self.key_dispatcher.load_for_leadership(), self._on_role_change,
-        )  # fmt: skip
-        self.leadership.vote_fence = VoteFence(
-            settings.node_name, self.store, self.leadership.observe_fenced_leader_key
+            settings.node_name,
+            params.size,
+            [PeerConnection(seed) for seed in settings.seeds],
+            self.store,
+            clock,
+            lambda: self.key_dispatcher.load_for_leadership(),
+            self._on_role_change,
+            on_validity_lapse=self.fleet.end_validity,
+            exchange=exchange,
+            fence_votes=True,
         )
         self.cancellations = CancellationLedger(
             params.workers,
             self.leadership,
             self.store,
             clock,
-            self.watch.known_revision,
+            self.watch_progress.known_revision,
             self.job_table.apply_cancellation,
         )
         self.lease_delegate = LeaseDelegate(
@@ -94,59 +118,50 @@
         )
         self.storage_version = StorageVersionGate(settings.node_name, peer_names, self.store)
         self.delegation_guard = DelegationGuard(
-            self.job_table, self.store, self.fleet.delegated_leases,
-            [keys.LEASE_DELEGATE_PREFIX + name for name in peer_names], clock,
-        )  # fmt: skip
+            self.job_table,
+            self.store,
+            self.fleet.delegated_leases,
+            [keys.LEASE_DELEGATE_PREFIX + name for name in peer_names],
+            clock,
+            watched_revision=lambda: self.watch_progress.watched_revision,
+        )
         self.job_writer = JobWriter(
-            self.job_table, self.store, self.leadership, self.delegation_guard, self.record_reader.reload, clock,
-            packing_enabled=self.storage_version.allows_dependencies, on_decisions_stored=self._on_decisions_stored,
-        )  # fmt: skip
+            self.job_table,
+            self.store,
+            self.leadership,
+            self.delegation_guard,
+            self.record_reader.reload,
+            clock,
+            packing_enabled=self.storage_version.allows_dependencies,
+            on_decisions_stored=self._on_decisions_stored,
+        )
         self.job_service = JobService(
-            params, self.job_table, self.store, self.record_reader, self.read_confirmation, wall,
+            params,
+            self.job_table,
+            self.store,
+            self.record_reader,
+            self.read_confirmation,
+            wall,
             confirm_cancellation=self.cancellations.confirm_cancellation,
             packing_enabled=self.storage_version.allows_dependencies,
             cancellations_current=self.cancellations.records_are_current,
-        )  # fmt: skip
+        )
         self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
-        self.watch.read_all = lambda: self.key_dispatcher.read_all()
-        self.watch.on_current = self.cancellations.confirm_records_read
-        self.watch.take = lambda key, value, version: self.key_dispatcher.apply_key(key, value, version)
-        self.watch.remove = lambda key, revision: self.key_dispatcher.apply_deletion(key, revision)
-        self.watch.leads = lambda: self.leadership.role is Role.LEADER
         self.lease_delegate.packed_names, self.lease_delegate.numbered_names = (
             self.storage_version.allows_dependencies,
             self.storage_version.allows_numbered_machines,
         )
-        self.delegation_guard.watched_revision = lambda: self.watch.watched_revision
-        self.scheduler.start_record_budget = self.job_writer.start_record_budget
         drain = (operations or Operations()).drain
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
-        self.scale_out.relocation_requests = self.drains.relocations
-        self.leadership.local_status, self.leadership.on_peer_status = self._local_status, self._on_peer_status
-        self.leadership.rate_demand, self.leadership.lend_rate = (
-            self.store.rate_shares.demand.rates_per_s,
-            self.store.rate_shares.lend_rates,
-        )
-        self.leadership.on_rate_lent = self.store.rate_shares.borrow_rates
-        self.leadership.records_revision, self.leadership.known_cancellations = (
-            self.cancellations.records_revision,
-            self.cancellations.known_cancellations,
-        )
-        self.leadership.on_known_cancellations, self.leadership.on_cancellations_announced = (
-            self.cancellations.on_known_cancellations,
-            self.cancellations.on_cancellations_announced,
-        )
-        self.leadership.on_validity_lapse = self.fleet.end_validity
-        self.leadership.successor_hints = self.fleet.successor_hints.next_message
-        self.leadership.on_successor_hints = self.fleet.successor_hints.apply_message
         self.fleet.delegated_leases.on_machines_delegated = self._on_machines_delegated
         self.round_requested = asyncio.Event()
         self.fleet.on_change = self.round_requested.set
         self.key_dispatcher = KeyDispatcher(
-            self.store, self.watch, self.leadership, self.job_table, self.job_service, self.record_reader,
+            self.store, self.watch_progress, self.leadership, self.job_table, self.job_service, self.record_reader,
             self.delegation_guard, self.cancellations, self.fleet, self.scheduler, self.scale_out, self.storage_version,
             self.drains, clock,
         )  # fmt: skip
+        self.watch = Watch(self.store, self.watch_progress, self.key_dispatcher, clock)
         self.round_loop = RoundLoop(
             self.leadership, self.fleet, self.scheduler, self.job_writer, clock, self.round_requested
         )
@@ -171,16 +186,6 @@
         """Decisions were stored: starts can be launched, and others may be ready."""
         self.round_requested.set()
 
-    def _local_status(self) -> PeerStatus:
-        """What this node says of itself in each message to its peers."""
-        return PeerStatus(self.storage_version.current_version, self.store.rate_shares.has_seen_lower_limits())
-
-    def _on_peer_status(self, node: str, about: PeerStatus) -> None:
-        """What a peer says of itself; older programs say nothing."""
-        self.storage_version.record_reported_version(node, about.storage_version)
-        if about.limits_lowered:
-            self.store.rate_shares.apply_lower_limits(f"{node} says so")
-
     def _on_record_applied(self, job: Job, before: list[Allocation]) -> None:
         if self.leadership.role is Role.LEADER:
             self.fleet.replace_allocations(job, before)
@@ -213,9 +218,9 @@
 
     def is_healthy(self) -> bool:
         """Healthy while this node can serve users, or while it knows that no other node could either."""
-        if not self.watch.loaded:
+        if not self.watch_progress.loaded:
             return False
-        return self.store.healthy() or self.leadership.store_outage_is_shared()
+        return self.store.healthy() or self.leadership.peer_observations.store_outage_is_shared()
 
     async def run(self) -> None:
         await self.store.open()
@@ -245,7 +250,7 @@
             "formats": self.storage_version.run,
             "round": self.round_loop.run,
             "ping": lead.peer_heartbeat.run,
-            "probe": lead.probe_store,
+            "probe": lead.store_probe.run,
             **({"fence": lead.vote_fence.establish} if lead.vote_fence is not None else {}),
             "lead": lambda: lead.run(lambda: bool(self.fleet.machines)),
             "keep": self.lease_delegate.run,
