--- a/hookwall/config/platform.py
+++ b/hookwall/config/platform.py
@@ -66,7 +66,15 @@
 
 
 class WorkerTimings(msgspec.Struct, frozen=True):
-    """Seconds between heartbeats, of a lease, of the waits of gangs, and until a cancellation must be in effect."""
+    """Times of workers and their tasks, in seconds.
+
+    Attributes:
+        report_s: between two heartbeats.
+        lease_s: how long a worker runs its tasks after the last answered heartbeat was sent.
+        gang_wait_s: how long a task waits for its gang to be complete.
+        gang_peer_s: after which a running gang's tasks notice that one is gone.
+        cancel_s: by when no task of a cancelled job may run.
+    """
 
     report_s: float
     lease_s: float
--- a/hookwall/protocol/cloud_messages.py
+++ b/hookwall/protocol/cloud_messages.py
@@ -6,7 +6,15 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A type of machine that can be provisioned, with its capacity and its prices."""
+    """A type of machine that can be provisioned.
+
+    Attributes:
+        image_cache_gb: room for images on its disk.
+        image_pull_gb_per_s: how fast it fetches images.
+        price, spot_price: per hour.
+        boot_s: the usual time until its worker reports.
+        zones: where it can be provisioned.
+    """
 
     name: str = msgspec.field(name="label")
     cpus: Amount = msgspec.field(name="cores")
--- a/hookwall/protocol/heartbeat_messages.py
+++ b/hookwall/protocol/heartbeat_messages.py
@@ -17,7 +17,12 @@
 
 
 class TaskStatus(msgspec.Struct):
-    """An attempt of a task as its worker reports it."""
+    """An attempt of a task as its worker reports it.
+
+    Attributes:
+        cause: why it has exited; None before.
+        checkpointed: whether its progress was stored when it was stopped.
+    """
 
     task_id: str = msgspec.field(name="piece")
     attempt: Count = msgspec.field(name="try")
@@ -27,10 +32,14 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """A worker's heartbeat: which machine, which incarnation of its agent, and the status of its tasks.
-
-    `epoch` grows with each incarnation, `sequence` with each heartbeat of one; `fencing_token` is the newest leader's
-    that the agent knows. `preemption_notice_s` are the seconds left where the machine is being preempted.
+    """A worker's heartbeat: its machine, and the status of all tasks on it.
+
+    Attributes:
+        epoch: starts at 1 and grows each time the worker's lease expires.
+        sequence: grows with every message of the worker; of two, the one with the larger (epoch, sequence) is newer.
+        fencing_token: the highest that the worker has seen.
+        preemption_notice_s: seconds until the cloud preempts the machine; None: it does not.
+        tasks: all on the machine, exited ones until they are forgotten.
     """
 
     machine: str = msgspec.field(name="host")
@@ -87,7 +96,7 @@
 
 
 def stop_command(task_id: str, attempt: int, grace_s: float) -> Command:
-    """Stop an attempt, which has `grace_s` seconds to store a checkpoint."""
+    """Stop an attempt, which may checkpoint if it needs at most `grace_s` seconds."""
     return Command("stop", task_id, attempt, grace_s)
 
 
--- a/hookwall/protocol/job_messages.py
+++ b/hookwall/protocol/job_messages.py
@@ -28,7 +28,22 @@
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
     """What a user asks for. Stored as it came, under the same names.
 
-    `cpus`, `gpus` and `memory_gb` are those of one task, `dependencies` the jobs that have to be done before.
+    Attributes:
+        job_class: for which the settings may have service-level objectives.
+        team: whose quota it counts towards.
+        kind: one of `JOB_KINDS`.
+        rank: one of `RANKS`.
+        cpus, gpus, memory_gb: the resources that one task requests.
+        image, image_gb: what a machine must have fetched before a task can start, and its size.
+        one_zone: whether all tasks must be in the same zone.
+        spread: whether at most half of the tasks, rounded up, may be in one zone.
+        spot: whether spot instances may run it.
+        estimated_duration_s: the user's estimate of a task's run time without fetching its image.
+        checkpoint_interval_s: of progress, after which a running task checkpoints by itself; 0: it never does.
+        checkpoint_cost_s: how long a task needs to checkpoint when it is stopped.
+        types, zone: the allowed machine types and the only allowed zone; None: any.
+        due_s: seconds after its submission by which it should be complete; None: no deadline.
+        dependencies: the jobs that have to be done before; None: none.
     """
 
     job_id: str = msgspec.field(name="ref")
--- a/hookwall/storage/rate_shares.py
+++ b/hookwall/storage/rate_shares.py
@@ -1,8 +1,7 @@
 """This node's share of the key-value store's limits, and the rates that a leader lends to a follower.
 
-Invariant: the shares of all nodes together stay below the store's limits. What a leader lends it does not use itself,
-and both forget a loan after the same time; the borrower, whose loan begins later, is covered by the margin between the
-shares and the limits.
+Invariant: the shares of all nodes together stay below the store's limits, as a leader does not use what it lends. Both
+count a loan's time on their own clock, the borrower from its arrival, so for the time of a message both may use it.
 """
 
 import logging
