--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -27,7 +27,6 @@
     VersionedValue,
 )
 from hookwall.storage.errors import (
-    KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
     RequestRejectedError,
@@ -37,19 +36,14 @@
 from hookwall.storage.job_records import usable_value_bytes
 from hookwall.storage.rate_shares import RateShares
 
+# Callers have the errors and VersionedValue from here.
 __all__ = [
     "PRECONDITIONS_PER_CHANGE",
-    "RECENT_RESPONSE_S",
     "KeyValueClient",
-    "KeyValueEntry",
-    "KeyValueStoreError",
     "OutcomeUnknownError",
-    "Precondition",
     "PreconditionFailedError",
-    "Put",
     "RequestRejectedError",
     "RequestTooLargeError",
-    "RevisionCompactedError",
     "VersionedValue",
 ]
 
