--- a/tests/autoscaling/test_inventory.py
+++ b/tests/autoscaling/test_inventory.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import Cluster
-from world import VirtualLoop
+from harness.virtual_time import VirtualLoop
 
 from hookwall.autoscaling.cloud_client import CloudUnavailableError
 from hookwall.autoscaling.inventory import Inventory
--- a/tests/autoscaling/test_scale_out.py
+++ b/tests/autoscaling/test_scale_out.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import Clock, Cluster
-from world import VirtualLoop
+from harness.virtual_time import VirtualLoop
 
 from hookwall.autoscaling.capacity import MachinePool, ProvisioningRequest
 from hookwall.autoscaling.cloud_client import CloudUnavailableError, NoCapacityError
--- a/tests/cluster/test_meetings.py
+++ b/tests/cluster/test_meetings.py
@@ -4,20 +4,21 @@
 import json
 
 import pytest
-from world import World, play
+from harness.play import play
+from harness.simulation import Simulation
 
 
-async def running(w: World, *refs: str) -> None:
+async def running(w: Simulation, *refs: str) -> None:
     for ref in refs:
         await w.accepted(ref)
         await w.runs(ref)
 
 
-def cut(w: World, *pairs: tuple[str, str]) -> None:
+def cut(w: Simulation, *pairs: tuple[str, str]) -> None:
     w.apart |= {frozenset(p) for p in pairs}
 
 
-def mute_for(w: World, ref: str, seconds: float) -> None:
+def mute_for(w: Simulation, ref: str, seconds: float) -> None:
     """The machines of a job reach no node for less than a lease: their tasks go on."""
     for worker in w.workers.values():
         if any(p.startswith(ref) for p in worker.tasks):
@@ -32,7 +33,7 @@
     """The gap: refused alone, the leader missed it, and then renewed leases through an outage for all."""
     gone: list[float] = []
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref, other = w.job(1, run_s=300.0), w.job(2, run_s=300.0)
         await running(w, ref, other)
         w.service.refused.add(w.leader().settings.node_name)
@@ -56,7 +57,7 @@
 def test_a_promise_carries_what_the_leader_was_not_told():
     """The node that confirmed it does not reach the leader and then ends; the third one tells."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=300.0)
         await running(w, ref)
         lead, (one, _) = w.leader().settings.node_name, w.followers()
@@ -74,7 +75,7 @@
 def test_leases_end_where_all_who_knew_have_forgotten():
     """The backstop: both nodes that knew are new processes, and neither can read the records."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=300.0)
         await running(w, ref)
         lead, (one, two) = w.leader().settings.node_name, w.followers()
@@ -95,7 +96,7 @@
 
 
 def test_a_cancellation_that_can_t_be_spread_is_not_confirmed_by_any_answer():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=300.0)
         await running(w, ref)
         one, two = w.followers()
@@ -117,7 +118,7 @@
 
 
 def test_a_cancellation_under_a_leader_that_hears_no_peer_is_confirmed_by_its_key():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=300.0)
         await running(w, ref)
         cut(w, ("n0", "n1"), ("n0", "n2"), ("n1", "n2"))
@@ -130,7 +131,7 @@
 
 
 def test_a_leader_cut_from_service_and_peers_does_not_keep_what_is_cancelled_through_the_next_one():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=300.0)
         await running(w, ref)
         old, (one, two) = w.leader().settings.node_name, w.followers()
@@ -148,7 +149,7 @@
 
 @pytest.mark.parametrize("trouble", ["mute", "deaf", "hung"])
 def test_a_leader_ends_while_a_machine_with_a_long_task_can_t_be_asked(trouble):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=300.0)
         await running(w, ref)
         worker = next(m for m in w.workers.values() if m.tasks)
@@ -164,7 +165,7 @@
 
 
 def test_a_team_at_its_limit_while_its_machines_can_t_be_asked_and_the_leader_changes():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first = w.job(1, owner="red", pieces=8, run_s=300.0)
         second = w.job(2, owner="red", pieces=8, run_s=20.0)
         await running(w, first)
@@ -176,14 +177,14 @@
         await w.led()
         await w.accepted(second)
         assert await w.cancel(next(iter(w.nodes)), first) == (200, "withdrawn")
-        # The limit of 8 is used by what may still run, for a lease; the world checks it at each start.
+        # The limit of 8 is used by what may still run, for a lease; the simulation checks it at each start.
         await w.until(lambda: w.jobs[second].final == "done" or len(w.jobs[second].done) == 8, 90.0, "it never ran")
 
     play(scenario)
 
 
 def test_reports_held_back_until_a_new_leader_has_acted_prove_nothing():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=60.0)
         await w.accepted(ref)
         await w.runs(ref)
@@ -204,7 +205,7 @@
 
 
 def test_copies_of_reports_from_before_a_launch_reach_the_same_leader_later():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         await asyncio.sleep(4.0)
         refs = [w.job(n, run_s=30.0) for n in (1, 2)]
         await running(w, *refs)
@@ -218,7 +219,7 @@
 
 
 def test_a_copy_of_an_earlier_session_is_the_first_that_a_new_leader_hears():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=100.0)
         await running(w, ref)
         worker = next(iter(w.workers.values()))
@@ -241,7 +242,7 @@
 
 
 def test_old_reports_of_an_earlier_session_and_attempt_undo_nothing():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=100.0)
         await running(w, ref)
         worker = next(m for m in w.workers.values() if m.tasks)
@@ -263,7 +264,7 @@
 
 
 def test_an_answer_that_is_held_up_and_a_machine_that_then_goes_on():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, run_s=20.0, cards=4.0) for n in range(1, 5)]
         await running(w, *refs[:2])
         for ref in refs[2:]:
@@ -283,7 +284,7 @@
 
 
 def test_a_zone_cut_off_with_a_node_that_follows_keeps_its_work_and_runs_none_twice():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, run_s=120.0, yard=zone) for n, zone in enumerate(("east", "west"), 1)]
         await running(w, *refs)
         lead, (inside, other) = w.leader().settings.node_name, w.followers()
@@ -308,7 +309,7 @@
 
 @pytest.mark.parametrize("bound", [{"yard": "east"}, {"samePlace": True}])
 def test_an_array_bound_to_one_zone_loses_machines(bound):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=40.0, pieces=8, **bound)
         await running(w, ref)
         dead = [m for m in w.workers.values() if m.tasks][:1]
@@ -321,7 +322,7 @@
 
 
 def test_a_gang_in_one_zone_loses_a_machine_while_the_leader_changes():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=40.0, pieces=2, shape="ensemble", cards=4.0, samePlace=True)
         await running(w, ref)
         next(m for m in w.workers.values() if m.tasks).gone()
@@ -339,7 +340,7 @@
 @pytest.mark.parametrize("latency_s", [0.004, 0.2])
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.2, 0.3, 0.5, 0.8])
 def test_cancellation_question_and_repetition_meet_the_end_of_the_last_task(after_s, latency_s):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, run_s=10.0) for n in range(1, 5)]
         for ref in refs:
             await w.accepted(ref)
@@ -363,7 +364,7 @@
 
 
 def test_jobs_whose_tasks_end_far_apart_across_changes_of_leader_run_each_task_once():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, pieces=n + 1, ends={0: 6.0, 1: 21.0, 2: 45.0}) for n in (1, 2)]
         for ref in refs:
             await w.accepted(ref)
@@ -388,7 +389,7 @@
 
 
 def test_writes_without_an_answer_are_carried_out_late_after_newer_ones():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         w.service.late = lambda node, body: w.random.uniform(2.0, 12.0) if w.random.random() < 0.25 else None
         refs = [w.job(n, run_s=15.0, pieces=2) for n in range(1, 13)]
         for i, ref in enumerate(refs):
@@ -412,7 +413,7 @@
 
 
 def test_users_cancel_and_ask_while_the_service_is_slow_then_refuses_the_leader_then_everybody():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, run_s=200.0) for n in range(1, 6)]
         await running(w, *refs)
         w.service.latency_s = 0.9
@@ -448,7 +449,7 @@
 @pytest.mark.parametrize("back_s", [0.2, 0.9, 3.0])
 @pytest.mark.parametrize("outage", [False, True])
 def test_ten_changes_of_leader_in_two_minutes(back_s, outage):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, run_s=25.0, pieces=2) for n in range(1, 9)]
         for i, ref in enumerate(refs):
             w.go(w.accepted(ref, within_s=120.0))
@@ -473,7 +474,7 @@
 
 @pytest.mark.parametrize("back_s", [0.1, 0.6, 3.0])
 def test_nodes_hand_over_and_back_all_end_and_one_returns(back_s):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, run_s=100.0)
         await running(w, ref)
         lead = w.leader().settings.node_name
@@ -499,7 +500,7 @@
 
 
 def test_all_nodes_are_away_for_longer_than_a_lease():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref, off = w.job(1, run_s=60.0), w.job(2, run_s=60.0)
         await running(w, ref, off)
         assert await w.cancel(w.followers()[0], off) == (200, "withdrawn")
@@ -516,7 +517,7 @@
 
 
 def test_more_work_than_room_urgent_and_not_over_slow_links():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         for node in w.nodes.values():
             for link in node.leadership.peers:
                 link.delay_s = 0.25
@@ -534,7 +535,7 @@
 
 @pytest.mark.parametrize("until_outage_s", [0.3, 1.0, 2.0, 2.4, 2.6, 2.8, 3.5])
 def test_jobs_are_cancelled_just_when_the_service_refuses_the_leader_and_then_everybody(until_outage_s):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = [w.job(n, run_s=300.0) for n in range(1, 7)]
         await running(w, *refs)
         w.service.refused.add(w.leader().settings.node_name)
@@ -560,7 +561,7 @@
 
 
 def test_odd_requests_at_every_node_and_in_an_outage():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         done, off, runs = w.job(1, run_s=3.0), w.job(2, run_s=300.0), w.job(3, run_s=300.0)
         await running(w, runs, off)
         await w.accepted(done)
--- a/tests/cluster/test_pipeline_meetings.py
+++ b/tests/cluster/test_pipeline_meetings.py
@@ -3,8 +3,9 @@
 import asyncio
 
 import pytest
-from pipelines import becomes_done, becomes_withdrawn, chain
-from world import World, play
+from harness.pipelines import becomes_done, becomes_withdrawn, chain
+from harness.play import play
+from harness.simulation import Simulation
 
 from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
 from hookwall.storage import keys
@@ -14,7 +15,7 @@
 def test_a_job_may_name_one_that_a_node_of_the_other_version_has_just_accepted(old):
     """Nothing new is asked before all nodes are new, but what a dependent names may have been taken before that."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         await w.upgrade("n0")
         await w.led()
         first = w.job(1, run_s=30.0)
@@ -31,7 +32,7 @@
 def test_a_dependent_is_taken_in_the_moment_in_which_its_need_is_accepted(node):
     """The other node has not heard of the need yet: it asks the state service rather than answer 422."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         one, two = w.followers()
         for n in range(1, 12, 2):
             first = w.job(n, run_s=2.0)
@@ -44,7 +45,7 @@
 
 
 def test_in_an_outage_a_dependent_is_refused_for_now_and_never_for_good():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first = w.job(1, run_s=30.0)
         await w.accepted(first)
         await asyncio.sleep(1.0)
@@ -66,7 +67,7 @@
 def test_a_submission_without_an_answer_is_repeated_after_its_need_was_cancelled(late_s):
     """The first write is carried out at once, or after the repeat: either way there is one record, and it is over."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         needed = w.job(1, run_s=200.0)
         await w.accepted(needed)
         one, two = w.followers()
@@ -90,7 +91,7 @@
     The dependent runs if the answer was `done`, and is cancelled without a start if it was `withdrawn`.
     """
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first, second = await chain(w, 1, 2, run_s=3.0)
         await w.until(lambda: w.jobs[first].starts > 0, 20.0, "it does not start")
         await asyncio.sleep(1.5 + after_s)
@@ -111,7 +112,7 @@
 def test_a_job_that_became_ready_is_cancelled_while_it_is_placed_stored_and_launched(after_s):
     """Its own cancellation, with one more job after it, through a change of leader."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first, second, third = await chain(w, 1, 3, run_s=3.0, pieces=2)
         await w.until(lambda: len(w.jobs[first].done) == 2, 30.0, "the first does not end")
         await asyncio.sleep(after_s)
@@ -130,7 +131,7 @@
 
 
 def test_dependents_stay_cancelled_after_all_nodes_restart_at_once():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = await chain(w, 1, 6, run_s=200.0)
         assert await w.cancel("n0", refs[0]) == (200, "withdrawn")
         for name in w.names:
@@ -145,7 +146,7 @@
 
 
 def test_times_count_from_readiness_and_the_deadline_from_submission_for_every_new_leader():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first = w.job(1, run_s=20.0)
         await w.accepted(first)
         seconds = [w.job(n, run_s=200.0, awaits=[first], dueS=500.0) for n in (2, 3)]
@@ -176,7 +177,7 @@
         rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=1.0, txn_ops=4)
     )
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         names = []
         for n in range(1, 400):
             names.append(w.job(n * 10**14 + n * n * 7919))
@@ -208,7 +209,7 @@
         rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(write_rps=20.0, txn_ops=4)
     )
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first = w.job(1, run_s=8.0)
         await w.accepted(first)
         fan = [w.job(n, run_s=2.0, cards=0.0, cores=1.0, memGb=1.0, awaits=[first]) for n in range(2, 102)]
--- a/tests/cluster/test_pipelines.py
+++ b/tests/cluster/test_pipelines.py
@@ -3,8 +3,9 @@
 import asyncio
 
 import pytest
-from pipelines import becomes_done, becomes_withdrawn, chain
-from world import World, play
+from harness.pipelines import becomes_done, becomes_withdrawn, chain
+from harness.play import play
+from harness.simulation import Simulation
 
 from hookwall.config.platform import StoreLimits, TeamQuota, UpcomingStoreLimits
 from hookwall.storage import keys
@@ -18,7 +19,7 @@
 
 
 def test_jobs_run_one_after_the_other_through_changes_of_leader():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = await chain(w, 1, 5, run_s=4.0, pieces=2)
         for _ in range(3):
             await asyncio.sleep(6.0)
@@ -32,7 +33,7 @@
 
 
 def test_a_job_waits_for_all_that_it_needs_and_for_lost_tasks_of_them():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         one, two = w.job(1, run_s=10.0, pieces=2), w.job(2, run_s=3.0, shape="ensemble", pieces=2)
         for ref in (one, two):
             await w.accepted(ref)
@@ -47,7 +48,7 @@
 
 
 def test_late_reports_of_an_earlier_job_start_nothing_too_early():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = await chain(w, 1, 2, run_s=8.0, pieces=3, ends={0: 2.0, 1: 4.0})
         await asyncio.sleep(9.0)
         copies = [body for worker in w.workers.values() for body in worker.sent[-6:]]
@@ -63,7 +64,7 @@
 
 
 def test_a_job_that_waits_holds_nothing_and_asks_for_no_machine():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         w.cloud.room = 20
         first = w.job(1, run_s=15.0, owner="red", cards=4.0)
         await w.accepted(first)
@@ -81,7 +82,7 @@
 
 
 def test_earlier_jobs_take_the_rank_of_the_job_at_the_end():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         fill = w.job(1, run_s=40.0, pieces=16, rank="low")
         await w.accepted(fill)
         await w.runs(fill)
@@ -99,7 +100,7 @@
 
 
 def test_a_cancellation_reaches_all_that_need_the_job_and_no_others():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         a, x = w.job(1, run_s=60.0), w.job(2, run_s=3.0)
         for ref in (a, x):
             await w.accepted(ref)
@@ -119,7 +120,7 @@
 
 
 def test_a_job_that_names_one_that_was_cancelled_long_ago_is_accepted_as_cancelled():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         a = w.job(1, run_s=60.0)
         await w.accepted(a)
         await w.cancel("n0", a)
@@ -135,7 +136,7 @@
 
 
 def test_a_cancellation_that_is_answered_done_lets_those_after_it_go_on():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = await chain(w, 1, 2)
         await becomes_done(w, refs[:1], 20.0)
         assert await w.cancel("n1", refs[0]) == (200, "done")
@@ -145,7 +146,7 @@
 
 
 def test_cancellation_and_submission_of_the_dependent_at_the_same_moment_on_two_nodes():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         one, two = w.followers()
         for n in range(1, 20, 2):
             a = w.job(n, run_s=60.0)
@@ -164,7 +165,7 @@
 def test_dependents_are_told_as_cancelled_in_time_whatever_follows_the_answer(trouble):
     """A node that can't know is silent rather than say `pending` too late."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = await chain(w, 1, 8, run_s=100.0)
         one, two = w.followers()
         lead = w.leader().settings.node_name
@@ -195,7 +196,7 @@
 def test_a_leader_whose_watch_stands_still_does_not_call_dependents_pending_for_ever():
     """It learns from its peers that the first is cancelled, but not from the records what that means for others."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         # The one that is cancelled waits itself: what its tasks do would make the leader read its record.
         _, *refs = await chain(w, 1, 4, run_s=200.0)
         lead = w.leader().settings.node_name
@@ -216,7 +217,7 @@
 def test_thousands_of_dependents_against_a_small_transaction_limit():
     """They are stored at the service's pace; none is called pending too late meanwhile."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         a = w.job(1, run_s=200.0)
         await w.accepted(a)
         refs = []
@@ -242,7 +243,7 @@
 def test_a_submission_is_not_called_pending_on_knowledge_older_than_a_cancellation_before_it():
     """Its needs are known as accepted from records that were read long ago; one may be cancelled since."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         needed = w.job(1, run_s=200.0)
         await w.accepted(needed)
         await asyncio.sleep(2.0)
@@ -264,7 +265,7 @@
 
 
 def test_what_is_refused_and_what_is_known():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         a = w.job(1, run_s=3.0)
         await w.accepted(a, "n0")
         for n, awaits, status in (
@@ -289,7 +290,7 @@
 
 
 def test_a_long_list_of_names_that_nobody_has_submitted_costs_one_comparison():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         await asyncio.sleep(2.0)
         node = w.followers()[0]
         asked: list[int] = []
@@ -308,7 +309,7 @@
 
 
 def test_the_longest_list_of_accepted_names_is_stored_and_runs():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         a = w.job(1, run_s=30.0)
         await w.accepted(a)
         names = [a]
@@ -336,7 +337,7 @@
         rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=0.5, txn_ops=4)
     )
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         await asyncio.sleep(2.0)
         w.service.lower()
         refs = []
--- a/tests/cluster/test_upgrade.py
+++ b/tests/cluster/test_upgrade.py
@@ -7,7 +7,8 @@
 from itertools import permutations
 
 import pytest
-from world import World, play
+from harness.play import play
+from harness.simulation import Simulation
 
 from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
 from hookwall.storage import job_records, keys
@@ -24,7 +25,7 @@
 any_old = pytest.mark.parametrize("old", [1, 2])
 
 
-async def all_new(w: World, within_s: float = 10.0) -> None:
+async def all_new(w: Simulation, within_s: float = 10.0) -> None:
     await w.until(
         lambda: all(n.storage_version.supported_by_all(CURRENT_VERSION) for n in w.nodes.values()),
         within_s,
@@ -32,7 +33,7 @@
     )
 
 
-async def accepted(w: World, ref: str, within_s: float = 60.0) -> None:
+async def accepted(w: Simulation, ref: str, within_s: float = 60.0) -> None:
     """Submit at any node that is up until one accepts."""
     end = w.now() + within_s
     while not w.nodes or await w.submit(w.random.choice(list(w.nodes)), ref) not in (200, 201):
@@ -40,7 +41,7 @@
         await asyncio.sleep(1.0)
 
 
-async def users(w: World, first: int, n: int, every_s: float = 1.0) -> list[str]:
+async def users(w: Simulation, first: int, n: int, every_s: float = 1.0) -> list[str]:
     """Users submit jobs at any node and cancel a third of them."""
     refs = []
     for i in range(first, first + n):
@@ -53,7 +54,7 @@
     return refs
 
 
-async def ended(w: World, refs: list[str], within_s: float = 40.0) -> None:
+async def ended(w: Simulation, refs: list[str], within_s: float = 40.0) -> None:
     """All of them are said to be over, by every node."""
 
     async def over(ref: str) -> bool:
@@ -67,7 +68,7 @@
             await asyncio.sleep(1.0)
 
 
-async def pipeline(w: World, first: int) -> list[str]:
+async def pipeline(w: Simulation, first: int) -> list[str]:
     """Three jobs one after the other, each needing the one before."""
     refs: list[str] = []
     for n in range(first, first + 3):
@@ -79,7 +80,7 @@
 @pytest.mark.parametrize("order", permutations(NAMES))
 @any_old
 def test_nodes_are_replaced_one_by_one_in_any_order_while_users_go_on(order, old):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         traffic = w.go(users(w, 1, 25))
         for name in order:
             await asyncio.sleep(4.0)
@@ -96,7 +97,7 @@
 @pytest.mark.parametrize("leader_first", [True, False])
 @any_old
 def test_two_nodes_are_replaced_at_once(leader_first, old):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         traffic = w.go(users(w, 1, 25))
         lead, others = w.leader().settings.node_name, w.followers()
         both = (lead, others[0]) if leader_first else tuple(others)
@@ -110,7 +111,7 @@
 
 
 def test_a_dependent_job_is_not_taken_while_an_old_program_may_come_back():
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         first = w.job(1, run_s=3.0)
         await w.accepted(first, "n0")
         second = w.job(2, awaits=[first])
@@ -136,7 +137,7 @@
 def test_a_node_that_the_state_service_refuses_is_vouched_for_by_its_peers(old):
     """It can't store its marker: submissions would be answered 503 for as long as it is refused."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         w.service.refused.add("n2")
         await w.upgrade("n0", "n1")
         await w.upgrade("n2")
@@ -154,7 +155,7 @@
 
 @any_old
 def test_a_node_that_is_marked_and_away_does_not_hold_up_new_formats(old):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         await w.upgrade("n2")
         await asyncio.sleep(3.0)
         await w.upgrade("n1")
@@ -173,7 +174,7 @@
 @pytest.mark.parametrize("trouble", ["outage", "cut", "late writes", "crash"])
 @any_old
 def test_troubles_in_the_midst_of_an_upgrade(trouble, old):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         traffic = w.go(users(w, 1, 30))
         await w.upgrade(w.followers()[0])
         lead = w.leader() or await w.led()
@@ -205,7 +206,7 @@
 def test_nothing_new_is_written_before_all_are_new_and_then_all_fits_both_limits(old):
     """Large records of production stay alterable after the switch, in the midst of writes."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         refs = []
         for n in range(1, 4):
             ends = {task: 3.0 + (task * 7) % 23 for task in range(300)}
@@ -234,7 +235,7 @@
 def test_a_write_of_production_that_is_carried_out_late_does_not_undo_a_newer_one(old):
     """The old leader's last transaction is carried out once all nodes are new and have written the same job."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         ref = w.job(1, pieces=4, ends={0: 4.0, 1: 30.0, 2: 34.0, 3: 40.0})
         await w.accepted(ref)
         await w.runs(ref)
@@ -256,7 +257,7 @@
 
 @any_old
 def test_markers_are_ignored_by_production_and_stay(old):
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         await w.upgrade("n0")
         await asyncio.sleep(4.0)
         assert w.service.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
--- a/tests/drain_histories.py
+++ b/tests/drain_histories.py
@@ -14,9 +14,9 @@
 sys.path.insert(0, str(Path(__file__).parent))
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from drain_world import TEAMS, BudgetOracle, Operator, cordoned, operations
+from harness.drain_simulation import TEAMS, BudgetOracle, Operator, cordoned, operations
+from harness.simulation import Simulation
 from histories import History, Invariants, broken_in, play_range
-from world import World
 
 from hookwall.drains.records import DrainPhase
 
@@ -31,24 +31,26 @@
 
     def watch(self) -> None:
         super().watch()
-        BudgetOracle(self.world, BUDGETS, of_drains_only=True).watch()
+        BudgetOracle(self.simulation, BUDGETS, of_drains_only=True).watch()
 
 
 class DrainHistory(History):
     """Drains among troubles."""
 
-    def __init__(self, world: World, seed: int) -> None:
-        super().__init__(world, seed)
-        self.operator = Operator(world)
+    def __init__(self, simulation: Simulation, seed: int) -> None:
+        super().__init__(simulation, seed)
+        self.operator = Operator(simulation)
 
-    async def play(self, world: World) -> None:
-        world.cloud.room = CLOUD_ROOM
+    async def play(self, simulation: Simulation) -> None:
+        simulation.cloud.room = CLOUD_ROOM
         for n in range(1, self.random.randint(5, 9)):
-            world.go(self._arrives(n))
+            simulation.go(self._arrives(n))
         await asyncio.sleep(25.0)
         names = [f"drain-{n}" for n in range(self.random.randint(1, 2))]
-        drains = [world.go(self._drains(name)) for name in names]
-        troubles = [world.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(0, 4))]
+        drains = [simulation.go(self._drains(name)) for name in names]
+        troubles = [
+            simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(0, 4))
+        ]
         await asyncio.gather(*drains, *troubles)
         await self._end(names)
 
@@ -56,12 +58,12 @@
         """A job comes at some time."""
         await asyncio.sleep(self.span(0.0, 60.0) if n > 4 else 0.0)
         whole = self.random.random() < 0.5
-        ref = self.world.job(
+        ref = self.simulation.job(
             n, run_s=self.span(30.0, 120.0), owner=self.random.choice(["red", "blue"]),
             pieces=self.random.choice([1, 2, 3]), shape=self.random.choice(["batch", "batch", "ensemble"]),
             cards=4.0 if whole else 1.0,
         )  # fmt: skip
-        await self.world.accepted(ref, within_s=200.0)
+        await self.simulation.accepted(ref, within_s=200.0)
 
     async def _tries(self, *words: str) -> None:
         """The operator repeats a call until it is answered."""
@@ -86,17 +88,17 @@
 
     async def _end(self, names: list[str]) -> None:
         """Each drain ends, or says why not; nothing stays cordoned for one that has."""
-        until = self.world.now() + ENDS_S
+        until = self.simulation.now() + ENDS_S
         active = list(names)
-        while active and self.world.now() < until:
+        while active and self.simulation.now() < until:
             await asyncio.sleep(1.0)
             active = [name for name in names if self.operator.record(name).active()]
         for name in active:
-            self.world.broken.append(f"endless: {self.operator.record(name)}")
-        if not active and cordoned(self.world):
-            self.world.broken.append(f"left: {cordoned(self.world)} cordoned")
+            self.simulation.broken.append(f"endless: {self.operator.record(name)}")
+        if not active and cordoned(self.simulation):
+            self.simulation.broken.append(f"left: {cordoned(self.simulation)} cordoned")
         if any(self.operator.record(name).phase is not DrainPhase.FINISHED for name in names):
-            self.world.broken.append("unfinished: a drain was not resumed")
+            self.simulation.broken.append("unfinished: a drain was not resumed")
 
 
 def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -6,10 +6,11 @@
 from pathlib import Path
 
 import pytest
-from drain_world import TEAMS, Operator, cordoned, drain_phases, operations
+from harness.drain_simulation import TEAMS, Operator, cordoned, drain_phases, operations
+from harness.play import play
+from harness.simulation import Simulation
 from pytest import CaptureFixture
 from test_drains import BLUE, LONG_S, RED, WHOLE, drained, machine_of, running_jobs
-from world import World, play
 
 from hookwall.config.operations import Operations, validate_operations
 from hookwall.config.operations import load_operations as load_operations
@@ -37,7 +38,7 @@
     ],
 )
 def test_bad_input_is_named_and_changes_nothing(words, says, capsys: CaptureFixture):
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         for action in (["plan"], ["start", "kernel"]):
             code, value = await operator(*action, *words)
             assert (code, value) == (ExitCode.BAD_INPUT, None)
@@ -48,7 +49,7 @@
 
 
 def test_bad_names_and_words_that_no_number_is(capsys: CaptureFixture):
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         for name in ("Kernel", "a/b", "x" * 65, ""):
             assert (await operator("start", name, "--zone", "east"))[0] == ExitCode.BAD_INPUT
             assert "NAME: up to 64 of" in capsys.readouterr().err
@@ -61,7 +62,7 @@
 
 
 def test_teams_without_a_budget_are_only_disrupted_where_that_is_said(capsys: CaptureFixture):
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.BAD_INPUT
         assert "no disruption budget for blue" in capsys.readouterr().err
         (ref,) = await running_jobs(w, BLUE, **WHOLE)
@@ -73,7 +74,7 @@
 
 
 def test_the_same_drain_again_is_answered_with_its_state_and_another_is_refused(capsys: CaptureFixture):
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         await running_jobs(w, RED, **WHOLE)
         await operator.start("kernel", "--zone", "east")
         before = w.service.keys[keys.DRAIN_PREFIX + "kernel"]
@@ -87,7 +88,7 @@
 
 
 def test_failures_of_the_service_are_told_apart():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         assert (await operator("status", "none"))[0] == ExitCode.NOT_FOUND
         assert (await operator("abort", "none"))[0] == ExitCode.NOT_FOUND
         await running_jobs(w, RED, **WHOLE)
@@ -114,7 +115,7 @@
 
 
 def test_a_preview_names_the_jobs_of_each_wave_and_changes_nothing():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 2
         refs = await running_jobs(w, RED, RED, BLUE, **WHOLE)
         await asyncio.sleep(10.0)
@@ -137,7 +138,7 @@
 
 
 def test_a_preview_says_what_can_t_be_drained_and_why():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, RED, BLUE, BLUE, **WHOLE)
         code, told = await operator("plan", "--zone", "east")
         assert code == ExitCode.OK and not told["waves"] and len(told["left"]) == 2
@@ -148,7 +149,7 @@
 
 
 def test_status_waits_for_the_end_for_as_long_as_it_was_told():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         (ref,) = await running_jobs(w, RED, run_s=LONG_S, **WHOLE)
         await operator.start("kernel", "--machine", machine_of(w, ref), "--finish", "30")
         began = w.now()
@@ -161,7 +162,7 @@
 
 
 def test_a_share_takes_the_machines_with_the_fewest_tasks():
-    async def scenario(w: World):
+    async def scenario(w: Simulation):
         operator = Operator(w)
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
         busy = {machine_of(w, ref) for ref in refs}
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import Clock, FakeState
-from drain_world import TEAMS, operations
+from harness.drain_simulation import TEAMS, operations
 from leading_node import leading, report
 from test_drain_ledger import PERIOD_S
 
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-import drain_world
-from drain_world import TEAMS, BudgetOracle, cordoned, operations
-from loopback import LoopbackWorld, play_loopback
+from harness import drain_simulation
+from harness.drain_simulation import TEAMS, BudgetOracle, cordoned, operations
+from harness.loopback import LoopbackCluster, play_loopback
 from pytest import MonkeyPatch
 from test_drains import BLUE, RED, WHOLE, machine_of
 
@@ -18,9 +18,9 @@
 
 def test_no_team_loses_more_running_jobs_than_its_budget_while_controllers_are_killed(monkeypatch: MonkeyPatch):
     """Half of the machines are replaced; the leader is killed while the first is emptied, and the next one later."""
-    monkeypatch.setattr(drain_world, "PERIOD_S", 4.0)
+    monkeypatch.setattr(drain_simulation, "PERIOD_S", 4.0)
 
-    async def scenario(w: LoopbackWorld) -> None:
+    async def scenario(w: LoopbackCluster) -> None:
         oracle = BudgetOracle(w, BUDGETS).watch()
         w.cloud.room = 6
         refs = [w.job(n, run_s=RUN_S, **(RED, BLUE)[n % 2], **WHOLE) for n in range(1, 5)]
@@ -50,7 +50,7 @@
     play_loopback(scenario, machines=6, teams=TEAMS, operations=operations(**BUDGETS))
 
 
-async def replaced(w: LoopbackWorld, name: str | None) -> None:
+async def replaced(w: LoopbackCluster, name: str | None) -> None:
     """A controller is killed and comes back after three seconds."""
     assert name is not None
     w.crash(name)
--- a/tests/drains/test_drains.py
+++ b/tests/drains/test_drains.py
@@ -3,8 +3,9 @@
 import asyncio
 
 import pytest
-from drain_world import TEAMS, BudgetOracle, Operator, cordoned, operations
-from world import World, play
+from harness.drain_simulation import TEAMS, BudgetOracle, Operator, cordoned, operations
+from harness.play import play
+from harness.simulation import Simulation
 
 from hookwall.drains.command import ExitCode
 from hookwall.storage import keys
@@ -14,18 +15,18 @@
 LONG_S = 400.0
 
 
-def drained(scenario, machines: int = 4, budgets: dict[str, int] | None = None, **more) -> World:
+def drained(scenario, machines: int = 4, budgets: dict[str, int] | None = None, **more) -> Simulation:
     """Play a scenario with budgets of one job a team unless others are given; the oracle watches."""
     allowed = {"red": 1, "blue": 1} if budgets is None else budgets
 
-    async def with_oracle(world: World) -> None:
-        world.oracle = BudgetOracle(world, allowed).watch()
-        await scenario(world, Operator(world))
+    async def with_oracle(simulation: Simulation) -> None:
+        simulation.oracle = BudgetOracle(simulation, allowed).watch()
+        await scenario(simulation, Operator(simulation))
 
     return play(with_oracle, machines, teams=TEAMS, operations=operations(**allowed), **more)
 
 
-async def running_jobs(w: World, *teams: dict, first: int = 1, run_s: float = LONG_S, **changes) -> list[str]:
+async def running_jobs(w: Simulation, *teams: dict, first: int = 1, run_s: float = LONG_S, **changes) -> list[str]:
     """A job for each team named, all running."""
     refs = [w.job(first + i, run_s=run_s, **{**team, **changes}) for i, team in enumerate(teams)]
     for ref in refs:
@@ -35,12 +36,12 @@
     return refs
 
 
-def machine_of(w: World, ref: str) -> str:
+def machine_of(w: Simulation, ref: str) -> str:
     return next(m.name for m in w.workers.values() if any(p.startswith(ref) for p in m.tasks))
 
 
 def test_a_zone_is_emptied_and_replaced_within_each_team_s_budget():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 4
         await running_jobs(w, RED, RED, BLUE, BLUE, **WHOLE)
         east = {m.name for m in w.workers.values() if m.zone == "east"}
@@ -57,7 +58,7 @@
 def test_a_machine_is_left_alone_while_another_team_s_budget_is_spent():
     """A machine has jobs of two teams, and one team has just lost a job elsewhere: neither job is stopped."""
 
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 4
         half = {"cards": 2.0}
         (lost,) = await running_jobs(w, BLUE, **WHOLE)
@@ -79,7 +80,7 @@
 
 
 def test_without_room_elsewhere_nothing_is_stopped_until_there_is():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, BLUE, RED, BLUE, **WHOLE)
         machine = machine_of(w, refs[0])
         await operator.start("kernel", "--machine", machine)
@@ -96,7 +97,7 @@
 def test_a_zone_that_holds_the_only_fitting_machines_keeps_its_work():
     """The jobs may run in this zone only, and the cloud has no machine there."""
 
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, BLUE, yard="east", **WHOLE)
         await operator.start("kernel", "--zone", "east", "--batch", "2")
         await operator.waits_for("kernel", "no room elsewhere", 30.0)
@@ -110,7 +111,7 @@
 
 
 def test_tasks_may_end_by_themselves_first():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         (ref,) = await running_jobs(w, RED, run_s=40.0, **WHOLE)
         await operator.start("kernel", "--machine", machine_of(w, ref), "--finish", "60")
         await operator.ends("kernel", 100.0)
@@ -121,7 +122,7 @@
 
 @pytest.mark.parametrize("at_deadline", ["go-on", "stop-waiting", "abort"])
 def test_what_happens_at_the_deadline_is_what_was_asked_for(at_deadline):
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, BLUE, RED, BLUE, **WHOLE)
         machine = machine_of(w, refs[0])
         await operator.start("kernel", "--machine", machine, "--deadline", "30", "--at-deadline", at_deadline)
@@ -137,7 +138,7 @@
 
 
 def test_a_task_that_never_ends_is_named_and_only_ended_where_the_deadline_says_so():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         (ref,) = await running_jobs(w, RED, **WHOLE)
         w.jobs[ref].save_s = 10_000.0
         machine = machine_of(w, ref)
@@ -151,7 +152,7 @@
 
 @pytest.mark.parametrize("trouble", ["deaf", "hung", "taken", "mute"])
 def test_a_machine_that_fails_while_it_is_drained_leaves_the_drain(trouble):
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 6
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
         machines = [machine_of(w, ref) for ref in refs]
@@ -170,7 +171,7 @@
 
 
 def test_abort_puts_machines_back_in_service_and_resume_goes_on():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, BLUE, RED, BLUE, **WHOLE)
         machine = machine_of(w, refs[0])
         await operator.start("kernel", "--machine", machine)
@@ -191,7 +192,7 @@
 def test_a_held_machine_stays_through_maintenance_until_it_is_released():
     """Its worker is silent for long, as while a driver is installed; such machines were deleted."""
 
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 2
         refs = await running_jobs(w, RED, BLUE, RED, BLUE, **WHOLE)
         first, second = machine_of(w, refs[0]), machine_of(w, refs[1])
@@ -215,7 +216,7 @@
 
 
 def test_two_drains_share_budgets_and_machines():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 6
         refs = await running_jobs(w, RED, RED, RED, RED, **WHOLE)
         one, two, three = (machine_of(w, ref) for ref in refs[:3])
@@ -229,7 +230,7 @@
 
 
 def test_a_gang_on_two_machines_is_one_job_and_moves_as_a_whole():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 2
         (ref,) = await running_jobs(w, RED, shape="ensemble", pieces=2, samePlace=True, **WHOLE)
         zone = next(m.zone for m in w.workers.values() if m.tasks)
@@ -242,7 +243,7 @@
 
 
 def test_preemption_spends_the_same_budget():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, RED, BLUE, BLUE, rank="low", **WHOLE)
         urgent = w.job(9, run_s=LONG_S, rank="urgent", owner="blue", yard="east", **WHOLE)
         await w.accepted(urgent)
@@ -258,7 +259,7 @@
 
 
 def test_an_outage_of_the_state_service_stops_no_work_that_is_not_recorded():
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 4
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
         machines = [machine_of(w, ref) for ref in refs]
@@ -286,7 +287,7 @@
 def test_a_leader_that_ends_at_any_step_loses_neither_budget_nor_drain(step, late):
     """The leader ends just after its n-th write for the drain was carried out, or while that is still on its way."""
 
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 6
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
         machines = [machine_of(w, ref) for ref in refs]
@@ -310,7 +311,7 @@
     drained(scenario)
 
 
-async def crashes(w: World, node: str) -> None:
+async def crashes(w: Simulation, node: str) -> None:
     await asyncio.sleep(0.05)
     if node in w.nodes:
         w.crash(node)
@@ -322,7 +323,7 @@
 def test_nothing_is_drained_before_all_nodes_know_drains():
     """An older leader would place new work on a machine that is being emptied."""
 
-    async def scenario(w: World, operator):
+    async def scenario(w: Simulation, operator):
         w.cloud.room = 4
         (ref,) = await running_jobs(w, RED, **WHOLE)
         machine = machine_of(w, ref)
@@ -346,7 +347,7 @@
 
 
 def test_a_node_that_has_drains_switched_off_ignores_them():
-    async def scenario(w: World):
+    async def scenario(w: Simulation):
         operator = Operator(w)
         await operator.start("kernel", "--zone", "east", "--unbudgeted")
         await asyncio.sleep(20.0)
--- a/tests/drain_world.py
+++ b/tests/harness/drain_simulation.py
@@ -1,11 +1,11 @@
-"""Drains in the one-clock world: the operator's command against its stand-ins, and the ground truth about budgets."""
+"""Drains in a simulated deployment: the operator's command against stand-ins, and the ground truth about budgets."""
 
 import json
 from dataclasses import dataclass, field
 from typing import Any
 
-from world import Task, Worker, World, path
-
+from harness.simulation import Simulation, path
+from harness.worker import FakeWorker, Task
 from hookwall import cli
 from hookwall.autoscaling.cloud_client import CloudClient
 from hookwall.config.operations import DisruptionBudget, DrainSettings, Operations
@@ -47,62 +47,64 @@
 class BudgetOracle:
     """What workers show of lost work, compared with the budgets; knows nothing of the controllers' memory."""
 
-    world: World
+    simulation: Simulation
     budgets: dict[str, int]
     of_drains_only: bool = False  # where controllers can't know in time of everything else that is lost
     losses: list[Loss] = field(default_factory=list)
     by_drains: list[str] = field(default_factory=list)
 
     def watch(self) -> "BudgetOracle":
-        self.world.on_end.append(self.ended)
-        self.world.on_step.append(self.follow)
+        self.simulation.on_end.append(self.ended)
+        self.simulation.on_step.append(self.follow)
         return self
 
     def _running(self, ref: str) -> int:
         return sum(
             piece.rpartition("/")[0] == ref and task.phase == "running"
-            for worker in self.world.workers.values() for piece, task in worker.tasks.items()
+            for worker in self.simulation.workers.values() for piece, task in worker.tasks.items()
         )  # fmt: skip
 
-    def _by_drain(self, ref: str, worker: Worker, task: Task, cause: str) -> bool:
+    def _by_drain(self, ref: str, worker: FakeWorker, task: Task, cause: str) -> bool:
         """Whether it was told to stop in an orderly way, and its machine, or one of its gang's, is being drained."""
         if cause != "halted" or not task.grace_s:
             return False
-        stored = self.world.service.keys
+        stored = self.simulation.service.keys
         machines = [worker.name]
-        if self.world.jobs[ref].spec["shape"] == "ensemble":
+        if self.simulation.jobs[ref].spec["shape"] == "ensemble":
             machines += [
-                w.name for w in self.world.workers.values() if any(p.rpartition("/")[0] == ref for p in w.tasks)
+                w.name for w in self.simulation.workers.values() if any(p.rpartition("/")[0] == ref for p in w.tasks)
             ]
         return any(keys.CORDON_PREFIX + machine in stored for machine in machines)
 
-    def ended(self, worker: Worker, piece: str, task: Task, cause: str) -> None:
+    def ended(self, worker: FakeWorker, piece: str, task: Task, cause: str) -> None:
         """A running task is over: a loss unless it is done or its user cancelled it."""
         ref = piece.rpartition("/")[0]
-        job = self.world.jobs[ref]
+        job = self.simulation.jobs[ref]
         if cause == "done" or job.asked_to_cancel:
             return
         open_loss = next((loss for loss in self.losses if loss.ref == ref and not loss.restored), None)
         if open_loss is not None:
-            open_loss.at = self.world.now()
+            open_loss.at = self.simulation.now()
             return
         by_drain = self._by_drain(ref, worker, task, cause)
         self.losses.append(
-            Loss(ref, job.spec["owner"], self.world.now(), self._running(ref), by_drain, self.world.now())
+            Loss(ref, job.spec["owner"], self.simulation.now(), self._running(ref), by_drain, self.simulation.now())
         )
         if by_drain:
             self.by_drains.append(ref)
             used = self.used(job.spec["owner"])
             if used > self.budgets.get(job.spec["owner"], 10**9):
-                self.world.broken.append(f"budget: {used} jobs of {job.spec['owner']} at {self.world.now():.1f}")
+                self.simulation.broken.append(
+                    f"budget: {used} jobs of {job.spec['owner']} at {self.simulation.now():.1f}"
+                )
 
     def follow(self) -> None:
         """Which jobs run again as before."""
         for loss in self.losses:
-            job = self.world.jobs[loss.ref]
+            job = self.simulation.jobs[loss.ref]
             left = job.spec["pieces"] - len(job.done)
             if not loss.restored and (job.asked_to_cancel or self._running(loss.ref) >= min(loss.ran, left)):
-                loss.restored_at = self.world.now()
+                loss.restored_at = self.simulation.now()
 
     def used(self, team: str) -> int:
         """How many jobs of a team are disrupted now, or were within the period.
@@ -110,7 +112,7 @@
         The leader counts a job that recovered and is disrupted again twice. Here it is one: a task that was told to
         stop before may end just after the others have come back, and only the leader knows that this is one disruption.
         """
-        now = self.world.now()
+        now = self.simulation.now()
         return len(
             {
                 loss.ref
@@ -125,15 +127,17 @@
 class Operator:
     """Calls the command as a shell would, and reads what it prints."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        seeds = [PeerSeed(name, f"127.0.0.1:{7000 + i}") for i, name in enumerate(world.names) if i]
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        seeds = [PeerSeed(name, f"127.0.0.1:{7000 + i}") for i, name in enumerate(simulation.names) if i]
         services = ExternalServices("127.0.0.1:1", "127.0.0.1:2")
-        self.settings = Settings(world.names[0], "127.0.0.1:7100", "127.0.0.1:7200", services, world.params, seeds)
+        self.settings = Settings(
+            simulation.names[0], "127.0.0.1:7100", "127.0.0.1:7200", services, simulation.params, seeds
+        )
 
     async def __call__(self, *words: str) -> tuple[int, Any]:
         """Exit code and printed value."""
-        w = self.world
+        w = self.simulation
         store = KeyValueClient("127.0.0.1:2", w.params.state, w.params.size, w.now)
         client = CloudClient("127.0.0.1:1", 100.0, w.now)
         store.send_request = lambda s, method, url, body, t: w.service.call("operator", method, path(url), body, t)
@@ -157,23 +161,27 @@
 
     def record(self, name: str) -> DrainRecord:
         """What is stored, without asking anybody."""
-        return decode(self.world.service.keys[keys.DRAIN_PREFIX + name][0], DrainRecord)
+        return decode(self.simulation.service.keys[keys.DRAIN_PREFIX + name][0], DrainRecord)
 
     async def ends(self, name: str, within_s: float, phase: str = "finished") -> None:
-        await self.world.until(
+        await self.simulation.until(
             lambda: self.record(name).phase.value == phase, within_s, f"{name} has not {phase}: {self.record(name)}"
         )
 
     async def waits_for(self, name: str, text: str, within_s: float) -> None:
-        await self.world.until(
+        await self.simulation.until(
             lambda: text in self.record(name).reason, within_s, f"{name} doesn't say {text!r}: {self.record(name)}"
         )
 
 
-def cordoned(world: World) -> set[str]:
+def cordoned(simulation: Simulation) -> set[str]:
     """The machines that are out of service for a drain, as stored."""
-    return {key.removeprefix(keys.CORDON_PREFIX) for key in world.service.keys if key.startswith(keys.CORDON_PREFIX)}
+    return {
+        key.removeprefix(keys.CORDON_PREFIX) for key in simulation.service.keys if key.startswith(keys.CORDON_PREFIX)
+    }
 
 
-def drain_phases(world: World) -> set[str]:
-    return {value["phase"] for key, (value, _, _) in world.service.keys.items() if key.startswith(keys.DRAIN_PREFIX)}
+def drain_phases(simulation: Simulation) -> set[str]:
+    return {
+        value["phase"] for key, (value, _, _) in simulation.service.keys.items() if key.startswith(keys.DRAIN_PREFIX)
+    }
--- a/tests/loopback.py
+++ b/tests/harness/loopback.py
@@ -1,4 +1,4 @@
-"""The world of `world.py` in real time: controllers are real processes, and everything speaks HTTP on loopback.
+"""A simulated deployment in real time: controllers are real processes, and everything speaks HTTP on loopback.
 
 The state service, the cloud and the workers are the same stand-ins; each controller reaches them through ports of its
 own, so that the stand-ins know who asks. Processes are killed and started again as on a real machine.
@@ -18,13 +18,13 @@
 import aiohttp
 import msgspec
 from aiohttp import web
-from world import World
 
+from harness.simulation import Simulation
 from hookwall.config.platform import WorkerTimings
 from hookwall.protocol.http_client import NoResponseError
 from hookwall.storage import keys
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 OPERATOR = "operator"
 ANSWER_S = 4.0  # a worker waits so long
 REQUEST_S = 70.0  # longer than any watch
@@ -41,7 +41,7 @@
     return ports
 
 
-class LoopbackWorld(World):
+class LoopbackCluster(Simulation):
     """Controllers as processes."""
 
     def __init__(self, folder: Path, **limits: Any) -> None:
@@ -157,7 +157,7 @@
         answer = await self._post(node, "/v1/jobs", json.dumps(spec).encode())
         if answer is None:
             return 0
-        self._told(spec["ref"], *answer)
+        self.rules.check_response(spec["ref"], *answer)
         return answer[0]
 
     async def close(self) -> None:
@@ -177,25 +177,25 @@
 
 
 def play_loopback(
-    scenario: Callable[[LoopbackWorld], Coroutine[Any, Any, None]], machines: int, **limits: Any
-) -> LoopbackWorld:
+    scenario: Callable[[LoopbackCluster], Coroutine[Any, Any, None]], machines: int, **limits: Any
+) -> LoopbackCluster:
     """Run a scenario with real controllers; no rule may break."""
 
-    async def main(folder: Path) -> LoopbackWorld:
-        world = LoopbackWorld(folder, workers=WORKERS, **limits)
+    async def main(folder: Path) -> LoopbackCluster:
+        simulation = LoopbackCluster(folder, workers=WORKERS, **limits)
         try:
-            await world.open()
+            await simulation.open()
             for i in range(machines):
-                world.machine("east" if i % 2 == 0 else "west")
-            for name in world.names:
-                world.start(name)
-            await world.until(lambda: world.leader_name() is not None, 30.0, "nobody leads")
-            await scenario(world)
+                simulation.machine("east" if i % 2 == 0 else "west")
+            for name in simulation.names:
+                simulation.start(name)
+            await simulation.until(lambda: simulation.leader_name() is not None, 30.0, "nobody leads")
+            await scenario(simulation)
         finally:
-            await world.close()
-        return world
+            await simulation.close()
+        return simulation
 
     with tempfile.TemporaryDirectory() as folder:
-        world = asyncio.run(main(Path(folder)))
-    assert world.broken == []
-    return world
+        simulation = asyncio.run(main(Path(folder)))
+    assert simulation.broken == []
+    return simulation
--- /dev/null
+++ b/tests/harness/play.py
@@ -0,0 +1,49 @@
+"""Playing a scenario from its beginning to a checked end."""
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from harness.simulation import Simulation
+from harness.virtual_time import VirtualLoop
+
+
+def play(
+    scenario: Callable[[Simulation], Coroutine[Any, Any, Any]], machines: int = 4, old: int = 0, **limits: Any
+) -> Simulation:
+    """Run a scenario in a simulation whose nodes have a leader and whose machines report; no rule may break.
+
+    `old`: the nodes begin with a program that knows this format only.
+    """
+    loop = VirtualLoop()
+    asyncio.set_event_loop(loop)
+    worlds: list[Simulation] = []
+
+    async def main() -> Simulation:
+        simulation = Simulation(**limits)
+        worlds.append(simulation)
+        for i in range(machines):
+            simulation.machine("east" if i % 2 == 0 else "west")
+        for name in simulation.names:
+            simulation.start(name, old)
+        await simulation.led()
+        await asyncio.sleep(6.0)
+        await scenario(simulation)
+        return simulation
+
+    try:
+        simulation = loop.run_until_complete(main())
+    finally:
+        for event in [e for w in worlds for e in w.frozen.values()]:
+            event.set()
+        for w in worlds:
+            w.frozen.clear()
+        left = asyncio.all_tasks(loop)
+        for task in left:
+            task.cancel()
+        if left:
+            loop.run_until_complete(asyncio.wait(left, timeout=1.0))
+        asyncio.set_event_loop(None)
+        loop.close()
+    assert simulation.broken == []
+    return simulation
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -1,7 +1,7 @@
 """Random short histories of overlapping troubles, and the invariants that `ran_twice` rests on.
 
 A history is drawn from a seed: a few long jobs, and several troubles that begin within seconds of each other. After
-every step of the world, and whenever a worker executes a launch, the invariants are checked:
+every step of the simulation, and whenever a worker executes a launch, the invariants are checked:
 
 - at most one node is a valid leader;
 - a task that is on a machine is named by the newest stored record, with that machine, session and attempt;
@@ -23,7 +23,9 @@
 sys.path.insert(0, str(Path(__file__).parent))
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from world import Task, Worker, World, play
+from harness.play import play
+from harness.simulation import Simulation
+from harness.worker import FakeWorker, Task
 
 from hookwall.storage import job_records, keys
 from hookwall.storage.job_records import MalformedRecordError, MissingChunksError
@@ -36,35 +38,35 @@
 
 @dataclass
 class Invariants:
-    """Checks a world against the claims of docs/design.md; what breaks is added to `world.broken` once each."""
+    """Checks a simulation against the claims of docs/design.md; what breaks is added to its `broken` once each."""
 
-    world: World
+    simulation: Simulation
     launched: dict[tuple[str, int], str] = field(default_factory=dict)
     told: set[str] = field(default_factory=set)
 
     def watch(self) -> None:
         """Check from now on."""
-        self.world.on_step.append(self.check)
-        self.world.on_launch.append(self.check_launch)
+        self.simulation.on_step.append(self.check)
+        self.simulation.on_launch.append(self.check_launch)
 
     def _breaks(self, kind: str, what: str) -> None:
         if (kind + what) not in self.told:
             self.told.add(kind + what)
-            self.world.broken.append(f"{kind}: {what} at {self.world.now():.1f}")
+            self.simulation.broken.append(f"{kind}: {what} at {self.simulation.now():.1f}")
 
     def check(self) -> None:
         """What has to hold at any moment."""
-        valid = [name for name, node in self.world.nodes.items() if node.leadership.valid()]
+        valid = [name for name, node in self.simulation.nodes.items() if node.leadership.valid()]
         if len(valid) > 1:
             self._breaks("two_leaders", " and ".join(sorted(valid)))
         starts: dict[str, set[tuple[str, int, int, int]] | None] = {}
-        for worker in self.world.workers.values():
+        for worker in self.simulation.workers.values():
             for piece, task in worker.tasks.items():
-                if task.phase != "exited" and self.world.holds(worker, self.world.now()):
+                if task.phase != "exited" and self.simulation.rules.may_still_run(worker, self.simulation.now()):
                     self._check_recorded(worker, piece, task, starts)
 
     def _check_recorded(
-        self, worker: Worker, piece: str, task: Task, starts: dict[str, set[tuple[str, int, int, int]] | None]
+        self, worker: FakeWorker, piece: str, task: Task, starts: dict[str, set[tuple[str, int, int, int]] | None]
     ) -> None:
         ref, _, number = piece.rpartition("/")
         if ref not in starts:
@@ -75,7 +77,7 @@
 
     def _stored_starts(self, ref: str) -> set[tuple[str, int, int, int]] | None:
         """What the newest record names; None where it can't be read."""
-        stored = self.world.service.keys
+        stored = self.simulation.service.keys
         value = stored.get(keys.JOB_PREFIX + ref, ({}, 0, None))[0]
         try:
             record = job_records.decode_record(ref, value, lambda key: stored.get(key, (None, 0, None))[0])
@@ -83,7 +85,7 @@
             return None
         return {(m, s, a, task) for m, s, a, tasks in record.allocations for task in job_records.decode_ranges(tasks)}
 
-    def check_launch(self, worker: Worker, piece: str, attempt: int) -> None:
+    def check_launch(self, worker: FakeWorker, piece: str, attempt: int) -> None:
         """A worker executes a launch for the first time."""
         where = self.launched.setdefault((piece, attempt), worker.name)
         if where != worker.name:
@@ -93,51 +95,51 @@
 class History:
     """Troubles drawn from one seed."""
 
-    def __init__(self, world: World, seed: int) -> None:
-        self.world, self.random = world, random.Random(seed)
+    def __init__(self, simulation: Simulation, seed: int) -> None:
+        self.simulation, self.random = simulation, random.Random(seed)
         self.log: list[str] = []
 
     def restart(self, name: str) -> None:
         """A process that has ended begins again."""
-        if name not in self.world.nodes:
-            self.world.start(name)
+        if name not in self.simulation.nodes:
+            self.simulation.start(name)
 
     def note(self, what: str) -> None:
-        self.log.append(f"{self.world.now():.1f} {what}")
+        self.log.append(f"{self.simulation.now():.1f} {what}")
 
     def span(self, least: float, most: float) -> float:
         return self.random.uniform(least, most)
 
     def node(self) -> str:
         """A node, the leader as often as all others together."""
-        lead = next((n for n, node in self.world.nodes.items() if node.leadership.role.holds_leader_key()), None)
+        lead = next((n for n, node in self.simulation.nodes.items() if node.leadership.role.holds_leader_key()), None)
         if lead is not None and self.random.random() < 0.5:
             return lead
-        return self.random.choice(self.world.names)
+        return self.random.choice(self.simulation.names)
 
-    def worker(self) -> Worker | None:
-        return self.random.choice(list(self.world.workers.values())) if self.world.workers else None
+    def worker(self) -> FakeWorker | None:
+        return self.random.choice(list(self.simulation.workers.values())) if self.simulation.workers else None
 
     # -- troubles: each lasts until it returns -------------------------------------------------------
 
     async def crash(self) -> None:
         name, down_s = self.node(), self.random.choice([0.1, 0.3, 0.5, self.span(1.0, 9.0)])
-        if name not in self.world.nodes:
+        if name not in self.simulation.nodes:
             return
         self.note(f"{name} ends, back in {down_s:.1f}")
-        self.world.crash(name)
+        self.simulation.crash(name)
         await asyncio.sleep(down_s)
         self.restart(name)
 
     async def stand_still(self) -> None:
         name, for_s = self.node(), self.span(0.5, 9.0)
         self.note(f"{name} stands still for {for_s:.1f}")
-        self.world.freeze(name)
+        self.simulation.freeze(name)
         await asyncio.sleep(for_s)
-        self.world.thaw(name)
+        self.simulation.thaw(name)
 
     async def _member(self, group: set[Any], item: Any, what: str, least: float = 1.0, most: float = 20.0) -> None:
-        """Something belongs to a set of the world for a while."""
+        """Something belongs to a set of the simulation for a while."""
         for_s = self.span(least, most)
         if item in group:
             return
@@ -147,62 +149,64 @@
         group.discard(item)
 
     async def refused(self) -> None:
-        await self._member(self.world.service.refused, self.node(), "refused by the state service")
+        await self._member(self.simulation.service.refused, self.node(), "refused by the state service")
 
     async def cut_from_state(self) -> None:
-        await self._member(self.world.service.cut, self.node(), "no answer from the state service")
+        await self._member(self.simulation.service.cut, self.node(), "no answer from the state service")
 
     async def watch_stands(self) -> None:
-        await self._member(self.world.service.no_watch, self.node(), "its watch is not answered")
+        await self._member(self.simulation.service.no_watch, self.node(), "its watch is not answered")
 
     async def peers_apart(self) -> None:
-        one, other = self.random.sample(self.world.names, 2)
-        await self._member(self.world.apart, frozenset((one, other)), "apart")
+        one, other = self.random.sample(self.simulation.names, 2)
+        await self._member(self.simulation.apart, frozenset((one, other)), "apart")
 
     async def node_alone(self) -> None:
-        links = sorted(self.world.links_of(self.node()), key=sorted)
-        await asyncio.gather(*(self._member(self.world.apart, link, "apart", 4.0, 16.0) for link in links))
+        links = sorted(self.simulation.links_of(self.node()), key=sorted)
+        await asyncio.gather(*(self._member(self.simulation.apart, link, "apart", 4.0, 16.0) for link in links))
 
     async def zone_cut(self) -> None:
         """A zone's workers reach one node only, which reaches no other node."""
         name, zone, for_s = self.node(), self.random.choice(["east", "west"]), self.span(6.0, 25.0)
         self.note(f"zone {zone} with {name} cut off for {for_s:.1f}")
-        inside = [w for w in self.world.workers.values() if w.zone == zone]
-        pairs = self.world.links_of(name)
-        for worker in self.world.workers.values():
+        inside = [w for w in self.simulation.workers.values() if w.zone == zone]
+        pairs = self.simulation.links_of(name)
+        for worker in self.simulation.workers.values():
             worker.reached = (lambda node: node == name) if worker in inside else (lambda node: node != name)
-        self.world.apart |= pairs
+        self.simulation.apart |= pairs
         await asyncio.sleep(for_s)
-        self.world.apart -= pairs
-        for worker in self.world.workers.values():
+        self.simulation.apart -= pairs
+        for worker in self.simulation.workers.values():
             worker.reached = lambda node: True
 
     async def kept_late(self) -> None:
         """A machine comes to a follower only when its lease is nearly over, and the leader hears late of that."""
         name, worker = self.node(), self.worker()
-        lead = self.world.leader()
+        lead = self.simulation.leader()
         if lead is None or worker is None or lead.settings.node_name == name or worker.hung:
             return
         before_s, for_s, at_s = self.span(0.2, 3.0), self.span(5.0, 15.0), self.span(-1.0, 1.0)
         self.note(f"{worker.name} comes to {name} {before_s:.1f} before its lease ends, for {for_s:.1f}")
-        pairs = self.world.links_of(name)
-        self.world.apart |= pairs
+        pairs = self.simulation.links_of(name)
+        self.simulation.apart |= pairs
         worker.reached = lambda node: node == name
-        worker.hung, worker.node = True, self.world.names.index(name)
-        end = worker.lease_from + self.world.params.workers.lease_s
-        await asyncio.sleep(max(0.0, end - before_s + at_s - self.world.now()))
-        trouble = self.world.go(self.random.choice([self.refused, self.slow, self.watch_stands, self.late_writes])())
-        await asyncio.sleep(max(0.0, end - before_s - self.world.now()))
+        worker.hung, worker.node = True, self.simulation.names.index(name)
+        end = worker.lease_from + self.simulation.params.workers.lease_s
+        await asyncio.sleep(max(0.0, end - before_s + at_s - self.simulation.now()))
+        trouble = self.simulation.go(
+            self.random.choice([self.refused, self.slow, self.watch_stands, self.late_writes])()
+        )
+        await asyncio.sleep(max(0.0, end - before_s - self.simulation.now()))
         worker.hung = False
         await asyncio.sleep(for_s)
-        self.world.apart -= pairs
+        self.simulation.apart -= pairs
         worker.reached = lambda node: True
         await trouble
 
     async def unreached(self) -> None:
         """Workers of a zone don't reach some node."""
         name, for_s = self.node(), self.span(3.0, 16.0)
-        some = [w for w in self.world.workers.values() if self.random.random() < 0.6]
+        some = [w for w in self.simulation.workers.values() if self.random.random() < 0.6]
         self.note(f"{[w.name for w in some]} don't reach {name} for {for_s:.1f}")
         before = [w.reached for w in some]
         for worker, reached in zip(some, before, strict=True):
@@ -213,37 +217,37 @@
 
     async def outage(self) -> None:
         for_s = self.span(0.5, 20.0)
-        if self.world.service.down:
+        if self.simulation.service.down:
             return
         self.note(f"outage for {for_s:.1f}")
-        self.world.service.outage(True)
+        self.simulation.service.outage(True)
         await asyncio.sleep(for_s)
-        self.world.service.outage(False)
+        self.simulation.service.outage(False)
 
     async def slow(self) -> None:
         for_s, latency_s = self.span(3.0, 15.0), self.span(0.2, 1.6)
         self.note(f"state service takes {latency_s:.1f} for {for_s:.1f}")
-        self.world.service.latency_s = latency_s
+        self.simulation.service.latency_s = latency_s
         await asyncio.sleep(for_s)
-        self.world.service.latency_s = 0.004
+        self.simulation.service.latency_s = 0.004
 
     async def late_writes(self) -> None:
         for_s, share, at_once = self.span(4.0, 15.0), self.random.choice([0.2, 0.5, 1.0]), self.random.random() < 0.3
         self.note(f"{share:.0%} of writes late for {for_s:.1f}, at once: {at_once}")
-        self.world.service.late = lambda node, body: (
+        self.simulation.service.late = lambda node, body: (
             (0.0 if at_once else self.span(2.0, 12.0)) if self.random.random() < share else None
         )
         await asyncio.sleep(for_s)
-        self.world.service.late = lambda node, body: None
+        self.simulation.service.late = lambda node, body: None
 
     async def late_reads(self) -> None:
         for_s, share = self.span(4.0, 15.0), self.random.choice([0.2, 0.6])
         self.note(f"answers to {share:.0%} of reads late for {for_s:.1f}")
-        self.world.service.late_answer = lambda node, path: (
+        self.simulation.service.late_answer = lambda node, path: (
             self.span(0.3, 1.4) if self.random.random() < share else 0.0
         )
         await asyncio.sleep(for_s)
-        self.world.service.late_answer = lambda node, path: 0.0
+        self.simulation.service.late_answer = lambda node, path: 0.0
 
     async def late_copies(self) -> None:
         self.note("late copies of reports")
@@ -252,13 +256,13 @@
             worker = self.worker()
             if worker is not None and worker.sent:
                 body = self.random.choice(worker.sent[-12:])
-                for name in list(self.world.nodes):
-                    self.world.go(self.world.beat(name, body))
+                for name in list(self.simulation.nodes):
+                    self.simulation.go(self.simulation.beat(name, body))
 
     async def _worker_is(self, what: str, least: float, most: float) -> None:
         """Some workers hang, are deaf or mute for a while, a lease or so."""
         for_s = self.span(least, most)
-        some = [w for w in self.world.workers.values() if self.random.random() < 0.35]
+        some = [w for w in self.simulation.workers.values() if self.random.random() < 0.35]
         self.note(f"{[w.name for w in some]} {what} for {for_s:.1f}")
         for worker in some:
             setattr(worker, what, True)
@@ -286,16 +290,18 @@
 
     # -- one history -------------------------------------------------------------------------------
 
-    async def play(self, world: World) -> None:
+    async def play(self, simulation: Simulation) -> None:
         refs = [
-            world.job(n, run_s=self.span(15.0, 120.0), pieces=self.random.choice([1, 2, 4]),
+            simulation.job(n, run_s=self.span(15.0, 120.0), pieces=self.random.choice([1, 2, 4]),
                       shape=self.random.choice(["batch", "batch", "ensemble"]))
             for n in range(1, JOBS + 1)
         ]  # fmt: skip
         for ref in refs:
-            await world.accepted(ref)
+            await simulation.accepted(ref)
         await asyncio.sleep(self.span(1.0, 6.0))
-        troubles = [world.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(3, 7))]
+        troubles = [
+            simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(3, 7))
+        ]
         await asyncio.gather(*troubles)
         await asyncio.sleep(QUIET_S)
 
@@ -305,7 +311,7 @@
 
 
 def broken_in(
-    kind: type[History], invariants: type[Invariants], seed: int, quiet: bool, **world: Any
+    kind: type[History], invariants: type[Invariants], seed: int, quiet: bool, **simulation: Any
 ) -> tuple[int, list[str], list[str]]:
     """Play the history of a seed: what it broke, and its troubles."""
     if quiet:
@@ -313,17 +319,17 @@
     found: list[str] = []
     log: list[str] = []
 
-    async def scenario(world: World) -> None:
-        history = kind(world, seed)
-        invariants(world).watch()
+    async def scenario(simulation: Simulation) -> None:
+        history = kind(simulation, seed)
+        invariants(simulation).watch()
         try:
-            await history.play(world)
+            await history.play(simulation)
         finally:
-            found.extend(world.broken)
+            found.extend(simulation.broken)
             log.extend(history.log)
-            world.broken.clear()
+            simulation.broken.clear()
 
-    play(scenario, **world)
+    play(scenario, **simulation)
     return seed, found, log
 
 
--- a/tests/history_digests.py
+++ b/tests/history_digests.py
@@ -17,13 +17,15 @@
 from pathlib import Path
 from typing import Any
 
-TESTS = Path(sys.argv[3]) if len(sys.argv) > 3 else Path(__file__).parent  # an earlier checkout's tests, to compare
+TESTS = Path(__file__).parent
 sys.path[:0] = [str(TESTS), str(TESTS.parent)]
 
 import drain_histories  # noqa: E402  (the checkout's modules come first)
 import histories  # noqa: E402
 import pipeline_histories  # noqa: E402
-import world  # noqa: E402
+from harness.cloud import FakeCloud  # noqa: E402
+from harness.key_value_store import FakeKeyValueStore  # noqa: E402
+from harness.worker import FakeWorker  # noqa: E402
 
 KINDS = {
     "troubles": histories.broken_by,
@@ -46,24 +48,24 @@
 
     def attach(self) -> None:
         """Listen at the stand-ins."""
-        store_call, cloud_call = world.StateService.call, world.CloudApi.call
-        command = world.Worker.command
+        store_call, cloud_call = FakeKeyValueStore.call, FakeCloud.call
+        command = FakeWorker.command
 
         async def on_store(service: Any, node: str, method: str, path: str, body: Any, timeout: float) -> Any:
             if method != "GET":
-                self.add("writes", round(service.world.now(), 3), node, method, path, body)
+                self.add("writes", round(service.simulation.now(), 3), node, method, path, body)
             return await store_call(service, node, method, path, body, timeout)
 
         async def on_cloud(cloud: Any, node: str, method: str, path: str, body: Any, timeout: float) -> Any:
-            self.add("cloud", round(cloud.world.now(), 3), node, method, path, body)
+            self.add("cloud", round(cloud.simulation.now(), 3), node, method, path, body)
             return await cloud_call(cloud, node, method, path, body, timeout)
 
         def on_command(worker: Any, orders: list[dict[str, Any]]) -> None:
             if orders:
-                self.add("commands", round(worker.world.now(), 3), worker.name, orders)
+                self.add("commands", round(worker.simulation.now(), 3), worker.name, orders)
             command(worker, orders)
 
-        world.StateService.call, world.CloudApi.call, world.Worker.command = on_store, on_cloud, on_command
+        FakeKeyValueStore.call, FakeCloud.call, FakeWorker.command = on_store, on_cloud, on_command
 
 
 def digest(kind: str, seed: int) -> str:
--- a/tests/pipeline_histories.py
+++ b/tests/pipeline_histories.py
@@ -3,7 +3,7 @@
 A history is drawn from a seed: whether the nodes begin with the current program or with an older format, when each is
 replaced, when the state service lowers its limits, graphs of dependent jobs that are submitted and cancelled at any
 node, and troubles of `histories.py`. Users ask about random jobs at random nodes all the time, and each answer is
-checked by the world (`too_early`, `orphaned`, `went_back`, `forgotten`), as are the invariants of `histories.py`.
+checked by the simulation (`too_early`, `orphaned`, `went_back`, `forgotten`), as are the invariants of `histories.py`.
 At the end every accepted job has to be over at every node, and as its needs say.
 
 `python tests/pipeline_histories.py FIRST LAST` plays the seeds of a range on all cores.
@@ -16,8 +16,8 @@
 sys.path.insert(0, str(Path(__file__).parent))
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
+from harness.simulation import Simulation
 from histories import History, Invariants, broken_in, play_range
-from world import World
 
 from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
 from hookwall.storage.storage_version import StorageVersion
@@ -44,45 +44,45 @@
 class PipelineHistory(History):
     """Troubles, an upgrade and pipelines drawn from one seed."""
 
-    def __init__(self, world: World, seed: int) -> None:
-        super().__init__(world, seed)
+    def __init__(self, simulation: Simulation, seed: int) -> None:
+        super().__init__(simulation, seed)
         self.old = drawn_format(seed)
-        self.current: set[str] = set() if self.old else set(world.names)
+        self.current: set[str] = set() if self.old else set(simulation.names)
         self.refs: list[str] = []
 
     # -- nodes that may run an older program -----------------------------------------------------------
 
     def restart(self, name: str) -> None:
         """A process that ended comes back with the program that its node had."""
-        if name not in self.world.nodes:
-            self.world.start(name, 0 if name in self.current else self.old)
+        if name not in self.simulation.nodes:
+            self.simulation.start(name, 0 if name in self.current else self.old)
 
     async def upgrade(self) -> None:
         """Replace the programs, one or two at a time in any order."""
-        order = self.random.sample(self.world.names, len(self.world.names))
+        order = self.random.sample(self.simulation.names, len(self.simulation.names))
         while order:
             some = [order.pop() for _ in range(min(len(order), self.random.choice([1, 1, 2])))]
             await asyncio.sleep(self.span(0.5, 9.0))
             self.note(f"{some} are replaced")
             for name in some:
                 self.current.add(name)
-                if name in self.world.nodes:
-                    self.world.crash(name)
+                if name in self.simulation.nodes:
+                    self.simulation.crash(name)
             await asyncio.sleep(self.span(0.1, 4.0))
             for name in some:
                 self.restart(name)
 
     async def lower(self) -> None:
         """The state service lowers its limits, at some moment after the upgrade."""
-        while len(self.current) < len(self.world.names):
+        while len(self.current) < len(self.simulation.names):
             await asyncio.sleep(0.5)
         await asyncio.sleep(self.span(0.0, 30.0))
         self.note("limits are lowered")
-        self.world.service.lower()
+        self.simulation.service.lower()
 
     async def watch_stands_long(self) -> None:
         """For longer than a cancellation has."""
-        await self._member(self.world.service.no_watch, self.node(), "its watch is not answered", 38.0, 70.0)
+        await self._member(self.simulation.service.no_watch, self.node(), "its watch is not answered", 38.0, 70.0)
 
     def kinds(self):
         return [*super().kinds(), self.watch_stands_long, self.watch_stands_long, self.watch_stands_long]
@@ -90,34 +90,34 @@
     # -- users -------------------------------------------------------------------------------------------
 
     def any_node(self) -> str | None:
-        return self.random.choice(list(self.world.nodes)) if self.world.nodes else None
+        return self.random.choice(list(self.simulation.nodes)) if self.simulation.nodes else None
 
     async def submit(self, ref: str) -> None:
         """A user tries again, at any node, until one accepts."""
-        while not self.world.jobs[ref].accepted:
+        while not self.simulation.jobs[ref].accepted:
             node = self.any_node()
             if node is not None:
-                await self.world.submit(node, ref)
+                await self.simulation.submit(node, ref)
             await asyncio.sleep(self.span(0.1, 1.5))
 
     async def cancel(self, ref: str) -> None:
         self.note(f"{ref} is cancelled")
-        while self.world.jobs[ref].final is None:
+        while self.simulation.jobs[ref].final is None:
             node = self.any_node()
             if node is not None:
-                await self.world.cancel(node, ref)
+                await self.simulation.cancel(node, ref)
             await asyncio.sleep(self.span(0.1, 1.5))
 
     async def pipeline(self, first: int) -> None:
         """Jobs that need some of those before them, submitted one after the other; some are cancelled."""
-        while not all(name in self.current for name in self.world.names):
+        while not all(name in self.current for name in self.simulation.names):
             await asyncio.sleep(0.5)  # nothing new is asked before all nodes are new
         await asyncio.sleep(self.random.choice([0.0, self.span(0.0, 60.0)]))
         refs: list[str] = []
         for n in range(first, first + self.random.randint(2, 6)):
             needs = self.random.sample(refs, min(len(refs), self.random.choice([0, 1, 1, 2, 3])))
             pieces = self.random.choice([1, 1, 2, 30])
-            ref = self.world.job(
+            ref = self.simulation.job(
                 n, run_s=self.span(1.0, 12.0), awaits=needs or None, pieces=pieces,
                 cards=0.0 if pieces > 2 else 1.0, cores=1.0, memGb=1.0, rank=self.random.choice(["low", "urgent"]),
                 hulls=["g4", *(f"type-{k * 7919 ** 3}" for k in range(60))] if self.random.random() < 0.2 else None,
@@ -128,79 +128,81 @@
             if self.random.random() < 0.2:
                 await asyncio.sleep(self.span(0.0, 3.0))
                 victim = self.random.choice(refs)
-                self.world.go(self.cancel(victim))
+                self.simulation.go(self.cancel(victim))
             if self.random.random() < 0.3:
                 await asyncio.sleep(self.random.choice([self.span(0.0, 15.0), self.span(30.0, 50.0)]))
 
     async def plain_jobs(self, first: int) -> None:
         """Jobs that need no others, also while older programs serve."""
         for n in range(first, first + 6):
-            ref = self.world.job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
+            ref = self.simulation.job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
             self.refs.append(ref)
             await self.submit(ref)
             if self.random.random() < 0.2:
-                self.world.go(self.cancel(ref))
+                self.simulation.go(self.cancel(ref))
             await asyncio.sleep(self.span(0.0, 8.0))
 
     async def ask(self) -> None:
-        """Users ask about random jobs at random nodes; the world checks each answer."""
+        """Users ask about random jobs at random nodes; the simulation checks each answer."""
         while True:
             await asyncio.sleep(0.4)
             node = self.any_node()
             if node is not None and self.refs:
-                self.world.go(self.world.poll(node, self.random.choice(self.refs)))
+                self.simulation.go(self.simulation.poll(node, self.random.choice(self.refs)))
 
     async def late_dependents(self) -> None:
         """Jobs that name others that were accepted at any time and may be in any state."""
         for n in range(5000, 5040):
             await asyncio.sleep(self.span(1.0, 3.0))
-            accepted = [ref for ref in self.refs if self.world.jobs[ref].accepted]
-            if len(self.current) < len(self.world.names) or not accepted:
+            accepted = [ref for ref in self.refs if self.simulation.jobs[ref].accepted]
+            if len(self.current) < len(self.simulation.names) or not accepted:
                 continue
-            ref = self.world.job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
+            ref = self.simulation.job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
             self.refs.append(ref)
             await self.submit(ref)
 
     # -- one history -------------------------------------------------------------------------------------
 
-    async def play(self, world: World) -> None:
-        world.cloud.room = 200  # machines are returned when nothing needs them for long
-        asking = world.go(self.ask())
-        users = [world.go(self.plain_jobs(1)), *(world.go(self.pipeline(100 * k)) for k in range(1, 4))]
-        users.append(world.go(self.late_dependents()))
-        under_way = [world.go(self.lower())]
+    async def play(self, simulation: Simulation) -> None:
+        simulation.cloud.room = 200  # machines are returned when nothing needs them for long
+        asking = simulation.go(self.ask())
+        users = [simulation.go(self.plain_jobs(1)), *(simulation.go(self.pipeline(100 * k)) for k in range(1, 4))]
+        users.append(simulation.go(self.late_dependents()))
+        under_way = [simulation.go(self.lower())]
         if self.old:
-            under_way.append(world.go(self.upgrade()))
-        troubles = [world.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(2, 5))]
+            under_way.append(simulation.go(self.upgrade()))
+        troubles = [
+            simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(2, 5))
+        ]
         await asyncio.gather(*troubles, *under_way)
         await asyncio.sleep(QUIET_S)
         await asyncio.gather(*users)
         asking.cancel()
-        await self._all_end(world)
-        for node in world.nodes.values():
+        await self._all_end(simulation)
+        for node in simulation.nodes.values():
             if not node.storage_version.supported_by_all(StorageVersion.NUMBERED_MACHINES):
-                world.broken.append("a node does not know that all are new")
+                simulation.broken.append("a node does not know that all are new")
 
     async def _begin(self, trouble) -> None:
         await asyncio.sleep(self.span(0.0, TRAFFIC_S))
         await trouble()
 
-    async def _all_end(self, world: World) -> None:
+    async def _all_end(self, simulation: Simulation) -> None:
         """Every accepted job is over at every node: cancelled exactly if it or a need was, and not done before."""
-        end = world.now() + ENDS_WITHIN_S
-        left = {(node, ref) for node in world.names for ref in self.refs}
-        while left and world.now() < end:
+        end = simulation.now() + ENDS_WITHIN_S
+        left = {(node, ref) for node in simulation.names for ref in self.refs}
+        while left and simulation.now() < end:
             for node, ref in sorted(left):
-                if (await world.poll(node, ref))[1] in ("done", "withdrawn"):
+                if (await simulation.poll(node, ref))[1] in ("done", "withdrawn"):
                     left.discard((node, ref))
             await asyncio.sleep(1.0)
-        world.broken.extend(f"forgotten: {ref} is not over at {node}" for node, ref in sorted(left))
+        simulation.broken.extend(f"forgotten: {ref} is not over at {node}" for node, ref in sorted(left))
         for ref in self.refs:
-            needs = [world.jobs[need].final for need in world.jobs[ref].needs()]
-            if world.jobs[ref].final == "done" and any(final != "done" for final in needs):
-                world.broken.append(f"too_early: {ref} is done, its needs are {needs}")
-            if world.jobs[ref].final != "withdrawn" and "withdrawn" in needs:
-                world.broken.append(f"orphaned: {ref} is {world.jobs[ref].final}")
+            needs = [simulation.jobs[need].final for need in simulation.jobs[ref].needs()]
+            if simulation.jobs[ref].final == "done" and any(final != "done" for final in needs):
+                simulation.broken.append(f"too_early: {ref} is done, its needs are {needs}")
+            if simulation.jobs[ref].final != "withdrawn" and "withdrawn" in needs:
+                simulation.broken.append(f"orphaned: {ref} is {simulation.jobs[ref].final}")
 
 
 def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -23,10 +23,11 @@
 sys.path.insert(0, str(ROOT))
 
 import msgspec  # noqa: E402
-from drain_world import PERIOD_S, TEAMS, BudgetOracle, Operator, cordoned, operations  # noqa: E402
+from harness.drain_simulation import PERIOD_S, TEAMS, BudgetOracle, Operator, cordoned, operations  # noqa: E402
+from harness.play import play  # noqa: E402
+from harness.simulation import WORKERS, Simulation  # noqa: E402
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from leading_node import leading  # noqa: E402
-from world import WORKERS, World, play  # noqa: E402
 
 from hookwall.config.operations import DisruptionBudget, DrainSettings  # noqa: E402
 from hookwall.config.platform import CloudLimits, MachineLimits, PlatformParameters, StoreLimits  # noqa: E402
@@ -60,16 +61,16 @@
 
 
 class Watch:
-    """Follows steps and urgent jobs in a world."""
+    """Follows steps and urgent jobs in a simulation."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
         self.steps, self.urgent, self.away = Timings(), Timings(), Timings()
         self.cordoned_at: dict[str, float] = {}
-        world.on_step.append(self.step)
+        simulation.on_step.append(self.step)
 
     def step(self) -> None:
-        now, there = self.world.now(), cordoned(self.world)
+        now, there = self.simulation.now(), cordoned(self.simulation)
         for machine in there - self.cordoned_at.keys():
             self.cordoned_at[machine] = now
         for machine in self.cordoned_at.keys() - there:
@@ -78,11 +79,11 @@
     async def urgent_jobs(self, first: int) -> None:
         """An urgent job now and then; how long it waits for its start."""
         for n in range(first, first + int(URGENT_FOR_S / URGENT_EVERY_S)):
-            self.world.go(self._urgent(n))
+            self.simulation.go(self._urgent(n))
             await asyncio.sleep(URGENT_EVERY_S)
 
     async def _urgent(self, n: int) -> None:
-        w = self.world
+        w = self.simulation
         ref, began = w.job(n, run_s=40.0, owner="blue", rank="urgent", cards=4.0), w.now()
         await w.accepted(ref)
         await w.until(lambda: w.jobs[ref].first_start is not None, 600.0, f"{ref} was not started")
@@ -94,7 +95,7 @@
     budgets = {"red": args.jobs, "blue": args.jobs}
     found: dict[str, Any] = {}
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: Simulation) -> None:
         w.cloud.room = args.machines
         oracle, watch, operator = BudgetOracle(w, budgets).watch(), Watch(w), Operator(w)
         count = args.machines
--- a/tools/fleet_load.py
+++ b/tools/fleet_load.py
@@ -30,7 +30,7 @@
 sys.path.insert(0, str(ROOT / "tests"))
 sys.path.insert(0, str(ROOT))
 
-from world import StateService  # noqa: E402
+from harness.key_value_store import FakeKeyValueStore  # noqa: E402
 
 from hookwall.config.platform import StoreLimits  # noqa: E402
 
@@ -185,8 +185,8 @@
 
     def __init__(self, machines: list[str], limits: StoreLimits) -> None:
         self.machines = machines
-        world = SimpleNamespace(now=time.monotonic, params=SimpleNamespace(state=limits))
-        self.state = StateService(world)
+        simulation = SimpleNamespace(now=time.monotonic, params=SimpleNamespace(state=limits))
+        self.state = FakeKeyValueStore(simulation)
         catalog = {"label": "g8", "cores": 96, "cards": 8, "memGb": 768, "localGb": 200, "pullGbPerS": 1.0,
                    "price": 12.0, "spotPrice": 4.5, "startupS": 45, "yards": ["east", "west"]}  # fmt: skip
         self.catalog = {"hulls": [catalog]}
