--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -31,7 +31,7 @@
 
 
 class CloudUnavailableError(CloudError):
-    """The cloud gave no usable response; whether it carried the request out is not known."""
+    """The cloud gave no usable response; whether it carried the request out is not known. The text says why."""
 
 
 class NoCapacityError(CloudError):
@@ -106,11 +106,13 @@
 
 def _require_ok(status: int) -> None:
     if status != HTTPStatus.OK:
-        raise CloudUnavailableError(f"status {status}")
+        reason = f"status {status}"
+        raise CloudUnavailableError(reason)
 
 
 def _convert(body: object, kind: type[Message]) -> Message:
     try:
         return json_messages.convert_message(body, kind)
     except MalformedMessageError as error:
-        raise CloudUnavailableError(f"malformed: {error}") from error
+        reason = f"malformed: {error}"
+        raise CloudUnavailableError(reason) from error
--- a/hookwall/autoscaling/scale_in.py
+++ b/hookwall/autoscaling/scale_in.py
@@ -1,6 +1,7 @@
 """Scaling in: which machines are drained since they are beyond need, and which are deleted.
 
-Invariant: an UP machine that responds is only ever drained; it is deleted once it is empty.
+Invariant: an UP machine that responds is deleted only after it was drained and is empty, unless the cloud lists it as
+failed.
 """
 
 from collections.abc import Iterable
@@ -23,7 +24,7 @@
 CUT_OFF_PATIENCE_S = 100.0  # beyond the lease, where the network is in trouble
 LATE_REPORTS = 1.8  # intervals of heartbeats after which one is late
 LEAST_LATE_MACHINES = 3  # in a zone that counts as cut off
-ROUNDING = 1e-6  # of machines
+MACHINE_ROUNDING = 1e-6
 
 
 @dataclass(slots=True)
@@ -75,14 +76,14 @@
         specs = [queued.job.spec for queued in self.scheduler.waiting.values() if queued.job.spec is not None]
         waiting = WaitingWork(any=bool(specs), spot=any(spec.spot for spec in specs))
         self._resume_draining(excess, waiting)
-        if waiting.spot or excess.total < 1 - ROUNDING:
+        if waiting.spot or excess.total < 1 - MACHINE_ROUNDING:
             return
         idle = [machine for machine in self.fleet.machines.values() if self._is_drainable(machine, waiting, now)]
         idle.sort(key=self._dearest_first)
         for machine in idle:
-            if excess.total < 1 - ROUNDING:
+            if excess.total < 1 - MACHINE_ROUNDING:
                 return
-            if not machine.spot and excess.on_demand < 1 - ROUNDING:
+            if not machine.spot and excess.on_demand < 1 - MACHINE_ROUNDING:
                 continue
             excess.remove(machine)
             self.fleet.transition_to(machine, MachinePhase.DRAINING, "beyond need")
@@ -91,8 +92,8 @@
         """Use draining machines again that turn out to be needed."""
         draining = [machine for machine in self.fleet.machines.values() if machine.phase is MachinePhase.DRAINING]
         for machine in draining:
-            is_needed_on_demand = not machine.spot and (waiting.any or excess.on_demand < -ROUNDING)
-            if waiting.spot or is_needed_on_demand or excess.total < -ROUNDING:
+            is_needed_on_demand = not machine.spot and (waiting.any or excess.on_demand < -MACHINE_ROUNDING)
+            if waiting.spot or is_needed_on_demand or excess.total < -MACHINE_ROUNDING:
                 self.fleet.transition_to(machine, MachinePhase.UP, "needed again")
                 excess.add(machine)
 
@@ -114,7 +115,7 @@
         return not has_on_demand_work and now - used_at > IDLE_BEFORE_DRAIN_S
 
     def _dearest_first(self, machine: Machine) -> tuple[float, float, int, int]:
-        """The dearest first, then those that have and do least."""
+        """Order of draining: the dearest first, then those with fewest GB of images, then with fewest tasks."""
         return (
             -self.capacity.hourly_price(pool_of(machine)),
             self.fleet.on_demand_image_gb(machine),
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -46,7 +46,7 @@
 MAX_ROUND_S = 0.12  # heartbeats and health checks wait meanwhile
 LEAST_CORE_SHARE = 0.01
 MAX_UNSTORED_JOBS = 60  # jobs with starts that wait to be stored
-RESERVE_AFTER_S = 1.0
+RESERVE_AFTER_S = 1.0  # so long a gang waits before machines are reserved for it
 
 
 class Scheduler:
@@ -67,7 +67,6 @@
         `unstored_job_count`: how many jobs have starts that wait to be stored.
         `start_record_budget`: how much of its record the starts of one job may take; without it, the plain form's.
         """
-        self.params = params
         self.table = table
         self.fleet = fleet
         self.clock = clock
