--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -17,6 +17,7 @@
 from hookwall.jobs.job import Allocation, Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
+from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.leadership import peer_transport
 from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import Role
@@ -30,7 +31,8 @@
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.read_confirmation import ReadConfirmation
 from hookwall.storage.storage_version import StorageVersionGate
-from hookwall.storage.watch import Watch
+from hookwall.storage.watch import Watch, WatchProgress
+from hookwall.workers.delegation_guard import DelegationGuard
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.heartbeat_router import HeartbeatReply, HeartbeatRouter
 from hookwall.workers.lease_delegate import LeaseDelegate
@@ -55,10 +57,10 @@
         params = settings.platform
         self.clock = clock
         self.store = KeyValueClient(settings.external.state, params.state, params.size, clock)
-        self.watch = Watch(self.store, clock)
-        self.job_table = JobTable(clock)
-        self.read_confirmation = ReadConfirmation(self.store, self._reload_record)
-        self.job_service = JobService(params, self.job_table, self.store, self.read_confirmation, wall)
+        self.watch_progress = WatchProgress()
+        self.job_table = JobTable(clock, self._on_record_applied, self._on_cancelled)
+        self.record_reader = JobRecordReader(self.job_table, self.store)
+        self.read_confirmation = ReadConfirmation(self.store, self.record_reader.reload)
         self.fleet = Fleet(params, self.job_table, clock)
         self.scheduler = Scheduler(
             params,
@@ -104,7 +106,7 @@
             self.leadership,
             self.store,
             clock,
-            self.watch.known_revision,
+            self.watch_progress.known_revision,
             self.job_table.apply_cancellation,
         )
         self.lease_delegate = LeaseDelegate(
@@ -115,43 +117,51 @@
             self.leadership, self.fleet, self.lease_delegate, self.cancellations, clock
         )
         self.storage_version = StorageVersionGate(settings.node_name, peer_names, self.store)
+        self.delegation_guard = DelegationGuard(
+            self.job_table,
+            self.store,
+            self.fleet.delegated_leases,
+            [keys.LEASE_DELEGATE_PREFIX + name for name in peer_names],
+            clock,
+            watched_revision=lambda: self.watch_progress.watched_revision,
+        )
         self.job_writer = JobWriter(
             self.job_table,
             self.store,
             self.leadership,
-            self.fleet.delegated_leases,
-            [keys.LEASE_DELEGATE_PREFIX + n for n in peer_names],
+            self.delegation_guard,
+            self.record_reader.reload,
             clock,
+            packing_enabled=self.storage_version.allows_dependencies,
+            on_decisions_stored=self._on_decisions_stored,
         )
-        self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
-        self.watch.read_all = lambda: self.key_dispatcher.read_all()
-        self.watch.on_current = self.cancellations.confirm_records_read
-        self.watch.take = lambda key, value, version: self.key_dispatcher.apply_key(key, value, version)
-        self.watch.remove = lambda key, revision: self.key_dispatcher.apply_deletion(key, revision)
-        self.watch.leads = lambda: self.leadership.role is Role.LEADER
-        self.job_writer.reload_record, self.job_writer.on_decisions_stored = (
-            self._reload_record,
-            self._on_decisions_stored,
+        self.job_service = JobService(
+            params,
+            self.job_table,
+            self.store,
+            self.record_reader,
+            self.read_confirmation,
+            wall,
+            confirm_cancellation=self.cancellations.confirm_cancellation,
+            packing_enabled=self.storage_version.allows_dependencies,
+            cancellations_current=self.cancellations.records_are_current,
         )
-        self.job_writer.packing_enabled = self.job_service.packing_enabled = self.storage_version.allows_dependencies
+        self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
         self.lease_delegate.packed_names, self.lease_delegate.numbered_names = (
             self.storage_version.allows_dependencies,
             self.storage_version.allows_numbered_machines,
         )
-        self.job_writer.delegation_guard.watched_revision = lambda: self.watch.watched_revision
         drain = (operations or Operations()).drain
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
-        self.job_service.cancellations_current = self.cancellations.records_are_current
-        self.job_table.on_cancelled = self._on_cancelled
-        self.job_service.confirm_cancellation = self.cancellations.confirm_cancellation
-        self.job_table.on_record_applied = self._on_record_applied
         self.fleet.delegated_leases.on_machines_delegated = self._on_machines_delegated
         self.round_requested = asyncio.Event()
         self.fleet.on_change = self.round_requested.set
         self.key_dispatcher = KeyDispatcher(
-            self.store, self.watch, self.leadership, self.job_table, self.job_service, self.job_writer,
-            self.cancellations, self.fleet, self.scheduler, self.scale_out, self.storage_version, self.drains, clock,
+            self.store, self.watch_progress, self.leadership, self.job_table, self.job_service, self.record_reader,
+            self.delegation_guard, self.cancellations, self.fleet, self.scheduler, self.scale_out, self.storage_version,
+            self.drains, clock,
         )  # fmt: skip
+        self.watch = Watch(self.store, self.watch_progress, self.key_dispatcher, clock)
         self.round_loop = RoundLoop(
             self.leadership, self.fleet, self.scheduler, self.job_writer, clock, self.round_requested
         )
@@ -172,9 +182,6 @@
 
     # -- the state service ---------------------------------------------------------------------
 
-    async def _reload_record(self, key: str) -> None:
-        await self.job_service.reload_record(key)
-
     def _on_decisions_stored(self) -> None:
         """Decisions were stored: starts can be launched, and others may be ready."""
         self.round_requested.set()
@@ -211,7 +218,7 @@
 
     def is_healthy(self) -> bool:
         """Healthy while this node can serve users, or while it knows that no other node could either."""
-        if not self.watch.loaded:
+        if not self.watch_progress.loaded:
             return False
         return self.store.healthy() or self.leadership.peer_observations.store_outage_is_shared()
 
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -27,7 +27,6 @@
     VersionedValue,
 )
 from hookwall.storage.errors import (
-    KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
     RequestRejectedError,
@@ -37,19 +36,14 @@
 from hookwall.storage.job_records import usable_value_bytes
 from hookwall.storage.rate_shares import RateShares
 
+# Callers have the errors and VersionedValue from here.
 __all__ = [
     "PRECONDITIONS_PER_CHANGE",
-    "RECENT_RESPONSE_S",
     "KeyValueClient",
-    "KeyValueEntry",
-    "KeyValueStoreError",
     "OutcomeUnknownError",
-    "Precondition",
     "PreconditionFailedError",
-    "Put",
     "RequestRejectedError",
     "RequestTooLargeError",
-    "RevisionCompactedError",
     "VersionedValue",
 ]
 
@@ -152,7 +146,7 @@
 
     async def scan(self, prefix: str) -> ScanResult:
         """All keys below a prefix, page by page; raises as `read` does."""
-        found: list[tuple[str, object, int]] = []
+        found: list[KeyValueEntry] = []
         first_revision: int | None = None
         after = ""
         while True:
--- a/tests/autoscaling/test_scale_out.py
+++ b/tests/autoscaling/test_scale_out.py
@@ -4,8 +4,8 @@
 
 import pytest
 from conftest import Clock, Cluster
+from harness.virtual_time import VirtualLoop
 from scripted_cloud import new_scale_out
-from world import VirtualLoop
 
 from hookwall.autoscaling.capacity import MachinePool, ProvisioningRequest
 from hookwall.autoscaling.cloud_client import CloudUnavailableError, NoCapacityError
