--- a/tools/golden_format_1.py
+++ b/tools/golden_format_1.py
@@ -9,11 +9,10 @@
 
 import asyncio
 import json
-import sys
-from pathlib import Path
 
-checkout = Path(sys.argv[1]).resolve()
-sys.path[:0] = [str(checkout), str(checkout / "tests")]
+from golden_samples import RecordingPeer, import_from_checkout, print_samples
+
+import_from_checkout()
 
 import msgspec  # noqa: E402  (the checkout's modules come first)
 from conftest import CATALOG, Clock, FakeState, description  # noqa: E402
@@ -27,17 +26,6 @@
 from hookwall.leadership import Leadership  # noqa: E402
 
 
-class Recorder:
-    """A peer that remembers what it was sent and answers as told."""
-
-    def __init__(self, name: str) -> None:
-        self.name, self.sent = name, []
-
-    async def call(self, message: dict, timeout: float = 1.0) -> dict:
-        self.sent.append(message)
-        return {"ok": True, "sok": True, "top": 0, "beats": 0, "want": [1.0, 2.0], "knows": True}
-
-
 class Limits:
     """The part of the settings that the user API needs."""
 
@@ -84,7 +72,7 @@
     async def load() -> None:
         return None
 
-    peers = [Recorder("n1"), Recorder("n2")]
+    peers = [RecordingPeer("n1"), RecordingPeer("n2")]
     lead = Leadership("n0", 3, peers, state, clock, load, lambda role: None)
     lead.say = lambda: {"pos": 17}
     lead.lend = lambda peer, want: [3.0, 1.5]
@@ -120,7 +108,7 @@
 
 
 async def main() -> None:
-    print(json.dumps(
+    print_samples(
         {
             "keys": {"jobs": st.JOBS, "leader": st.LEADER, "catalog": st.CATALOG, "keep": st.KEEP},
             "jobs": await job_records(),
@@ -129,8 +117,7 @@
             "catalog": msgspec.to_builtins(CATALOG),
             "hire": Hire("hw-41-3", (0, 0, True), 2).name,
         },
-        indent=1, sort_keys=True, default=list,
-    ))  # fmt: skip
+    )  # fmt: skip
 
 
 asyncio.run(main())
--- a/tools/golden_format_2.py
+++ b/tools/golden_format_2.py
@@ -10,11 +10,10 @@
 import asyncio
 import hashlib
 import json
-import sys
-from pathlib import Path
 
-checkout = Path(sys.argv[1]).resolve()
-sys.path[:0] = [str(checkout), str(checkout / "tests")]
+from golden_samples import RecordingPeer, import_from_checkout, print_samples
+
+import_from_checkout()
 
 import msgspec  # noqa: E402  (the checkout's modules come first)
 from conftest import CATALOG, Clock, FakeState, description  # noqa: E402
@@ -32,17 +31,6 @@
 LOWERED = State(rps=100.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=NextState(value_kb=1.0, txn_ops=4))
 
 
-class Recorder:
-    """A peer that remembers what it was sent and answers as told."""
-
-    def __init__(self, name: str) -> None:
-        self.name, self.sent = name, []
-
-    async def call(self, message: dict, timeout: float = 1.0) -> dict:
-        self.sent.append(message)
-        return {"ok": True, "sok": True, "top": 0, "beats": 0, "want": [1.0, 2.0], "knows": True}
-
-
 class Limits:
     """The part of the settings that the user API needs."""
 
@@ -50,10 +38,6 @@
     state = LOWERED
 
 
-def record_of(state: FakeState, n: int) -> object:
-    return state.keys[keys.JOBS + f"run-{n:06d}"][0]
-
-
 async def job_records() -> dict[str, object]:
     """Records as accepted, under way, packed, done and cancelled, and the parts that some of them name."""
     clock, state = Clock(), FakeState(LOWERED)
@@ -105,7 +89,7 @@
     async def load() -> None:
         return None
 
-    peers = [Recorder("n1"), Recorder("n2")]
+    peers = [RecordingPeer("n1"), RecordingPeer("n2")]
     lead = Leadership("n0", 3, peers, state, clock, load, lambda role: None)
     lead.about = lambda: {"format": formats.CURRENT, "lowered": False}
     lead.say = lambda: {"pos": 17}
@@ -156,7 +140,7 @@
 
 
 async def main() -> None:
-    print(json.dumps(
+    print_samples(
         {
             "keys": {
                 "jobs": keys.JOBS, "leader": keys.LEADER, "catalog": keys.CATALOG, "keep": keys.KEEP,
@@ -168,8 +152,7 @@
             "marker": await marker(),
             "catalog": msgspec.to_builtins(CATALOG),
         },
-        indent=1, sort_keys=True, default=list,
-    ))  # fmt: skip
+    )  # fmt: skip
 
 
 asyncio.run(main())
