--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -26,6 +26,7 @@
     RequestRejectedError,
     VersionedValue,
 )
+from hookwall.storage.entries import Precondition, Put
 
 log = logging.getLogger(__name__)
 
@@ -44,6 +45,13 @@
     peer_responded: bool
 
 
+class PeerVote(NamedTuple):
+    """A peer's response to the request for its vote; None for none."""
+
+    voter: str
+    response: PeerResponse | None
+
+
 class Election:
     """One node's attempts to lead, one at a time."""
 
@@ -66,7 +74,7 @@
         self._rank = rank
         self._election_id = 0  # of the election under way, unlike that of any other
         self._replaced_version = 0  # of the key whose leader the voters grant no lease any more; 0: none
-        self._voter_preconditions: list[tuple[str, int]] = []  # fence key and version of those who have voted
+        self._voter_preconditions: list[Precondition] = []  # the fence keys of those who have voted
         self._unresolved_version = 0  # of the key that a write of this process, without a response, may yet replace
         self._unresolved_leases: set[int] = set()  # of such writes: once those have ended they can't happen any more
 
@@ -177,17 +185,17 @@
                 break
         return VoteCount(votes, peer_responded)
 
-    async def _ask_for_vote(self, peer: Peer, message: PeerMessage) -> tuple[str, PeerResponse | None]:
+    async def _ask_for_vote(self, peer: Peer, message: PeerMessage) -> PeerVote:
         """One peer's name and response, None for none."""
         response = await self._peers.call(peer, message, timeout_s=VOTE_TIMEOUT_S)
         if response is not None:
             self._observations.record_response(peer.name, response)
-        return peer.name, response
+        return PeerVote(peer.name, response)
 
     def _add_voter_precondition(self, voter: str, version: int | None) -> None:
         """A voter names its fence key's version; programs before format 3, and nodes without the store, don't."""
         if version is not None and version > 0:
-            self._voter_preconditions.append((keys.VOTE_FENCE_PREFIX + voter, version))
+            self._voter_preconditions.append(Precondition(keys.VOTE_FENCE_PREFIX + voter, version))
 
     # -- the leader key ----------------------------------------------------------------------------
 
@@ -197,10 +205,10 @@
         requested_at = state.clock()
         session_lease = await self._store.grant_session_lease(session_lease_s(mode))
         record = LeaderRecord(state.node_name, state.incarnation, mode)
-        preconditions = [(keys.LEADER_KEY, replaced_version), *self._voter_preconditions]
+        preconditions = [Precondition(keys.LEADER_KEY, replaced_version), *self._voter_preconditions]
         try:
             fencing_token = await self._store.commit(
-                preconditions, [(keys.LEADER_KEY, record.encode())], hold=session_lease
+                preconditions, [Put(keys.LEADER_KEY, record.encode())], hold=session_lease
             )
         except OutcomeUnknownError:
             self._unresolved_version = max(replaced_version, self._unresolved_version)
--- a/hookwall/leadership/peer_group.py
+++ b/hookwall/leadership/peer_group.py
@@ -12,6 +12,8 @@
 
 CALL_TIMEOUT_S = 1.0
 
+WireMessage = dict[str, Any]  # a message between nodes as CBOR has it
+
 Result = TypeVar("Result")
 
 
@@ -20,7 +22,7 @@
 
     name: str
 
-    async def call(self, message: dict[str, Any], timeout: float = CALL_TIMEOUT_S) -> dict[str, Any] | None:
+    async def call(self, message: WireMessage, timeout: float = CALL_TIMEOUT_S) -> WireMessage | None:
         """The peer's response within so many seconds, or None."""
 
 
--- a/hookwall/leadership/peer_handler.py
+++ b/hookwall/leadership/peer_handler.py
@@ -5,10 +5,10 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
 from hookwall.leadership.leadership_state import LeadershipState
 from hookwall.leadership.peer_exchange import PeerExchange
+from hookwall.leadership.peer_group import WireMessage
 from hookwall.leadership.peer_observations import PeerObservations
 from hookwall.leadership.roles import Role
 from hookwall.protocol import peer_messages
@@ -42,7 +42,7 @@
             MessageKind.CANCELLATIONS: self._on_cancellations,
         }
 
-    def handle(self, encoded: dict[str, Any]) -> dict[str, Any]:
+    def handle(self, encoded: WireMessage) -> WireMessage:
         """The response to a peer's message, both as they go over the wire."""
         message = peer_messages.decode_message(encoded)
         if message is None or message.sender == self._state.node_name:
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -7,13 +7,12 @@
 import logging
 import struct
 from collections.abc import Callable
-from typing import Any
 
 import cbor2
 
 from hookwall.config.platform import PeerSeed, parse_address
 from hookwall.errors import HookwallError
-from hookwall.leadership.peer_group import CALL_TIMEOUT_S
+from hookwall.leadership.peer_group import CALL_TIMEOUT_S, WireMessage
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +26,7 @@
     """What came over a connection is not a message, or is too large."""
 
 
-async def read_frame(reader: asyncio.StreamReader) -> dict[str, Any]:
+async def read_frame(reader: asyncio.StreamReader) -> WireMessage:
     """The next message of a connection.
 
     Raises MalformedFrameError, and IncompleteReadError at the end of the connection.
@@ -41,7 +40,7 @@
     return value
 
 
-def encode_frame(message: dict[str, Any]) -> bytes:
+def encode_frame(message: WireMessage) -> bytes:
     """A message as it goes over a connection."""
     data = cbor2.dumps(message)
     return FRAME_LENGTH.pack(len(data)) + data
@@ -54,15 +53,15 @@
         self.name = seed.node_name
         self.host, self.port = parse_address(seed.peer_addr, "seeds.peer_addr")
         self._writer: asyncio.StreamWriter | None = None
-        self._pending: dict[int, asyncio.Future[dict[str, Any]]] = {}
+        self._pending: dict[int, asyncio.Future[WireMessage]] = {}
         self._last_serial = 0
         self._connecting = asyncio.Lock()
 
-    async def call(self, message: dict[str, Any], timeout: float = CALL_TIMEOUT_S) -> dict[str, Any] | None:
+    async def call(self, message: WireMessage, timeout: float = CALL_TIMEOUT_S) -> WireMessage | None:
         """The peer's response within so many seconds, or None."""
         self._last_serial += 1
         serial = self._last_serial
-        response: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
+        response: asyncio.Future[WireMessage] = asyncio.get_running_loop().create_future()
         self._pending[serial] = response
         try:
             async with asyncio.timeout(timeout):
@@ -106,7 +105,7 @@
         writer.close()
 
 
-async def serve_peers(listen_address: str, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> asyncio.Server:
+async def serve_peers(listen_address: str, handle: Callable[[WireMessage], WireMessage]) -> asyncio.Server:
     """Respond to peers' messages with `handle`, on `host:port`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/hookwall/leadership/state_machine.py
+++ b/hookwall/leadership/state_machine.py
@@ -6,13 +6,12 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 from hookwall.leadership.election import Election
 from hookwall.leadership.leadership_state import LeadershipState
 from hookwall.leadership.leadership_transfer import LeadershipTransfer
 from hookwall.leadership.peer_exchange import NoPeerExchange, PeerExchange
-from hookwall.leadership.peer_group import Peer, PeerGroup
+from hookwall.leadership.peer_group import Peer, PeerGroup, WireMessage
 from hookwall.leadership.peer_handler import PeerMessageHandler
 from hookwall.leadership.peer_heartbeat import PeerHeartbeat
 from hookwall.leadership.peer_observations import PeerObservations, RateDemand
@@ -69,7 +68,7 @@
         )
         self.leadership_transfer = LeadershipTransfer(self, self.peer_group, self.peer_observations, store)
 
-    def handle_peer_message(self, encoded: dict[str, Any]) -> dict[str, Any]:
+    def handle_peer_message(self, encoded: WireMessage) -> WireMessage:
         """The response to a peer's message, both as they go over the wire."""
         return self.peer_handler.handle(encoded)
 
--- a/hookwall/leadership/vote_fence.py
+++ b/hookwall/leadership/vote_fence.py
@@ -23,6 +23,7 @@
     RequestRejectedError,
     VersionedValue,
 )
+from hookwall.storage.entries import Precondition, Put
 
 log = logging.getLogger(__name__)
 
@@ -43,9 +44,9 @@
         """Whether this node may vote or grant quorum leases, as far as forgotten votes are concerned."""
         return self.version > 0 or not self._store.healthy()
 
-    def preconditions(self) -> list[tuple[str, int]]:
-        """Key and version that a write of the leader key depends on if it counts this node's own vote."""
-        return [(self.key, self.version)] if self.version else []
+    def preconditions(self) -> list[Precondition]:
+        """What a write of the leader key depends on if it counts this node's own vote."""
+        return [Precondition(self.key, self.version)] if self.version else []
 
     async def establish(self) -> None:
         """Put up the fence, once; then wait for the end of the process."""
@@ -68,4 +69,4 @@
         value = {"process": self.incarnation}
         if stored.version and stored.value == value:
             return stored.version  # written before, without a response
-        return await self._store.commit([(self.key, stored.version)], [(self.key, value)])
+        return await self._store.commit([Precondition(self.key, stored.version)], [Put(self.key, value)])
