--- /dev/null
+++ b/tests/workers/test_lease_delegate.py
@@ -0,0 +1,204 @@
+"""Followers renew leases only if the leader can't count them as expired."""
+
+import asyncio
+import random
+
+import pytest
+from conftest import Clock, Cluster, FakeState
+
+from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.state_machine import Leadership
+from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.heartbeat_messages import Heartbeat
+from hookwall.storage import keys
+from hookwall.storage.client import PreconditionFailedError
+from hookwall.storage.job_records import encode_plain, json_bytes, usable_value_bytes
+from hookwall.workers.delegation_record import decode_machines
+from hookwall.workers.lease_delegate import LEADER_SILENCE_S, SESSION_LEASE_S, LeaseDelegate
+
+
+@pytest.fixture
+def follower(state: FakeState, clock: Clock) -> LeaseDelegate:
+    async def load():
+        return None
+
+    leadership = Leadership("n1", 3, [], state, clock, load, lambda role: None)
+    state.epoch = 7
+    state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 7)
+    leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    clock.tick(LEADER_SILENCE_S + 1)
+    return LeaseDelegate("n1", leadership, state, JobTable(clock), lambda: True, clock)
+
+
+def heartbeat(token=7, tasks=(("run-000001/0", 1, "running"),), machine="vm-1") -> Heartbeat:
+    return heartbeat_messages.Heartbeat(
+        machine=machine,
+        epoch=1,
+        sequence=3,
+        fencing_token=token,
+        tasks=[
+            heartbeat_messages.TaskStatus(task_id=task_id, attempt=attempt, phase=phase)
+            for task_id, attempt, phase in tasks
+        ],
+    )
+
+
+def test_a_worker_that_lost_its_leader_is_answered_once_that_is_stored(follower: LeaseDelegate, state: FakeState):
+    assert asyncio.run(follower.renew_lease(heartbeat())) == []
+    assert state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-1"]
+
+
+def test_no_renewal_without_a_store_a_lost_leader_a_task_and_the_fencing_token(
+    follower: LeaseDelegate, state: FakeState, clock: Clock
+):
+    assert asyncio.run(follower.renew_lease(heartbeat(token=8))) is None
+    assert asyncio.run(follower.renew_lease(heartbeat(tasks=()))) is None
+    state.mode = "lost"
+    assert asyncio.run(follower.renew_lease(heartbeat())) is None
+    state.mode = "ok"
+    follower.leadership.leader_contact_at = clock()
+    assert asyncio.run(follower.renew_lease(heartbeat())) is None
+
+
+def test_renewals_end_with_the_session_lease(follower: LeaseDelegate, clock: Clock):
+    asyncio.run(follower.renew_lease(heartbeat()))
+    assert follower.covers("vm-1") and not follower.covers("vm-2")
+    clock.tick(SESSION_LEASE_S)
+    assert not follower.covers("vm-1")
+
+
+def test_a_write_with_unknown_outcome_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
+    asyncio.run(follower.renew_lease(heartbeat()))
+    state.mode = "ghost"
+    follower.requested.add("vm-2")
+    asyncio.run(follower.store_delegation())
+    assert not follower.covers("vm-1") and not follower.covers("vm-2")
+
+
+def test_a_new_leader_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
+    asyncio.run(follower.renew_lease(heartbeat()))
+    state.epoch = 20
+    state.keys[keys.LEADER_KEY] = ({"node": "n2"}, 20)
+    follower.leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    assert not follower.covers("vm-1")
+
+
+def test_tasks_of_a_cancelled_job_are_stopped(follower: LeaseDelegate):
+    record = {"phase": "withdrawn", "n": 1, "next": 2, "on": []}
+    follower.table.apply_record(keys.JOB_PREFIX + "run-000001", record, 5)
+    commands = asyncio.run(follower.renew_lease(heartbeat()))
+    assert [(command.action, command.task_id) for command in commands] == [("stop", "run-000001/0")]
+
+
+def test_a_leader_that_does_not_know_of_a_delegation_cannot_store_what_it_believes(
+    follower: LeaseDelegate, state: FakeState, clock: Clock, cluster: Cluster
+):
+    """The case that would run a task twice: the lease ends by the leader's count, but was renewed."""
+    cluster.beat("vm-1")
+    job = cluster.submit(1)
+    cluster.scheduler.run_round()
+    cluster.store()
+    cluster.beat("vm-1")
+    asyncio.run(follower.renew_lease(heartbeat()))
+    clock.tick(13.0)
+    cluster.fleet.expire_leases(clock())
+    assert not job.allocations and job.has_unsaved_changes
+    delegation_keys = [keys.LEASE_DELEGATE_PREFIX + "n1"]
+    with pytest.raises(PreconditionFailedError):
+        asyncio.run(
+            state.commit(
+                [(keys.LEADER_KEY, 7), *cluster.fleet.delegated_leases.preconditions(delegation_keys)], [("x", 1)]
+            )
+        )
+    cluster.fleet.delegated_leases.apply_key(delegation_keys[0], *state.keys[delegation_keys[0]])
+    job.stored_value = {**encode_plain(job.record()), "on": [["vm-1", 1, 1, "0"]]}
+    cluster.table.revert_unsaved()
+    cluster.fleet.expire_leases(clock())
+    assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes
+
+
+def test_leases_count_from_the_end_of_their_delegation(cluster: Cluster, clock: Clock):
+    cluster.beat("vm-1")
+    job = cluster.submit(1)
+    cluster.scheduler.run_round()
+    cluster.store()
+    cluster.beat("vm-1")
+    delegated = cluster.fleet.delegated_leases
+    delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n1", {"machines": ["vm-1"]}, 30)
+    clock.tick(40.0)
+    cluster.fleet.expire_leases(clock())
+    assert job.allocations
+    delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n1", None, 0)
+    clock.tick(12.0)
+    cluster.fleet.expire_leases(clock())
+    assert job.allocations
+    clock.tick(1.0)
+    cluster.fleet.expire_leases(clock())
+    assert not job.allocations
+
+
+def test_a_worker_that_never_met_the_new_leader_is_renewed_too(follower: LeaseDelegate):
+    """The leader sat in the zone that was cut off, and was replaced from outside it."""
+    assert asyncio.run(follower.renew_lease(heartbeat(token=3))) == []
+    assert follower.fencing_token == 7
+
+
+def test_workers_are_redirected_to_a_leader_that_only_this_node_has_no_contact_with(
+    follower: LeaseDelegate, state: FakeState, clock: Clock
+):
+    state.epoch = 9
+    state.keys[keys.LEADER_KEY] = ({"node": "n0", "mode": "hold"}, 9)
+    follower.leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    # First its lease is renewed, so that it has the time to try.
+    assert follower.redirect_target(heartbeat()) is None
+    assert asyncio.run(follower.renew_lease(heartbeat())) == []
+    assert asyncio.run(follower.renew_lease(heartbeat(machine="vm-2"))) == []
+    # It carries the leader's token now, from this node's answer.
+    assert follower.redirect_target(heartbeat(token=9)) == "n0"
+    assert not follower.covers("vm-1") and follower.covers("vm-2")
+    asyncio.run(follower.store_delegation(shrink=True))
+    assert state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-2"]
+    # It finds nobody there, comes back, and is not sent away again at once.
+    assert follower.redirect_target(heartbeat(token=9)) is None
+    assert asyncio.run(follower.renew_lease(heartbeat(token=9))) == []
+    assert follower.redirect_target(heartbeat(token=9)) is None
+    clock.tick(1.0)
+    # One that has met this leader and lost it is cut off from it.
+    assert asyncio.run(follower.renew_lease(heartbeat(token=9, machine="vm-3"))) == []
+    assert follower.redirect_target(heartbeat(token=9, machine="vm-3")) is None
+
+
+def test_a_worker_that_lost_a_leader_by_quorum_lease_is_not_redirected(follower: LeaseDelegate):
+    assert asyncio.run(follower.renew_lease(heartbeat(token=5))) == []
+    assert follower.redirect_target(heartbeat(token=5)) is None
+
+
+def test_a_rejected_write_leaves_the_stored_delegation_valid(follower: LeaseDelegate, state: FakeState):
+    assert asyncio.run(follower.renew_lease(heartbeat())) == []
+    state.mode = "down"
+    follower.requested.add("vm-2")
+    asyncio.run(follower.store_delegation())
+    assert follower.covers("vm-1") and not follower.covers("vm-2")
+
+
+@pytest.mark.parametrize(("form", "least"), [("plain", 900), ("packed", 4000), ("numbered", 4000)])
+def test_a_zone_of_thousands_of_machines_is_delegated_as_far_as_one_key_names_them(
+    follower: LeaseDelegate, state: FakeState, form, least
+):
+    """The plain form, for programs of format 1, names some; it was written too large and no lease was renewed."""
+    follower.packed_names = lambda: form != "plain"
+    follower.numbered_names = lambda: form == "numbered"
+    names = [f"vm-{n:06d}" for n in range(1, 8001, 2)]
+    value = follower.encode(7, list(names)).value
+    stored = decode_machines(value)
+    assert least <= len(stored) and stored <= set(names)
+    assert json_bytes(value) <= state.max_plain_value_bytes() and ("numbered" in value) == (form == "numbered")
+
+
+def test_a_zone_of_two_thousand_machines_is_delegated_under_lowered_limits(follower: LeaseDelegate, state: FakeState):
+    follower.packed_names = follower.numbered_names = lambda: True
+    state.max_value_bytes = usable_value_bytes(2.0)
+    names = {f"vm-{n:06d}" for n in random.Random(3).sample(range(8000), 2000)}
+    follower.requested = set(names)
+    asyncio.run(follower.store_delegation())
+    assert follower.delegated == names and decode_machines(state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]) == names
--- a/tests/workers/test_machine_names.py
+++ b/tests/workers/test_name_codec.py
@@ -19,12 +19,12 @@
     assert job_records.json_bytes({"token": 10**9, "numbered": value}) <= KEY_LIMIT
 
 
-def test_names_of_any_kind_are_kept():
+def test_names_of_any_kind_survive_encoding():
     names = ["vm-000001", "vm-1", "vm-01", "", "gpu", "rack-7/vm-3", "é-5", "7", "vm-" + "9" * 40]
     assert sorted(name_codec.decode(name_codec.encode(names))) == sorted(names)
 
 
-def test_what_is_no_list_of_names_is_refused():
+def test_decoding_what_is_no_list_of_names_is_an_error():
     good = name_codec.encode(["vm-1", "vm-7"])
     backwards = job_records.compress_bytes(b"\x92\x05\x00")
     bad = [None, [], {}, {"groups": [], "others": 1}, {**good, "groups": [["vm-", 1]]}]
