--- a/hookwall/node/key_dispatch.py
+++ b/hookwall/node/key_dispatch.py
@@ -15,7 +15,7 @@
 from hookwall.drains.drain_subsystem import DrainSubsystem
 from hookwall.jobs.cancellations import CancellationLedger
 from hookwall.jobs.job_table import JobTable
-from hookwall.jobs.job_writer import JobWriter
+from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.leadership.roles import Role
 from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import json_messages
@@ -24,14 +24,14 @@
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.entries import KeyValueEntry
 from hookwall.storage.storage_version import StorageVersionGate
-from hookwall.storage.watch import Watch
+from hookwall.storage.watch import WatchProgress
+from hookwall.workers.delegation_guard import DelegationGuard
 from hookwall.workers.fleet import Fleet
 
 log = logging.getLogger(__name__)
 
-KeyEntry = tuple[str, object, int]  # key, value, version
-
 
 class KeyDispatcher:
     """Takes in the stored keys for all subsystems of one node."""
@@ -39,11 +39,12 @@
     def __init__(
         self,
         store: KeyValueClient,
-        watch: Watch,
+        progress: WatchProgress,
         leadership: Leadership,
         job_table: JobTable,
         job_service: JobService,
-        job_writer: JobWriter,
+        record_reader: JobRecordReader,
+        delegation_guard: DelegationGuard,
         cancellations: CancellationLedger,
         fleet: Fleet,
         scheduler: Scheduler,
@@ -53,11 +54,12 @@
         clock: Callable[[], float],
     ) -> None:
         self.store = store
-        self.watch = watch
+        self.progress = progress
         self.leadership = leadership
         self.job_table = job_table
         self.job_service = job_service
-        self.job_writer = job_writer
+        self.record_reader = record_reader
+        self.delegation_guard = delegation_guard
         self.cancellations = cancellations
         self.fleet = fleet
         self.scheduler = scheduler
@@ -108,16 +110,24 @@
         self._drop_missing_delegations(entries)
         self.drains.apply_snapshot(entries)
         if self.leadership.role is Role.LEADER:
-            self.job_writer.delegation_guard.void_decisions()  # changes were missed
+            self.delegation_guard.void_decisions()  # changes were missed
         for key, value, version in entries:
             self.apply_key(key, value, version)
         if all(key != keys.LEADER_KEY for key, _, _ in entries):
             self.leadership.observe_leader_key({}, 0, revision)
-        self.watch.watched_revision = revision
-        self.watch.loaded = True
+        self.progress.watched_revision = revision
+        self.progress.loaded = True
         self._records_were_read(sent_at)
         log.info("read all records: jobs=%d", len(self.job_table.jobs))
 
+    def confirm_current(self, as_of: float) -> None:
+        """All that was stored before this moment, on this node's clock, has been applied."""
+        self.cancellations.confirm_records_read(as_of)
+
+    def is_leader(self) -> bool:
+        """Whether this node leads, and so needs changes sooner."""
+        return self.leadership.role is Role.LEADER
+
     async def load_for_leadership(self) -> None:
         """Rebuild a new leader's picture from the records as they are after its key was written."""
         self.job_table.invalidate_decisions()
@@ -130,8 +140,8 @@
                 self.apply_key(key, value, version)
         for job_id in list(self.job_table.chunks.unreadable_records):
             # Its chunks were replaced while the keys were read.
-            await self.job_service.reload_record(keys.JOB_PREFIX + job_id)
-        self.watch.scanned_revision = revision
+            await self.record_reader.reload(keys.JOB_PREFIX + job_id)
+        self.progress.scanned_revision = revision
         self._records_were_read(sent_at)
         self.catalog_was_absent = all(key != keys.CATALOG_KEY for key, _, _ in entries)
         self.fleet.reset(self.leadership.fencing_token)
@@ -143,7 +153,7 @@
         self.cancellations.all_records_read = True
         self.cancellations.confirm_records_read(sent_at)
 
-    def _drop_missing_delegations(self, entries: list[KeyEntry]) -> None:
+    def _drop_missing_delegations(self, entries: list[KeyValueEntry]) -> None:
         """Lease delegates' keys that a full read does not show are gone."""
         present = {key for key, _, _ in entries}
         delegated = self.fleet.delegated_leases
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -46,7 +46,7 @@
 MAX_ROUND_S = 0.12  # heartbeats and health checks wait meanwhile
 LEAST_CORE_SHARE = 0.01
 MAX_UNSTORED_JOBS = 60  # jobs with starts that wait to be stored
-RESERVE_AFTER_S = 1.0
+RESERVE_AFTER_S = 1.0  # so long a gang waits before machines are reserved for it
 
 
 class Scheduler:
@@ -58,7 +58,7 @@
         table: JobTable,
         fleet: Fleet,
         clock: Callable[[], float],
-        wall: Callable[[], float] = time.time,
+        time_of_day: Callable[[], float] = time.time,
         unstored_job_count: Callable[[], int] = lambda: 0,
         start_record_budget: Callable[[], StartRecordBudget] | None = None,
     ) -> None:
@@ -67,11 +67,10 @@
         `unstored_job_count`: how many jobs have starts that wait to be stored.
         `start_record_budget`: how much of its record the starts of one job may take; without it, the plain form's.
         """
-        self.params = params
         self.table = table
         self.fleet = fleet
         self.clock = clock
-        self.time_of_day = wall
+        self.time_of_day = time_of_day
         self.unstored_job_count = unstored_job_count
         plain_bytes = plain_allocations_bytes(params.state.value_kb)
         plain = StartRecordBudget(plain_bytes, plain_bytes)
@@ -85,7 +84,7 @@
         self.latest_start_s = _latest_starts_s(params.objectives)
         team_settings = list(params.teams)
         self.quotas = Quotas(team_settings, table)
-        self.image_affinity = ImageAffinity(self.waiting, fleet, wall, self.latest_start_s)
+        self.image_affinity = ImageAffinity(self.waiting, fleet, time_of_day, self.latest_start_s)
         self.preemption = Preemption(team_settings, fleet, self.resource_request)
         self.reservations = Reservations(table, fleet, self.waiting, self.image_affinity, self.preemption)
         self.machine_selection = MachineSelection(fleet, self.reservations, self.image_affinity)
