--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -61,7 +61,14 @@
         self.job_table = JobTable(clock, self._on_record_applied, self._on_cancelled)
         self.record_reader = JobRecordReader(self.job_table, self.store)
         self.read_confirmation = ReadConfirmation(self.store, self.record_reader.reload)
-        self.fleet = Fleet(params, self.job_table, clock)
+        self.round_requested = asyncio.Event()
+        self.fleet = Fleet(
+            params,
+            self.job_table,
+            clock,
+            on_change=self.round_requested.set,
+            on_machines_delegated=self._on_machines_delegated,
+        )
         self.scheduler = Scheduler(
             params,
             self.job_table,
@@ -109,14 +116,18 @@
             self.watch_progress.known_revision,
             self.job_table.apply_cancellation,
         )
-        self.lease_delegate = LeaseDelegate(
-            settings.node_name, self.leadership, self.store, self.job_table, self.cancellations.may_renew_leases, clock
-        )
         peer_names = [seed.node_name for seed in settings.seeds]
-        self.heartbeat_router = HeartbeatRouter(
-            self.leadership, self.fleet, self.lease_delegate, self.cancellations, clock
-        )
         self.storage_version = StorageVersionGate(settings.node_name, peer_names, self.store)
+        self.lease_delegate = LeaseDelegate(
+            settings.node_name,
+            self.leadership,
+            self.store,
+            self.job_table,
+            self.cancellations.may_renew_leases,
+            clock,
+            packed_names=self.storage_version.allows_dependencies,
+            numbered_names=self.storage_version.allows_numbered_machines,
+        )
         self.delegation_guard = DelegationGuard(
             self.job_table,
             self.store,
@@ -146,16 +157,16 @@
             packing_enabled=self.storage_version.allows_dependencies,
             cancellations_current=self.cancellations.records_are_current,
         )
-        self.heartbeat_router.on_heartbeat_processed = self.job_writer.write_requested.set
-        self.lease_delegate.packed_names, self.lease_delegate.numbered_names = (
-            self.storage_version.allows_dependencies,
-            self.storage_version.allows_numbered_machines,
+        self.heartbeat_router = HeartbeatRouter(
+            self.leadership,
+            self.fleet,
+            self.lease_delegate,
+            self.cancellations,
+            clock,
+            on_heartbeat_processed=self.job_writer.write_requested.set,
         )
         drain = (operations or Operations()).drain
         self.drains = DrainSubsystem(drain.enabled, bool(drain.budgets), lambda: self._drain_controller(drain, wall))
-        self.fleet.delegated_leases.on_machines_delegated = self._on_machines_delegated
-        self.round_requested = asyncio.Event()
-        self.fleet.on_change = self.round_requested.set
         self.key_dispatcher = KeyDispatcher(
             self.store, self.watch_progress, self.leadership, self.job_table, self.job_service, self.record_reader,
             self.delegation_guard, self.cancellations, self.fleet, self.scheduler, self.scale_out, self.storage_version,
@@ -192,13 +203,13 @@
         self.round_requested.set()
 
     def _on_machines_delegated(self, machines: frozenset[str] | None) -> None:
-        """Followers keep the leases of these machines.
+        """Followers renew the leases of these machines; None: of any.
 
-        From here on the leader's writes have the newer keys as conditions, so what it decided on the older ones
-        would be stored: a machine whose lease seemed to be over runs its tasks, and they were started elsewhere.
+        From here on the leader's writes have the newer keys as preconditions, so what it decided on the older ones
+        would be stored: a machine whose lease seemed to have expired runs its tasks, and they were started elsewhere.
         """
         if self.leadership.role is Role.LEADER and self.fleet.lease_expiry.retract_expiry(machines):
-            log.info("a lease that seemed to be over is kept; decisions that are not stored are void")
+            log.info("expired lease was renewed by a follower; unsaved decisions are void")
             self.job_table.revert_unsaved()
 
     def _on_cancelled(self, ref: str, stamp: int) -> None:
