--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -159,7 +159,7 @@
     clock = time.monotonic
     node = leading(params, clock, args.machines)
     names = sorted(node.fleet.machines)
-    drains = node._drain_controller(DrainSettings(True, [DisruptionBudget("grey", jobs=10)]), time.time)
+    drains = node.build_drain_controller(DrainSettings(True, [DisruptionBudget("grey", jobs=10)]))
     result = {"machines": args.machines, "round_ms": timed(node.scheduler.run_round)}
     asked = DrainRequest(selection=Selection(share=1.0), batch=args.batch)
     record = request.new_record(asked, names, clock())
