--- /dev/null
+++ b/tests/api/test_job_service.py
@@ -0,0 +1,277 @@
+"""Submission, status and cancellation: never older than what another node has answered."""
+
+import asyncio
+import json
+
+import pytest
+from conftest import CATALOG, Clock, FakeState, description
+from sample_records import chunked_record
+
+from hookwall.api.job_service import JobService
+from hookwall.config.platform import PlatformParameters
+from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.record_reader import JobRecordReader
+from hookwall.storage import keys
+from hookwall.storage.client import PreconditionFailedError
+from hookwall.storage.read_confirmation import ReadConfirmation
+
+
+class Nodes:
+    """Two nodes on one key-value store, neither of which sees the other's changes by itself."""
+
+    def __init__(self, params, state: FakeState, clock: Clock) -> None:
+        self.services = []
+        for _ in range(2):
+            table = JobTable(clock)
+            reader = JobRecordReader(table, state)
+            service = JobService(params, table, state, reader, ReadConfirmation(state, reader.reload))
+            service.catalog = CATALOG
+            self.services.append(service)
+
+
+def play(nodes: Nodes, script):
+    async def main():
+        loops = [asyncio.create_task(service.read_confirmation.run()) for service in nodes.services]
+        try:
+            return await script(*nodes.services)
+        finally:
+            for loop in loops:
+                loop.cancel()
+
+    return asyncio.run(main())
+
+
+@pytest.fixture
+def nodes(params: PlatformParameters, state: FakeState, clock: Clock) -> Nodes:
+    return Nodes(params, state, clock)
+
+
+def body(n=1, **changes):
+    return json.dumps(description(n, **changes)).encode()
+
+
+def test_a_job_is_accepted_only_once_it_is_stored(nodes: Nodes, state: FakeState):
+    async def script(service: JobService, other: JobService):
+        state.mode = "lost"
+        first = await service.submit(body())
+        state.mode = "ok"
+        gone = await service.get("run-000001")
+        second = await service.submit(body())
+        return first[0], first[2], gone[0], second[0], (await other.submit(body()))[0]
+
+    assert play(nodes, script) == (503, {"Retry-After": "1"}, 404, 201, 200)
+
+
+def test_a_write_whose_outcome_was_unknown_is_found_on_the_retry(nodes: Nodes, state: FakeState):
+    async def script(service: JobService, other: JobService):
+        state.mode = "ghost"
+        first = await service.submit(body())
+        state.mode = "ok"
+        return first[0], (await service.submit(body()))[0], (await other.get("run-000001"))[0]
+
+    assert play(nodes, script) == (503, 200, 200)
+
+
+def test_a_cached_status_is_confirmed_before_it_is_given(nodes: Nodes):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body())
+        assert b"pending" in (await other.get("run-000001"))[1]
+        await service.cancel("run-000001")
+        return [json.loads((await node.get("run-000001"))[1])["phase"] for node in (other, service)]
+
+    assert play(nodes, script) == ["withdrawn", "withdrawn"]
+
+
+def test_a_poll_that_is_confirmed_while_a_new_leader_loads_is_not_answered_404(nodes: Nodes):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body(1))
+        poll = asyncio.create_task(service.get("run-000001"))
+        await asyncio.sleep(0.01)
+        service.table.invalidate_decisions()
+        return (await poll)[0]
+
+    assert play(nodes, script) == 200
+
+
+def test_a_new_leader_applies_the_records_again_even_if_it_knows_their_versions(nodes: Nodes, clock: Clock):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body(1))
+        job = service.table.jobs["run-000001"]
+        job.next_attempt, job.has_unsaved_changes = 7, True
+        service.table.invalidate_decisions()
+        await service.reader.reload("hookwall/job/run-000001")
+        return job.next_attempt, job.has_unsaved_changes
+
+    assert play(nodes, script) == (1, False)
+
+
+def test_a_404_is_confirmed_before_it_is_given(nodes: Nodes):
+    async def script(service: JobService, other: JobService):
+        before = await other.get("run-000001")
+        await service.submit(body())
+        return before[0], (await other.get("run-000001"))[0]
+
+    assert play(nodes, script) == (404, 200)
+
+
+def test_an_unconfirmed_status_is_503_at_once_but_final_ones_are_served(nodes: Nodes, state: FakeState):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body(1))
+        await service.submit(body(2))
+        await service.cancel("run-000002")
+        state.mode = "down"
+        return [(await service.get(f"run-00000{n}"))[0] for n in (1, 2, 3)]
+
+    assert play(nodes, script) == [503, 200, 503]
+
+
+def test_polls_share_one_comparison(nodes: Nodes, state: FakeState):
+    async def script(service: JobService, other: JobService):
+        for n in range(1, 9):
+            await service.submit(body(n))
+        state.requests.clear()
+        await asyncio.gather(*(service.get(f"run-{n:06d}") for n in range(1, 9)))
+        return list(state.requests)
+
+    assert play(nodes, script) == ["compare"]
+
+
+def test_a_cancellation_of_a_done_job_says_done(nodes: Nodes, state: FakeState):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body(1))
+        key = "hookwall/job/run-000001"
+        state.epoch += 1
+        state.keys[key] = ({"phase": "done", "n": 1, "next": 2, "on": []}, state.epoch)
+        first = json.loads((await other.cancel("run-000001"))[1])["phase"]
+        return first, json.loads((await service.get("run-000001"))[1])["phase"]
+
+    assert play(nodes, script) == ("done", "done")
+
+
+def test_a_cancellation_that_loses_against_the_last_task_s_end_says_done(nodes: Nodes, state: FakeState):
+    """The leader stores the end just between the cancellation's reading and its writing."""
+
+    async def script(service: JobService, other: JobService):
+        await service.submit(body(1))
+        key, read = "hookwall/job/run-000001", state.get
+
+        async def get(k):
+            got = await read(k)
+            if state.keys[key][0]["phase"] == "open":
+                state.epoch += 1
+                state.keys[key] = ({"phase": "done", "n": 1, "next": 2, "on": []}, state.epoch)
+            return got
+
+        state.get = get
+        cancelled = json.loads((await other.cancel("run-000001"))[1])["phase"]
+        polled = json.loads((await service.get("run-000001"))[1])["phase"]
+        return cancelled, polled
+
+    assert play(nodes, script) == ("done", "done")
+
+
+def test_a_cancellation_seen_during_a_write_of_the_leader_is_answered_with_withdrawn(nodes: Nodes):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body(1))
+        job = service.table.jobs["run-000001"]
+        job.write_in_flight = True  # the leader's own write of the same job is under way
+        await other.cancel("run-000001")
+        return json.loads((await service.get("run-000001"))[1])["phase"]
+
+    assert play(nodes, script) == "withdrawn"
+
+
+@pytest.mark.parametrize(
+    ("changes", "status"),
+    [
+        ({"owner": "nobody"}, 422),
+        ({"hulls": ["g9"]}, 422),
+        ({"cards": 5.0}, 422),
+        ({"yard": "north"}, 422),
+        ({"owner": "red", "shape": "ensemble", "pieces": 5, "cards": 4.0}, 422),
+        ({"owner": "red", "shape": "batch", "pieces": 5, "cards": 4.0}, 201),
+        ({"owner": "grey", "shape": "ensemble", "pieces": 5, "cards": 4.0}, 201),
+    ],
+)
+def test_an_infeasible_job_is_refused(nodes: Nodes, changes, status):
+    async def script(service: JobService, other: JobService):
+        return (await service.submit(body(**changes)))[0]
+
+    assert play(nodes, script) == status
+
+
+def test_an_accepted_job_is_not_refused_when_it_is_repeated(nodes: Nodes):
+    async def script(service: JobService, other: JobService):
+        await service.submit(body())
+        return (await other.submit(body(owner="nobody")))[0]
+
+    assert play(nodes, script) == 200
+
+
+def test_a_submission_without_known_machine_types_is_refused_for_now(nodes: Nodes):
+    async def script(service: JobService, other: JobService):
+        service.catalog = None
+        return (await service.submit(body()))[0]
+
+    assert play(nodes, script) == 503
+
+
+def test_a_job_whose_chunks_are_not_known_yet_is_not_answered_404(nodes: Nodes, state: FakeState, clock: Clock):
+    key, encoded = chunked_record()
+    state.keys[key] = (encoded.value, 9)
+    state.epoch = 9
+
+    async def script(service: JobService, other: JobService):
+        first = (await service.get("run-000001"))[0]
+        for chunk_key, text in encoded.chunks.items():
+            state.keys[chunk_key] = (text, 8)
+        return first, (await service.get("run-000001"))[0]
+
+    assert play(nodes, script) == (503, 200)
+
+
+@pytest.mark.parametrize("gone", [False, True])
+def test_a_record_that_is_replaced_in_chunks_is_not_stored_if_one_of_them_is_gone(
+    nodes: Nodes, state: FakeState, clock: Clock, gone
+):
+    """A leader may remove chunks that no record names, so the write that names them is conditional on them."""
+    key, encoded = chunked_record()
+    state.keys[key], state.epoch = ({"phase": "open", "n": 1, "next": 1, "on": []}, 9), 9
+    state.max_transaction_changes = 2
+    writes: list[list[str]] = []
+    write = state.commit
+
+    async def commit(when, put=(), **more):
+        if len(writes) == 1 and gone:
+            state.keys.pop(writes[0][0])
+        writes.append([name for name, _ in put])
+        return await write(when, put, **more)
+
+    async def script(service: JobService, other: JobService):
+        state.commit = commit
+        try:
+            return await service.record_writer.write(key, 9, encoded, state.keys[key][0])
+        except PreconditionFailedError:
+            return None
+
+    stored = play(nodes, script)
+    assert len(writes) > 1 and (stored is None) == gone
+    assert (state.keys[key][0] == encoded.value) != gone
+
+
+def test_a_large_description_is_not_stored_in_chunks_while_an_older_program_may_read_it(nodes: Nodes, state: FakeState):
+    async def script(service: JobService, other: JobService):
+        service.packing_enabled = lambda: False
+        types = [f"type-{n * 7919**4:030d}" * 3 for n in range(60)]
+        first = await service.submit(json.dumps(description(1, hulls=["g4", *types], pieces=2)).encode())
+        stored = {key for key in state.keys if key.startswith((keys.CHUNK_PREFIX, keys.JOB_PREFIX))}
+        plain_form = [state.keys[key][0] for key in stored]
+        return (
+            first[0],
+            [key for key in stored if key.startswith(keys.CHUNK_PREFIX)],
+            ["packed" in v for v in plain_form],
+        )
+
+    state.max_value_bytes = 1700  # of the limits to come
+    status, chunks, packed = play(nodes, script)
+    assert status == 201 and not chunks and packed == [False]
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -7,6 +7,7 @@
 import msgspec
 import pytest
 from conftest import Clock, FakeState, description
+from sample_records import chunked_record
 
 from hookwall.config.platform import StoreLimits
 from hookwall.jobs.job import Allocation
@@ -28,19 +29,18 @@
 def writer(state: FakeState, clock: Clock) -> JobWriter:
     """A leader's writer that knows a job in chunks, and a chunk that its record does not name."""
     state.has_spare_changes = lambda: True
-    spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
-    encoded = encode_record(spec.job_id, JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks=""), 1700)
+    _, encoded = chunked_record()
     table = JobTable(clock)
     state.epoch = 9
     state.keys = {
-        k: (v, 9) for k, v in {**encoded.chunks, KEY: encoded.value, f"{keys.CHUNK_PREFIX}{spec.job_id}/x": "y"}.items()
+        k: (v, 9) for k, v in {**encoded.chunks, KEY: encoded.value, f"{keys.CHUNK_PREFIX}run-000001/x": "y"}.items()
     }
     state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
-    for key, (value, stamp) in state.keys.items():
+    for key, (value, version) in state.keys.items():
         if key.startswith(keys.CHUNK_PREFIX):
-            table.apply_chunk(key, value, stamp)
+            table.apply_chunk(key, value, version)
         elif key == KEY:
-            table.apply_record(key, value, stamp)
+            table.apply_record(key, value, version)
     return leader_writer(table, state, clock, [], SimpleNamespace(fencing_token=5))
 
 
