--- a/hookwall/api/job_service.py
+++ b/hookwall/api/job_service.py
@@ -27,13 +27,13 @@
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.protocol.json_messages import MalformedMessageError
 from hookwall.storage import keys
-from hookwall.storage.client import (
-    KeyValueClient,
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.errors import (
     OutcomeUnknownError,
     PreconditionFailedError,
+    RecordTooLargeError,
     RequestRejectedError,
 )
-from hookwall.storage.job_records import RecordTooLargeError
 from hookwall.storage.read_confirmation import ReadConfirmation
 
 log = logging.getLogger(__name__)
--- a/hookwall/api/record_writer.py
+++ b/hookwall/api/record_writer.py
@@ -4,6 +4,7 @@
 """
 
 from collections.abc import Callable
+from itertools import islice
 from typing import Any
 
 from hookwall.config.platform import StoreLimits
@@ -11,14 +12,15 @@
 from hookwall.jobs.job import CANCELLED
 from hookwall.jobs.job_table import JobTable
 from hookwall.storage import job_records, keys
-from hookwall.storage.client import KeyValueClient, RequestRejectedError
-from hookwall.storage.job_records import (
-    EncodedRecord,
-    JobRecord,
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition, Put
+from hookwall.storage.errors import (
     MalformedRecordError,
     MissingChunksError,
     RecordTooLargeError,
+    RequestRejectedError,
 )
+from hookwall.storage.job_records import EncodedRecord, JobRecord
 
 CHUNK_WRITES_S = 3.0  # a user waits 5 s for a response; what is not stored by then is gone on with next time
 PLAIN_MARGIN_BYTES = 512  # of a value, beside a record in its plain form
@@ -68,19 +70,19 @@
         max_changes = self.store.batch_size()
         deadline = self.clock() + CHUNK_WRITES_S
 
-        def next_batch(remaining: dict[str, str]) -> list[tuple[str, str]]:
+        def next_batch(remaining: dict[str, str]) -> list[Put]:
             if len(remaining) < max_changes:
                 return []
             if self.clock() > deadline:
                 raise RequestRejectedError("many parts; the rest next time")
-            return list(remaining.items())[:max_changes]
+            return [Put(name, text) for name, text in islice(remaining.items(), max_changes)]
 
         new_version = await commit_with_chunks(
             self.store,
             self.table,
-            [(key, version)],
+            [Precondition(key, version)],
             chunks={name: text for name, text in encoded.chunks.items() if name not in stored_chunks},
-            records=[(key, encoded.value)],
+            records=[Put(key, encoded.value)],
             next_batch=next_batch,
             guard=ChunkGuard.RECORD if version else ChunkGuard.NONE,
         )
--- a/hookwall/api/submission_check.py
+++ b/hookwall/api/submission_check.py
@@ -15,7 +15,7 @@
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.scheduling.feasibility import infeasibility_reason
 from hookwall.storage import keys
-from hookwall.storage.client import OutcomeUnknownError
+from hookwall.storage.errors import OutcomeUnknownError
 from hookwall.storage.read_confirmation import ReadConfirmation
 
 
--- a/hookwall/jobs/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -25,12 +25,14 @@
 
 from hookwall.config.clock_bounds import MAX_CLOCK_DRIFT
 from hookwall.config.platform import WorkerTimings
-from hookwall.jobs.job import NEVER
+from hookwall.jobs.allocation import NEVER
+from hookwall.jobs.leadership_view import PeerLeadershipView
 from hookwall.leadership.roles import LeaseMode
-from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol.peer_messages import KnownCancellations, MessageKind, PeerMessage
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +50,7 @@
     def __init__(
         self,
         timings: WorkerTimings,
-        leadership: Leadership,
+        leadership: PeerLeadershipView,
         store: KeyValueClient,
         clock: Callable[[], float],
         read_revision: Callable[[], int],
@@ -177,8 +179,9 @@
 
     async def _leader_key_unchanged(self) -> bool:
         """Whether the leader key is still as it is known here, read after the cancellation was stored."""
+        unchanged = Precondition(keys.LEADER_KEY, self.leadership.leader_key.version)
         try:
-            await self.store.commit([(keys.LEADER_KEY, self.leadership.leader_key.version)], timeout=PEER_TIMEOUT_S)
+            await self.store.commit([unchanged], timeout=PEER_TIMEOUT_S)
         except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError):
             return False
         return True
--- a/hookwall/jobs/chunked_commit.py
+++ b/hookwall/jobs/chunked_commit.py
@@ -9,9 +9,7 @@
 
 from hookwall.jobs.job_table import JobTable
 from hookwall.storage.client import KeyValueClient
-
-Precondition = tuple[str, int]  # a key, and the version that it has to have; 0: it has to be absent
-Change = tuple[str, object]  # a key, and the value that it gets
+from hookwall.storage.entries import Precondition, Put
 
 
 class ChunkGuard(Enum):
@@ -30,8 +28,8 @@
     table: JobTable,
     preconditions: list[Precondition],
     chunks: dict[str, str],
-    records: list[Change],
-    next_batch: Callable[[dict[str, str]], list[tuple[str, str]]],
+    records: list[Put],
+    next_batch: Callable[[dict[str, str]], list[Put]],
     guard: ChunkGuard,
 ) -> int:
     """Write chunks and the records that name them; gives the revision at which the records were written.
@@ -49,8 +47,9 @@
             table.apply_chunk(key, text, revision)
             del remaining[key]
             if guard is not ChunkGuard.NONE:
-                guarded.append((key, revision))
-    revision = await store.commit([*preconditions, *guarded], [*remaining.items(), *records])
-    for key, text in remaining.items():
+                guarded.append(Precondition(key, revision))
+    rest = [Put(key, text) for key, text in remaining.items()]
+    revision = await store.commit([*preconditions, *guarded], [*rest, *records])
+    for key, text in rest:
         table.apply_chunk(key, text, revision)
     return revision
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -9,13 +9,13 @@
 """
 
 from collections.abc import Iterable
-from typing import NamedTuple
 
 from hookwall.jobs.allocation import NEVER, Allocation, StoredStart
 from hookwall.protocol.job_messages import JobSpec
+from hookwall.storage.entries import StoredValue
 from hookwall.storage.job_records import JobRecord, StoredAllocation, decode_ranges, encode_ranges
 
-__all__ = ["CANCELLED", "DONE", "NEVER", "OPEN", "Allocation", "DeferredRecord", "Job", "StoredStart", "jobs_to_write"]
+__all__ = ["CANCELLED", "DONE", "NEVER", "OPEN", "Allocation", "Job", "StoredStart", "jobs_to_write"]
 
 OPEN = "open"
 DONE = "done"
@@ -27,13 +27,6 @@
 MAX_BATCHING_DELAY_S = 15.0  # and how long while the key-value store has no changes to spare
 
 
-class DeferredRecord(NamedTuple):
-    """A change of the record that was seen while a write of this node was in flight."""
-
-    value: object
-    version: int
-
-
 class Job:
     """A job as its record says (`stored_*`) and as the leader has changed it since.
 
@@ -75,20 +68,17 @@
         self.unsaved_since: float | None = None  # as the writer first found it
         self.write_in_flight = False
         self.revert_if_write_fails = False
-        self.deferred_record: DeferredRecord | None = None
+        self.deferred_record: StoredValue | None = None  # seen while a write of this node was in flight
         self.needs_reload = False  # the record is to be applied again even if its version is known
         self.record_unreadable = False  # a newer record can't be read, so what is known here may be over
-        # What workers report against the record: task -> machines on which no start of it is known.
-        self.unrecorded_sightings: dict[int, set[str]] = {}
+        # What workers report.
+        self.unrecorded_sightings: dict[int, set[str]] = {}  # task -> machines on which no start of it is known
         self.failures_by_machine: dict[str, int] = {}
-        self.last_failure_at = NEVER
-        self.retry_not_before = NEVER
+        self.last_failure_at = self.retry_not_before = NEVER
         # What follows from the above, for scheduling.
         self.queued_at = 0.0  # time of day: its submission, or the end of the last job that it depends on
         self.rank = UNASSIGNED  # 0 is the highest; its own, or that of a job that depends on it
-        self.image_index = UNASSIGNED
-        self.team_index = UNASSIGNED
-        self.zone_index = UNASSIGNED
+        self.image_index = self.team_index = self.zone_index = UNASSIGNED
         self.allowed_type_indices: frozenset[int] | None = None  # None: any machine type
         self.machine_type_fit: object = None  # how it fits the machine types, as last found (scheduling/fit.py)
         self.pending_cursor = 0  # no task below it is pending
--- a/hookwall/jobs/job_table.py
+++ b/hookwall/jobs/job_table.py
@@ -9,11 +9,12 @@
 from collections.abc import Callable
 
 from hookwall.jobs.dependency_graph import DependencyGraph, GraphChanges, Outcome
-from hookwall.jobs.job import CANCELLED, OPEN, Allocation, DeferredRecord, Job
+from hookwall.jobs.job import CANCELLED, OPEN, Allocation, Job
 from hookwall.protocol import job_messages
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_table import ChunkTable
-from hookwall.storage.job_records import MalformedRecordError, MissingChunksError
+from hookwall.storage.entries import StoredValue
+from hookwall.storage.errors import MalformedRecordError, MissingChunksError
 
 log = logging.getLogger(__name__)
 
@@ -66,7 +67,7 @@
         if version < job.version or (version == job.version and not job.needs_reload):
             return
         if job.write_in_flight:
-            job.deferred_record = DeferredRecord(value, version)
+            job.deferred_record = StoredValue(value, version)
             self._apply_unread_cancellation(job_id, value, version)
             return
         previous = list(job.allocations.values())
@@ -116,7 +117,7 @@
         unreadable = self.chunks.unreadable_records.get(job_id)
         if unreadable is None:
             return []
-        return [key for key in job_records.chunk_keys(job_id, unreadable[0]) if self.chunks.get(key) is None]
+        return [key for key in job_records.chunk_keys(job_id, unreadable.value) if self.chunks.get(key) is None]
 
     def apply_cancellation(self, job_id: str, version: int) -> None:
         """Apply a cancellation that is known to be stored: no start from now on, and the job's tasks stop.
--- a/hookwall/jobs/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -7,27 +7,27 @@
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from typing import Protocol
 
-from hookwall.jobs.chunked_commit import ChunkGuard, Precondition, commit_with_chunks
+from hookwall.jobs.chunked_commit import ChunkGuard, commit_with_chunks
 from hookwall.jobs.job import OPEN, Job, jobs_to_write
 from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.leadership_view import LeadershipView
 from hookwall.jobs.write_batch import ENTRY_BYTES, MAX_TRANSACTION_BYTES, PendingWrite, next_chunks
 from hookwall.leadership.roles import Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.scheduling.round_state import StartRecordBudget
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_collector import ChunkCollector
-from hookwall.storage.client import (
-    PRECONDITIONS_PER_CHANGE,
-    KeyValueClient,
+from hookwall.storage.client import PRECONDITIONS_PER_CHANGE, KeyValueClient
+from hookwall.storage.entries import Precondition, Put
+from hookwall.storage.errors import (
     OutcomeUnknownError,
     PreconditionFailedError,
+    RecordTooLargeError,
     RequestRejectedError,
     RequestTooLargeError,
 )
-from hookwall.storage.job_records import RecordTooLargeError
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
 
     delegation_keys: list[str]
 
-    def preconditions(self) -> list[Precondition]:
+    def preconditions(self) -> Sequence[tuple[str, int]]:
         """The keys with the versions that are known here."""
 
     async def handle_changed_keys(self, failed: list[str], revision: int) -> None:
@@ -70,7 +70,7 @@
         self,
         table: JobTable,
         store: KeyValueClient,
-        leadership: Leadership,
+        leadership: LeadershipView,
         delegation_guard: DelegationPreconditions,
         reload_record: Callable[[str], Awaitable[None]],
         clock: Callable[[], float],
@@ -204,16 +204,16 @@
     async def _commit(self, fencing_token: int, batch: list[PendingWrite]) -> int:
         """Write the records of a batch with their new chunks; gives the records' version."""
         preconditions: list[Precondition] = [
-            (keys.LEADER_KEY, fencing_token),
-            *self.delegation_guard.preconditions(),
-            *((write.key, write.job.version) for write in batch),
+            Precondition(keys.LEADER_KEY, fencing_token),
+            *(Precondition(*known) for known in self.delegation_guard.preconditions()),
+            *(Precondition(write.key, write.job.version) for write in batch),
         ]
         return await commit_with_chunks(
             self.store,
             self.table,
             preconditions,
             chunks={key: text for write in batch for key, text in write.new_chunks.items()},
-            records=[(write.key, write.encoded.value) for write in batch],
+            records=[Put(write.key, write.encoded.value) for write in batch],
             next_batch=lambda remaining: next_chunks(remaining, batch, self.store.batch_size()),
             guard=ChunkGuard.ALL,
         )
--- a/hookwall/jobs/record_reader.py
+++ b/hookwall/jobs/record_reader.py
@@ -6,7 +6,8 @@
 
 from hookwall.jobs.job_table import JobTable
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.errors import OutcomeUnknownError
 
 MAX_READS = 3  # of a record that is replaced again and again while its chunks are read
 
--- a/hookwall/jobs/write_batch.py
+++ b/hookwall/jobs/write_batch.py
@@ -4,6 +4,7 @@
 
 from hookwall.jobs.job import Job, StoredStart
 from hookwall.storage import job_records, keys
+from hookwall.storage.entries import Put
 from hookwall.storage.job_records import EncodedRecord
 
 MAX_TRANSACTION_BYTES = 56 * 1024
@@ -70,20 +71,20 @@
     return sum(len(text) + ENTRY_BYTES for text in chunks.values())
 
 
-def next_chunks(remaining: dict[str, str], batch: list[PendingWrite], max_changes: int) -> list[tuple[str, str]]:
+def next_chunks(remaining: dict[str, str], batch: list[PendingWrite], max_changes: int) -> list[Put]:
     """The chunks to write before the records of a batch, as many as one transaction takes and at least one.
 
-    None if those that remain go with the records. Only a batch of a single job has more chunks than that.
+    None at all if those that remain go with the records. Only a batch of a single job has more chunks than that.
     """
     record_bytes = sum(write.record_bytes for write in batch)
     fits_changes = len(remaining) + len(batch) <= max(max_changes, len(batch))
     if not remaining or (fits_changes and record_bytes + chunk_bytes(remaining) <= MAX_TRANSACTION_BYTES):
         return []
-    chosen: list[tuple[str, str]] = []
+    chosen: list[Put] = []
     transaction_bytes = ENTRY_BYTES
     for key, text in remaining.items():
         transaction_bytes += len(text) + ENTRY_BYTES
         if chosen and (len(chosen) >= max_changes or transaction_bytes > MAX_TRANSACTION_BYTES):
             break
-        chosen.append((key, text))
+        chosen.append(Put(key, text))
     return chosen
