--- a/hookwall/jobs/allocation.py
+++ b/hookwall/jobs/allocation.py
@@ -48,7 +48,3 @@
         self.stop_grace_s: float | None = None  # None: the task is not to stop
         self.stop_sent_at = NEVER
         self.finished = False
-
-    def is_start(self, machine: str, epoch: int, attempt: int) -> bool:
-        """Whether this is the start that a stored record names so."""
-        return self.attempt == attempt and self.machine == machine and self.epoch == epoch
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -212,13 +212,14 @@
         self.allocations = {}
         self.stored_starts = {}
         for machine, epoch, attempt, tasks in record.allocations:
-            start = StoredStart(machine, attempt)
+            stored_start = StoredStart(machine, attempt)
+            identity = (machine, epoch, attempt)
             for task in decode_ranges(tasks):
                 allocation = known.get(task)
-                if allocation is None or not allocation.is_start(machine, epoch, attempt):
+                if allocation is None or (allocation.machine, allocation.epoch, allocation.attempt) != identity:
                     allocation = Allocation(task, machine, epoch, attempt, now)
                 self.allocations[task] = allocation
-                self.stored_starts[task] = start
+                self.stored_starts[task] = stored_start
 
     def _load_done_tasks(self, done_tasks: list[int]) -> None:
         """The tasks that the record says are done."""
