--- a/hookwall/drains/drain_table.py
+++ b/hookwall/drains/drain_table.py
@@ -1,14 +1,20 @@
-"""All drains, their steps and the disruptions, as a node knows them from the state service."""
+"""All drains, their steps and the cordoned machines, as a node knows them from the key-value store.
+
+Invariant: a record is only ever replaced by one of a newer version, and a machine whose key exists is cordoned even
+where its value can't be read.
+"""
 
 import logging
 from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from hookwall.drains.ledger import Ledger
+from hookwall.drains import drain_keys
+from hookwall.drains.disruption_ledger import DisruptionLedger
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepPhase, StepRecord, decode
 from hookwall.storage import keys
-from hookwall.storage.job_records import MalformedRecordError
+from hookwall.storage.entries import KeyValueEntry
+from hookwall.storage.errors import MalformedRecordError
 
 log = logging.getLogger(__name__)
 
@@ -16,118 +22,118 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stored(Generic[Record]):
-    """A record and the stamp of its key."""
+class VersionedRecord(Generic[Record]):
+    """A record and the version of its key."""
 
     record: Record
-    stamp: int
+    version: int
 
 
 class DrainTable:
     """Follows the keys below `hookwall/drain/`, `hookwall/cordon/` and `hookwall/disrupted/`."""
 
-    def __init__(self, ledger: Ledger) -> None:
+    def __init__(self, ledger: DisruptionLedger) -> None:
+        """An empty table; `ledger` gets the stored pages when this node becomes the leader."""
         self.ledger = ledger
-        self.drains: dict[str, Stored[DrainRecord]] = {}
-        self.steps: dict[str, Stored[StepRecord]] = {}
+        self.drains: dict[str, VersionedRecord[DrainRecord]] = {}
+        self.steps: dict[str, VersionedRecord[StepRecord]] = {}
         self.cordoned: set[str] = set()  # machines that get no new work; shared with the fleet
-        self.maintained: set[str] = set()  # those of them that are empty and stay so until they are released
+        self.in_maintenance: set[str] = set()  # those of them that are empty until they are released; shared as well
         self.machines: dict[str, list[str]] = {}  # by drain, those that have not left it
 
     # -- keys ------------------------------------------------------------------------------------
 
-    @staticmethod
-    def follows(key: str) -> bool:
-        """Whether a key is one of these."""
-        return key.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX))
-
-    def take(self, key: str, value: object, stamp: int) -> None:
-        """A drain or a step as read or watched; an older state of it changes nothing."""
+    def apply_key(self, key: str, value: object, version: int) -> None:
+        """A drain or a step as read or watched; an older version of it changes nothing."""
         try:
             if key.startswith(keys.DRAIN_PREFIX):
-                self._take_drain(key.removeprefix(keys.DRAIN_PREFIX), value, stamp)
+                self._apply_drain(key.removeprefix(keys.DRAIN_PREFIX), value, version)
             elif key.startswith(keys.CORDON_PREFIX):
-                self._take_step(key.removeprefix(keys.CORDON_PREFIX), value, stamp)
+                self._apply_step(key.removeprefix(keys.CORDON_PREFIX), value, version)
         except (MalformedRecordError, ValueError) as error:
-            log.error("%s is malformed and left alone: %s", key, error)
+            log.error("malformed drain record ignored key=%s reason=%s", key, error)
 
-    def remove(self, key: str, stamp: int) -> None:
-        """A key was deleted at this change."""
+    def apply_deletion(self, key: str, revision: int) -> None:
+        """A key was deleted at this revision."""
         name = key.rpartition("/")[2]
         if key.startswith(keys.DRAIN_PREFIX):
-            if name in self.drains and stamp > self.drains[name].stamp:
-                self.forget(name)
-        elif key.startswith(keys.CORDON_PREFIX) and (name not in self.steps or stamp > self.steps[name].stamp):
-            self.lift(name)
-
-    def read_all(self, found: Iterable[tuple[str, object, int]]) -> None:
-        """A full read: what it does not show is gone."""
-        found = [entry for entry in found if self.follows(entry[0])]
-        there = {key for key, _, _ in found}
-        for name in [n for n in self.drains if keys.DRAIN_PREFIX + n not in there]:
-            self.forget(name)
-        for machine in [m for m in self.cordoned if keys.CORDON_PREFIX + m not in there]:
-            self.lift(machine)
-        for key, value, stamp in found:
-            self.take(key, value, stamp)
-
-    def read_ledger(self, found: Iterable[tuple[str, object, int]]) -> None:
-        """The disruptions as a new leader finds them. Nobody else writes them while it leads, so it watches none."""
+            if name in self.drains and revision > self.drains[name].version:
+                self.remove_drain(name)
+        elif key.startswith(keys.CORDON_PREFIX) and (name not in self.steps or revision > self.steps[name].version):
+            self.remove_step(name)
+
+    def apply_snapshot(self, entries: Iterable[KeyValueEntry]) -> None:
+        """A full read: what it does not show no longer exists."""
+        own = [(key, value, version) for key, value, version in entries if drain_keys.is_drain_key(key)]
+        present = {key for key, _, _ in own}
+        for drain in [name for name in self.drains if drain_keys.drain_key(name) not in present]:
+            self.remove_drain(drain)
+        for machine in [name for name in self.cordoned if drain_keys.step_key(name) not in present]:
+            self.remove_step(machine)
+        for key, value, version in own:
+            self.apply_key(key, value, version)
+
+    def load_ledger(self, entries: Iterable[KeyValueEntry]) -> None:
+        """The ledger as a new leader reads it. Nobody else writes it while it leads, so it is not watched."""
         self.ledger.pages.clear()
-        for key, value, stamp in found:
-            page = key.removeprefix(keys.DISRUPTION_PREFIX)
-            if not key.startswith(keys.DISRUPTION_PREFIX) or not page.isdigit():
+        for key, value, version in entries:
+            number = drain_keys.page_number(key)
+            if number is None:
                 continue
             try:
-                self.ledger.take(int(page), decode(value, DisruptionPage), stamp)
+                self.ledger.load_page(number, decode(value, DisruptionPage), version)
             except MalformedRecordError as error:
-                log.error("%s is malformed and left alone: %s", key, error)
+                log.error("malformed ledger page ignored key=%s reason=%s", key, error)
 
     # -- records ---------------------------------------------------------------------------------
 
-    def _take_drain(self, name: str, value: object, stamp: int) -> None:
+    def _apply_drain(self, name: str, value: object, version: int) -> None:
         known = self.drains.get(name)
-        if known is not None and stamp <= known.stamp:
-            return
-        self.put_drain(name, decode(value, DrainRecord), stamp)
+        if known is None or version > known.version:
+            self.set_drain(name, decode(value, DrainRecord), version)
 
-    def put_drain(self, name: str, record: DrainRecord, stamp: int) -> None:
+    def set_drain(self, name: str, record: DrainRecord, version: int) -> None:
         """A drain as it is stored now."""
         self.machines[name] = record.machines()
-        self.drains[name] = Stored(record, stamp)
+        self.drains[name] = VersionedRecord(record, version)
 
-    def forget(self, name: str) -> None:
+    def remove_drain(self, name: str) -> None:
         """A drain was deleted."""
         del self.drains[name]
         del self.machines[name]
 
-    def _take_step(self, machine: str, value: object, stamp: int) -> None:
+    def _apply_step(self, machine: str, value: object, version: int) -> None:
         known = self.steps.get(machine)
-        if known is not None and stamp <= known.stamp:
+        if known is not None and version <= known.version:
             return
         # Whatever the value says, its key keeps new work off the machine.
         self.cordoned.add(machine)
-        self.put_step(machine, decode(value, StepRecord), stamp)
+        self.set_step(machine, decode(value, StepRecord), version)
 
-    def put_step(self, machine: str, record: StepRecord, stamp: int) -> None:
+    def set_step(self, machine: str, record: StepRecord, version: int) -> None:
         """A step as it is stored now."""
-        self.steps[machine] = Stored(record, stamp)
+        self.steps[machine] = VersionedRecord(record, version)
         self.cordoned.add(machine)
         if record.phase is StepPhase.EMPTY:
-            self.maintained.add(machine)
+            self.in_maintenance.add(machine)
         else:
-            self.maintained.discard(machine)
+            self.in_maintenance.discard(machine)
 
-    def lift(self, machine: str) -> None:
-        """A machine is in service again, or gone."""
+    def remove_step(self, machine: str) -> None:
+        """A machine is in service again, or deleted."""
         self.steps.pop(machine, None)
         self.cordoned.discard(machine)
-        self.maintained.discard(machine)
+        self.in_maintenance.discard(machine)
+
+    def step_of(self, machine: str) -> StepRecord | None:
+        """The step of a machine, whichever drain it belongs to."""
+        stored = self.steps.get(machine)
+        return None if stored is None else stored.record
 
     def steps_of(self, drain: str) -> dict[str, StepRecord]:
         """The machines that a drain works on."""
-        return {m: s.record for m, s in self.steps.items() if s.record.drain == drain}
+        return {machine: step.record for machine, step in self.steps.items() if step.record.drain == drain}
 
-    def any_active(self) -> bool:
-        """Whether there is anything to do."""
-        return bool(self.steps) or any(stored.record.active() for stored in self.drains.values())
+    def has_work(self) -> bool:
+        """Whether a drain is active or a machine is cordoned."""
+        return bool(self.steps) or any(stored.record.is_active() for stored in self.drains.values())
--- /dev/null
+++ b/hookwall/drains/drain_writer.py
@@ -0,0 +1,132 @@
+"""What the leader stores about drains.
+
+Invariant: every write has as preconditions the leader key and whatever it changes, and what is known here changes only
+after the write succeeded.
+"""
+
+from collections.abc import Sequence
+
+from hookwall.drains import drain_keys, records
+from hookwall.drains.disruption_ledger import DisruptionLedger
+from hookwall.drains.drain_table import DrainTable
+from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
+from hookwall.leadership.state_machine import Leadership
+from hookwall.storage import keys
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition, Put
+
+ABSENT = 0  # the version of a key that does not exist
+
+
+class DrainWriter:
+    """Writes drains, steps and the ledger as the leader.
+
+    Each write raises PreconditionFailedError where a key has changed meanwhile, RequestRejectedError where it was not
+    executed, and OutcomeUnknownError where it may have been.
+    """
+
+    def __init__(
+        self, table: DrainTable, ledger: DisruptionLedger, store: KeyValueClient, leadership: Leadership
+    ) -> None:
+        """Write to `store` with the fencing token of `leadership`."""
+        self.table = table
+        self.store = store
+        self.leadership = leadership
+        self._ledger = ledger
+
+    async def _commit(self, preconditions: list[Precondition], put: Sequence[Put], delete: Sequence[str] = ()) -> int:
+        """A write that only the current leader can make; gives the store's revision."""
+        if not put and not delete:
+            return 0
+        leader_unchanged = Precondition(keys.LEADER_KEY, self.leadership.fencing_token)
+        return await self.store.commit([leader_unchanged, *preconditions], put, delete=delete)
+
+    def _drain_unchanged(self, name: str) -> Precondition:
+        return Precondition(drain_keys.drain_key(name), self.table.drains[name].version)
+
+    def _step_unchanged(self, machine: str) -> Precondition:
+        known = self.table.steps.get(machine)
+        return Precondition(drain_keys.step_key(machine), ABSENT if known is None else known.version)
+
+    async def write_drain(self, name: str, record: DrainRecord) -> None:
+        """Replace a drain."""
+        put = [Put(drain_keys.drain_key(name), records.encode(record))]
+        version = await self._commit([self._drain_unchanged(name)], put)
+        self.table.set_drain(name, record, version)
+
+    async def write_step(self, name: str, machine: str, record: StepRecord) -> None:
+        """Replace a machine's step, or create it."""
+        preconditions = [self._drain_unchanged(name), self._step_unchanged(machine)]
+        put = [Put(drain_keys.step_key(machine), records.encode(record))]
+        version = await self._commit(preconditions, put)
+        self.table.set_step(machine, record, version)
+
+    async def remove_machines(self, name: str, machines: Sequence[str], record: DrainRecord) -> None:
+        """Replace a drain by one without these machines, and delete their steps."""
+        own = self.table.steps_of(name)
+        steps = [machine for machine in machines if machine in own]
+        preconditions = [self._drain_unchanged(name), *map(self._step_unchanged, steps)]
+        put = [Put(drain_keys.drain_key(name), records.encode(record))]
+        version = await self._commit(preconditions, put, [drain_keys.step_key(machine) for machine in steps])
+        self.table.set_drain(name, record, version)
+        for machine in steps:
+            self.table.remove_step(machine)
+
+    async def uncordon(self, name: str, machine: str) -> None:
+        """Delete a machine's step: it is in service again. The drain may have been deleted."""
+        preconditions = [self._step_unchanged(machine)]
+        if name in self.table.drains:
+            preconditions.append(self._drain_unchanged(name))
+        await self._commit(preconditions, [], [drain_keys.step_key(machine)])
+        self.table.remove_step(machine)
+
+    async def write_ledger(self) -> None:
+        """Store the pages of the ledger that have changed, as many at a time as a transaction may."""
+        pages_at_once = max(1, self.store.batch_size() - 1)
+        dirty = self._ledger.dirty_pages()
+        for first in range(0, len(dirty), pages_at_once):
+            await self._write_pages(dirty[first : first + pages_at_once])
+
+    async def _write_pages(self, numbers: list[int]) -> None:
+        pages = {number: self._ledger.pages[number] for number in numbers}
+        preconditions: list[Precondition] = []
+        put: list[Put] = []
+        delete: list[str] = []
+        for number, page in pages.items():
+            key = drain_keys.page_key(number)
+            preconditions.append(Precondition(key, page.version))
+            if page.entries:
+                put.append(Put(key, records.encode(DisruptionPage(entries=page.entries))))
+            elif page.version:
+                delete.append(key)
+            page.dirty = False  # what changes during the request is written by the next one
+        try:
+            version = await self._commit(preconditions, put, delete)
+        except Exception:
+            for page in pages.values():
+                page.dirty = True
+            raise
+        written = {key for key, _ in put}
+        for number in pages:
+            is_written = drain_keys.page_key(number) in written
+            self._ledger.record_page_version(number, version if is_written else ABSENT)
+
+    async def reread(self, changed_keys: Sequence[str]) -> None:
+        """Read keys again whose versions were not as expected."""
+        for key in changed_keys:
+            if not drain_keys.is_drain_key(key):
+                continue
+            state = await self.store.read(key)
+            if key.startswith(keys.DISRUPTION_PREFIX):
+                self._adopt_page_version(key, state.version)
+            elif state.version:
+                self.table.apply_key(key, state.value, state.version)
+            else:
+                self.table.apply_deletion(key, state.revision)
+
+    def _adopt_page_version(self, key: str, version: int) -> None:
+        """An earlier write of a page had no answer; the entries here are newer, and are written over it."""
+        page = self._ledger.pages.get(int(key.removeprefix(keys.DISRUPTION_PREFIX)))
+        if page is not None:
+            page.version = version
+            page.dirty = True
--- a/hookwall/drains/plan_builder.py
+++ b/hookwall/drains/plan_builder.py
@@ -1,14 +1,18 @@
-"""Asks the planner about a drain as it is now, within a round's budget of time however large the fleet is."""
+"""Gives the planner a drain as it is now.
+
+Invariant: a plan takes no longer than a round's budget of time, however large the fleet is.
+"""
 
 from collections.abc import Callable
 
+from hookwall.drains.drain_plan import Candidate, DrainPlan, DrainTerms
 from hookwall.drains.drain_table import DrainTable
-from hookwall.drains.picture import Picture
-from hookwall.drains.planner import Candidate, Plan, Terms, plan
-from hookwall.drains.records import AtDeadline
+from hookwall.drains.planner import plan_drain
+from hookwall.drains.planning_view import PlanningView
+from hookwall.drains.records import DeadlinePolicy
 from hookwall.scheduling.scheduler import Scheduler
 
-SEARCH_EVERY_S = 5.0  # how often the next machines are looked for while none can be found
+SEARCH_INTERVAL_S = 5.0  # how often the next machines are searched for while none can be found
 
 
 class PlanBuilder:
@@ -17,53 +21,60 @@
     def __init__(
         self,
         table: DrainTable,
-        picture: Picture,
+        planning_view: PlanningView,
         scheduler: Scheduler,
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
-        self.table, self.picture, self.scheduler, self.clock, self.wall = table, picture, scheduler, clock, wall
-        self._search_at: dict[str, float] = {}  # not before this moment again
-        self._cursor: dict[str, int] = {}  # where the search goes on
+        """Plan from `table` and `planning_view`; `clock` is monotonic, `wall` the time of day, both in seconds."""
+        self.table = table
+        self.planning_view = planning_view
+        self.scheduler = scheduler
+        self.clock = clock
+        self.wall = wall
+        self._next_search_at: dict[str, float] = {}  # by drain; not before this moment again
+        self._cursor: dict[str, int] = {}  # by drain, where the search goes on
 
     def reset(self) -> None:
-        """A new leadership."""
-        self._search_at.clear()
+        """A new leadership: search at once, and from the first machine."""
+        self._next_search_at.clear()
         self._cursor.clear()
 
-    def build(self, name: str) -> Plan:
+    def build_plan(self, name: str) -> DrainPlan:
         """What is to be done now for one drain."""
         record = self.table.drains[name].record
         now = self.clock()
         steps = self.table.steps_of(name)
-        candidates = [self.picture.candidate(machine, step, name, now) for machine, step in steps.items()]
-        searches = len(steps) < record.batch and now >= self._search_at.get(name, -1e9)
+        candidates = [self.planning_view.candidate(machine, step, name, now) for machine, step in steps.items()]
+        searches = len(steps) < record.batch_size and self._may_search(name, now)
         if searches:
             candidates += self._next_candidates(name, now)
-        hurry = record.at_deadline is AtDeadline.STOP_WAITING and record.overdue(self.wall())
-        terms = Terms(record.batch, record.finish_s, record.unbudgeted, hurry)
-        rooms = self.picture.rooms(now) if steps else []
+        skip_waits = record.deadline_policy is DeadlinePolicy.SKIP_WAITS and record.is_overdue(self.wall())
+        terms = DrainTerms(record.batch_size, record.finish_grace_s, record.allow_unbudgeted, skip_waits)
+        free_capacities = self.planning_view.free_capacities(now) if steps else []
         until = self.clock() + self.scheduler.budget_s
-        decided = plan(
-            terms, candidates, self.picture.budgets(), rooms, self.wall(), lambda: self.clock() < until
-        )  # fmt: skip
-        if searches and not decided.cordon:
-            self._search_at[name] = now + SEARCH_EVERY_S
-        return decided
+        budgets = self.planning_view.team_budgets()
+        plan = plan_drain(terms, candidates, budgets, free_capacities, self.wall(), lambda: self.clock() < until)
+        if searches and not plan.cordon:
+            self._next_search_at[name] = now + SEARCH_INTERVAL_S
+        return plan
+
+    def _may_search(self, name: str, now: float) -> bool:
+        next_search_at = self._next_search_at.get(name)
+        return next_search_at is None or now >= next_search_at
 
     def _next_candidates(self, name: str, now: float) -> list[Candidate]:
         """Machines that might be next: as many as there is time for, beginning where the last search ended."""
         machines = self.table.machines[name]
-        begin = self._cursor.get(name, 0)
+        first = self._cursor.get(name, 0)
         until = now + self.scheduler.budget_s
-        found: list[Candidate] = []
-        for at in range(len(machines)):
+        candidates: list[Candidate] = []
+        for offset in range(len(machines)):
             if self.clock() > until:
                 break
-            machine = machines[(begin + at) % len(machines)]
-            stored = self.table.steps.get(machine)
-            step = None if stored is None else stored.record
+            machine = machines[(first + offset) % len(machines)]
+            step = self.table.step_of(machine)
             if step is None or step.drain != name:
-                found.append(self.picture.candidate(machine, step, name, now))
-            self._cursor[name] = begin + at + 1
-        return found
+                candidates.append(self.planning_view.candidate(machine, step, name, now))
+            self._cursor[name] = first + offset + 1
+        return candidates
--- a/hookwall/drains/preview.py
+++ b/hookwall/drains/preview.py
@@ -1,23 +1,27 @@
-"""What a drain would disrupt, wave by wave, with the planner that the leader uses. Changes nothing.
+"""What a drain would disrupt, wave by wave, with the planner that the leader uses.
 
-A wave is what budgets and batch allow at a time. The preview takes each job that is stopped to run again before the
-next wave, on a machine that is not drained, and each empty machine to be replaced or back by then.
+A wave is what budgets and batch allow at a time. The preview takes each job that is evicted to run again before the
+next wave, on a machine that is not drained, and each empty machine to be replaced or back by then. Invariant: it writes
+nothing.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
-from hookwall.drains.planner import Budgets, Candidate, Plan, Terms, Wait, plan
-from hookwall.drains.snapshot import Snapshot
+from hookwall.drains.cluster_snapshot import ClusterSnapshot
+from hookwall.drains.drain_plan import DrainPlan, DrainTerms, Eviction, TeamBudgets
+from hookwall.drains.planner import plan_drain
+from hookwall.drains.wait_reasons import Wait
 from hookwall.scheduling.placement import FreeCapacity
 
 
 @dataclass(slots=True)
 class Wave:
-    """What happens at a time."""
+    """What is drained at a time."""
 
     machines: list[str] = field(default_factory=list)
-    jobs: dict[str, list[str]] = field(default_factory=dict)  # by team, those that are stopped
+    jobs_by_team: dict[str, list[str]] = field(default_factory=dict)  # ids by team, those that are evicted
 
 
 @dataclass(slots=True)
@@ -26,91 +30,107 @@
 
     waves: list[Wave] = field(default_factory=list)
     waits: list[Wait] = field(default_factory=list)
-    left: list[str] = field(default_factory=list)
-    to_rent: int = 0  # jobs for which a machine would have to be rented first
+    undrainable: list[str] = field(default_factory=list)
+    jobs_without_capacity: int = 0  # jobs for which a machine would have to be provisioned first
 
-    def disrupted(self) -> dict[str, int]:
+    def disruptions_by_team(self) -> dict[str, int]:
         """Disruptions by team."""
         total: dict[str, int] = {}
         for wave in self.waves:
-            for team, jobs in wave.jobs.items():
+            for team, jobs in wave.jobs_by_team.items():
                 total[team] = total.get(team, 0) + len(jobs)
         return total
 
 
-class Simulation:
+class _PlayedWave(NamedTuple):
+    """What was planned for a wave, and what that has done."""
+
+    plan: DrainPlan
+    wave: Wave
+
+
+class DrainSimulation:
     """Plays a drain forward, a wave at a time."""
 
-    def __init__(self, snapshot: Snapshot, machines: Sequence[str], terms: Terms) -> None:
+    def __init__(self, snapshot: ClusterSnapshot, machines: Sequence[str], terms: DrainTerms) -> None:
+        """Play a drain of these machines on the cluster as it was read; the time for tasks to end is left out."""
         self.snapshot = snapshot
-        self.terms = replace(terms, finish_s=0.0)
+        self.terms = replace(terms, finish_grace_s=0.0)
         now = snapshot.fleet.clock()
-        steps = snapshot.drains.steps
         self.candidates = {
-            name: snapshot.picture.candidate(name, steps[name].record if name in steps else None, "", now)
-            for name in machines
+            name: snapshot.planning_view.candidate(name, snapshot.drains.step_of(name), "", now) for name in machines
         }
-        self.rooms = snapshot.picture.rooms(now)
+        self.free_capacities = snapshot.planning_view.free_capacities(now)
 
     def run(self) -> Preview:
         """All waves."""
         preview = Preview()
-        budgets = self.snapshot.picture.budgets()
+        budgets = self.snapshot.planning_view.team_budgets()
         while self.candidates:
-            decided, wave = self._wave(budgets)
-            if not wave.machines and not wave.jobs:
-                fresh = Budgets(dict(budgets.whole), budgets.whole)
-                if budgets.left != fresh.left:
-                    budgets = fresh  # what is disrupted now has recovered by the next wave
-                    continue
-                preview.waits, preview.left = decided.waits, sorted(self.candidates)
-                preview.to_rent = len({occupant.ref for occupant in decided.homeless})
+            plan, wave = self._play_wave(budgets)
+            if wave.machines or wave.jobs_by_team:
+                preview.waves.append(wave)
+                budgets = budgets.replenished()
+                continue
+            replenished = budgets.replenished()
+            if budgets.remaining == replenished.remaining:
+                preview.waits = plan.waits
+                preview.undrainable = sorted(self.candidates)
+                preview.jobs_without_capacity = len({occupant.job_id for occupant in plan.relocations})
                 break
-            preview.waves.append(wave)
-            budgets = Budgets(dict(budgets.whole), budgets.whole)
+            budgets = replenished  # what is disrupted now has recovered by the next wave
         return preview
 
-    def _wave(self, budgets: Budgets) -> tuple[Plan, Wave]:
-        """Cordon as many as a batch may hold, and stop what may be stopped there."""
+    def _play_wave(self, budgets: TeamBudgets) -> _PlayedWave:
+        """Cordon as many as a batch may hold, and evict what may be evicted there."""
         waiting = [candidate for candidate in self.candidates.values() if not candidate.cordoned]
-        spare = self.terms.batch - (len(self.candidates) - len(waiting))
-        first = plan(replace(self.terms, batch=spare), waiting, budgets, self.rooms, 0.0)
-        for name in first.cordon:
+        spare = self.terms.batch_size - (len(self.candidates) - len(waiting))
+        cordons = plan_drain(replace(self.terms, batch_size=spare), waiting, budgets, self.free_capacities, 0.0)
+        for name in cordons.cordon:
             self.candidates[name] = replace(self.candidates[name], cordoned=True)
         cordoned = [candidate for candidate in self.candidates.values() if candidate.cordoned]
-        decided = plan(self.terms, cordoned, budgets, self.rooms, 0.0)
-        decided.waits.extend(first.waits)
+        plan = plan_drain(self.terms, cordoned, budgets, self.free_capacities, 0.0)
+        plan.waits.extend(cordons.waits)
         wave = Wave()
-        for stop in decided.stops:
-            for occupant in stop.occupants:
-                wave.jobs.setdefault(occupant.team, []).append(occupant.ref)
-            refs = {occupant.ref for occupant in stop.occupants}
-            self._leave(stop.machine, refs)
+        for eviction in plan.evictions:
+            self._evict(eviction, wave)
         for candidate in cordoned:
-            left = self.candidates[candidate.name]
-            if not left.occupants and not left.waits:
-                wave.machines.append(left.name)
-                del self.candidates[left.name]
-                self._replace(left)
+            self._remove_if_empty(candidate.name, wave)
         wave.machines.sort()
-        return decided, wave
+        return _PlayedWave(plan, wave)
 
-    def _leave(self, machine: str, refs: set[str]) -> None:
+    def _evict(self, eviction: Eviction, wave: Wave) -> None:
         """Jobs have left a machine; gangs have left all of theirs."""
-        gangs = {o.ref for o in self.candidates[machine].occupants if o.ref in refs and o.frees}
+        for occupant in eviction.occupants:
+            wave.jobs_by_team.setdefault(occupant.team, []).append(occupant.job_id)
+        job_ids = eviction.job_ids()
+        gangs = {
+            occupant.job_id
+            for occupant in self.candidates[eviction.machine].occupants
+            if occupant.job_id in job_ids and occupant.freed_tasks
+        }
         for name, candidate in self.candidates.items():
-            gone = refs if name == machine else gangs
-            kept = tuple(o for o in candidate.occupants if o.ref not in gone)
-            if len(kept) < len(candidate.occupants):
-                self.candidates[name] = replace(candidate, occupants=kept)
-
-    def _replace(self, candidate: Candidate) -> None:
+            evicted = job_ids if name == eviction.machine else gangs
+            remaining = tuple(occupant for occupant in candidate.occupants if occupant.job_id not in evicted)
+            if len(remaining) < len(candidate.occupants):
+                self.candidates[name] = replace(candidate, occupants=remaining)
+
+    def _remove_if_empty(self, name: str, wave: Wave) -> None:
+        """A machine without jobs and without a reason to wait leaves the drain."""
+        candidate = self.candidates[name]
+        if candidate.occupants or candidate.waits:
+            return
+        wave.machines.append(name)
+        del self.candidates[name]
+        self._add_replacement(name)
+
+    def _add_replacement(self, name: str) -> None:
         """An empty machine of the kind of one that was drained."""
         fleet = self.snapshot.fleet
-        machine = fleet.machines[candidate.name]
+        machine = fleet.machines[name]
         info = fleet.machine_type(machine.type)
         if info is not None:
-            empty = FreeCapacity(
-                -1 - machine.index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory_gb
+            index = -1 - machine.index  # no machine has a negative one
+            self.free_capacities.append(
+                FreeCapacity(index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory_gb)
             )
-            self.rooms.append(empty)
--- a/hookwall/drains/records.py
+++ b/hookwall/drains/records.py
@@ -1,102 +1,120 @@
-"""Drains, their steps and the disruptions that they may not exceed, as they are stored.
+"""Drains, their steps and the disruption ledger's pages, as they are stored.
 
-- `hookwall/drain/<name>`: what was asked for, which machines remain, how far it is and why it waits. Written by the
+- `hookwall/drain/<name>`: what was requested, which machines remain, its phase and why it waits. Written by the
   command (start, abort, resume) and by the leader.
-- `hookwall/cordon/<machine>`: a machine that is being drained, by which drain, and how far. Written by the leader, and
-  by the command to release it after maintenance.
+- `hookwall/cordon/<machine>`: a machine that is being drained, by which drain, and its phase. Written by the leader,
+  and by the command to release it after maintenance.
 - `hookwall/disrupted/<page>`: jobs that were disrupted lately. Written by the leader.
 
-A machine has one key whichever drain it belongs to, so two drains can't both work on it. Sets of machines are stored
-as in `machine_names`, in about a bit for each machine of the fleet.
+Invariant: a machine has one key whichever drain it belongs to, so two drains can't both work on it. Stored names and
+values never change. Sets of machines are stored as in `name_codec`, in about a bit for each machine of the fleet.
 """
 
+from collections.abc import Collection
 from enum import Enum
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
-from hookwall.storage import keys
-from hookwall.storage.job_records import MalformedRecordError
+from hookwall.storage.errors import MalformedRecordError
 from hookwall.workers import name_codec
 
 VERSION = 1
 
 
 class DrainPhase(Enum):
-    """How far a drain is."""
+    """Phase of a drain."""
 
-    ASKED = "asked"  # stored by an operator, not taken up by a leader yet
+    REQUESTED = "asked"  # stored by an operator; no leader has begun it yet
     DRAINING = "draining"
-    STALLED = "stalled"  # nothing has moved for a while; `reason` says why
-    ABORTED = "aborted"  # no further step; machines that were not empty go back in service
+    STALLED = "stalled"  # no progress for a while; `wait_reason` says why
+    ABORTED = "aborted"  # no further step; its machines are uncordoned
     FINISHED = "finished"
 
 
 class StepPhase(Enum):
-    """How far one machine is."""
+    """Phase of one machine that is being drained."""
 
-    CORDONED = "cordoned"  # gets no new work; its tasks go on
-    DRAINING = "draining"  # some of its tasks were told to stop
-    EMPTY = "empty"  # no task is left
-    BACK = "back in service"  # released by an operator after maintenance
+    CORDONED = "cordoned"  # gets no new work; its tasks continue
+    DRAINING = "draining"  # some of its jobs were evicted
+    EMPTY = "empty"  # no task remains
+    RELEASED = "back in service"  # released by an operator after maintenance
 
 
-class Outcome(Enum):
+class MachineOutcome(Enum):
     """How a machine left a drain."""
 
-    RETURNED = "returned"  # deleted once it was empty
-    BACK = "back in service"
-    GONE = "gone"  # the cloud took it, or it was lost, before it was empty
+    DELETED = "returned"  # deleted once it was empty
+    RELEASED = "back in service"
+    LOST = "gone"  # the cloud preempted it, or it was lost, before it was empty
 
 
-class Afterwards(Enum):
+class EmptyMachinePolicy(Enum):
     """What becomes of an empty machine."""
 
-    RETURN = "return"  # it is deleted; a new one is rented where one is needed
+    DELETE = "return"  # it is deleted; another is provisioned where one is needed
     HOLD = "hold"  # it stays out of service until an operator releases it
 
 
-class AtDeadline(Enum):
+class DeadlinePolicy(Enum):
     """What a drain does when its deadline has passed."""
 
-    GO_ON = "go-on"
-    STOP_WAITING = "stop-waiting"  # wait neither for tasks to end nor for room elsewhere; budgets hold all the same
+    CONTINUE = "go-on"
+    SKIP_WAITS = "stop-waiting"  # wait neither for tasks to end nor for room elsewhere; budgets hold all the same
     ABORT = "abort"
 
 
-ACTIVE = (DrainPhase.ASKED, DrainPhase.DRAINING, DrainPhase.STALLED)
+ACTIVE_PHASES = (DrainPhase.REQUESTED, DrainPhase.DRAINING, DrainPhase.STALLED)
 
 
 class DrainRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One drain. Times are times of day in seconds."""
+    """One drain. Times are times of day in seconds; stored names stand beside the fields."""
 
     version: int = msgspec.field(default_factory=lambda: VERSION)  # always written
     phase: DrainPhase
-    request: str  # digest of what was asked for: the same request again is no new drain
-    asked_at: float
+    # Digest of the operator's request: the same request again is no new drain.
+    request_digest: str = msgspec.field(name="request")
+    requested_at: float = msgspec.field(name="asked_at")
     changed_at: float  # of the phase
-    total: int
-    remaining: dict[str, Any]  # machines that have not left the drain, as in `machine_names`
-    batch: int
-    finish_s: float  # how long tasks may go on to end by themselves
-    afterwards: Afterwards = Afterwards.RETURN
-    deadline_s: float | None = None  # from `asked_at`
-    at_deadline: AtDeadline = AtDeadline.GO_ON
-    unbudgeted: bool = False  # whether teams without a budget may be disrupted without limit
-    counts: dict[str, int] = {}  # machines that have left it, by outcome
-    reason: str = ""  # why it waits
+    machine_count: int = msgspec.field(name="total")
+    # Machines that have not left the drain, as `name_codec` encodes them.
+    remaining_machines: dict[str, object] = msgspec.field(name="remaining")
+    batch_size: int = msgspec.field(name="batch")
+    finish_grace_s: float = msgspec.field(name="finish_s")  # how long tasks may go on to end by themselves
+    empty_machine_policy: EmptyMachinePolicy = msgspec.field(name="afterwards", default=EmptyMachinePolicy.DELETE)
+    deadline_s: float | None = None  # from `requested_at`
+    deadline_policy: DeadlinePolicy = msgspec.field(name="at_deadline", default=DeadlinePolicy.CONTINUE)
+    # Whether teams without a budget may be disrupted without limit.
+    allow_unbudgeted: bool = msgspec.field(name="unbudgeted", default=False)
+    # Machines that have left the drain, by outcome.
+    outcome_counts: dict[str, int] = msgspec.field(name="counts", default_factory=dict)
+    wait_reason: str = msgspec.field(name="reason", default="")
 
     def machines(self) -> list[str]:
-        """The machines that have not left the drain."""
-        return sorted(name_codec.decode(self.remaining))
+        """The machines that have not left the drain, sorted."""
+        return sorted(name_codec.decode(self.remaining_machines))
 
-    def active(self) -> bool:
-        """Whether it goes on."""
-        return self.phase in ACTIVE
+    def is_active(self) -> bool:
+        """Whether the drain goes on."""
+        return self.phase in ACTIVE_PHASES
 
-    def overdue(self, now: float) -> bool:
-        """Whether its deadline has passed."""
-        return self.deadline_s is not None and now > self.asked_at + self.deadline_s
+    def is_overdue(self, now: float) -> bool:
+        """Whether its deadline has passed at this time of day."""
+        return self.deadline_s is not None and now > self.requested_at + self.deadline_s
+
+    def transitioned(self, phase: DrainPhase, wait_reason: str, now: float) -> "DrainRecord":
+        """The drain in this phase, which it entered now unless it was in it already, and why it waits."""
+        changed_at = now if phase is not self.phase else self.changed_at
+        return msgspec.structs.replace(self, phase=phase, wait_reason=wait_reason, changed_at=changed_at)
+
+    def without_machines(self, machines: Collection[str], outcome: MachineOutcome) -> "DrainRecord":
+        """The drain once these machines have left it."""
+        counts = dict(self.outcome_counts)
+        counts[outcome.value] = counts.get(outcome.value, 0) + len(machines)
+        remaining = set(self.machines()) - set(machines)
+        return msgspec.structs.replace(
+            self, outcome_counts=counts, remaining_machines=name_codec.encode(remaining)
+        )  # fmt: skip
 
 
 class StepRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
@@ -105,9 +123,9 @@
     version: int = msgspec.field(default_factory=lambda: VERSION)  # always written
     drain: str
     phase: StepPhase
-    since: float  # time of day at which it was cordoned
-    changed_at: float
-    disrupted: int = 0  # jobs that were told to stop here
+    cordoned_at: float = msgspec.field(name="since")  # time of day
+    changed_at: float  # of the phase; time of day
+    disrupted_jobs: int = msgspec.field(name="disrupted", default=0)  # jobs that were evicted here
 
 
 class Disruption(msgspec.Struct, array_like=True):
@@ -116,11 +134,11 @@
     It counts until both are over: its team's period, and the spell until as many of its tasks run again.
     """
 
-    ref: str
+    job_id: str
     team: str
-    at: float  # time of day of the last loss
-    ran: int  # how many of its tasks ran before
-    restored: bool = False
+    last_loss_at: float  # time of day of the last loss
+    running_before: int  # how many of its tasks ran before
+    recovered: bool = False
 
 
 class DisruptionPage(msgspec.Struct, kw_only=True):
@@ -133,32 +151,22 @@
 Record = TypeVar("Record", DrainRecord, StepRecord, DisruptionPage)
 
 
-def encode(record: DrainRecord | StepRecord | DisruptionPage) -> dict[str, Any]:
+def encode(record: DrainRecord | StepRecord | DisruptionPage) -> dict[str, object]:
     """The value that is stored."""
-    return msgspec.to_builtins(record)
+    fields: dict[str, object] = msgspec.to_builtins(record)
+    return fields
 
 
 def decode(value: object, kind: type[Record]) -> Record:
-    """A stored value; MalformedRecord for anything else, and for one of a newer version."""
+    """A record of this kind from its stored value.
+
+    Raises:
+        MalformedRecordError: the value is anything else, or its version is newer than this program knows.
+    """
     try:
         record = msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        raise MalformedRecordError(str(error)) from None
+        raise MalformedRecordError(str(error)) from error
     if record.version > VERSION:
         raise MalformedRecordError(f"version {record.version}, this program knows {VERSION}")
     return record
-
-
-def drain_key(name: str) -> str:
-    """Where a drain is stored."""
-    return keys.DRAIN_PREFIX + name
-
-
-def step_key(machine: str) -> str:
-    """Where the step of a machine is stored."""
-    return keys.CORDON_PREFIX + machine
-
-
-def page_key(page: int) -> str:
-    """Where a page of disruptions is stored."""
-    return f"{keys.DISRUPTION_PREFIX}{page}"
--- a/hookwall/drains/report.py
+++ b/hookwall/drains/report.py
@@ -1,14 +1,16 @@
-"""What the command prints: plain data for `--json`, and the same as text."""
+"""What the command prints: plain data for `--json`, and the same as text.
+
+Invariant: the fields' names and the texts are read by scripts, so they never change.
+"""
 
 from collections.abc import Mapping, Sequence
-from typing import Any
 
 import msgspec
 
-from hookwall.drains.planner import Wait
+from hookwall.drains.cluster_snapshot import ClusterSnapshot
 from hookwall.drains.preview import Preview
 from hookwall.drains.records import DrainPhase, DrainRecord, StepRecord
-from hookwall.drains.snapshot import Snapshot
+from hookwall.drains.wait_reasons import Wait
 
 
 class StepView(msgspec.Struct, kw_only=True):
@@ -44,7 +46,7 @@
 
 
 class StatusView(msgspec.Struct, kw_only=True):
-    """All that `status` tells."""
+    """All that `status` prints."""
 
     drains: list[DrainView]
     budgets: list[BudgetView]
@@ -58,11 +60,18 @@
     text: str
 
 
+class WaveView(msgspec.Struct, kw_only=True):
+    """What is drained at a time: machines that become empty, and the ids of jobs by team that are evicted."""
+
+    machines: list[str]
+    jobs: dict[str, list[str]]
+
+
 class PlanView(msgspec.Struct, kw_only=True):
-    """All that `plan` tells."""
+    """All that `plan` prints."""
 
     machines: int
-    waves: list[dict[str, Any]]
+    waves: list[WaveView]
     disrupted: dict[str, int]
     left: list[str]
     waits: list[WaitView]
@@ -72,82 +81,90 @@
 
 
 def step_view(machine: str, step: StepRecord, now: float) -> StepView:
-    """One step."""
+    """A machine on its way out of service; `now` is a time of day in seconds."""
     return StepView(
-        machine=machine, phase=step.phase.value, age_s=round(now - step.since, 1), disrupted=step.disrupted
+        machine=machine, phase=step.phase.value, age_s=round(now - step.cordoned_at, 1), disrupted=step.disrupted_jobs
     )  # fmt: skip
 
 
 def drain_view(name: str, record: DrainRecord, steps: Mapping[str, StepRecord], now: float) -> DrainView:
     """One drain with its steps."""
-    reason = record.reason
-    if record.phase is DrainPhase.ASKED and not reason:
+    reason = record.wait_reason
+    if record.phase is DrainPhase.REQUESTED and not reason:
         reason = "no leader has taken it up yet; drains must be switched on in the nodes' operations file"
-    left_s = None if record.deadline_s is None else round(record.asked_at + record.deadline_s - now, 1)
+    deadline_in_s = None if record.deadline_s is None else round(record.requested_at + record.deadline_s - now, 1)
     return DrainView(
-        name=name, phase=record.phase.value, reason=reason, total=record.total, remaining=len(record.machines()),
-        counts=record.counts, age_s=round(now - record.asked_at, 1), deadline_in_s=left_s,
+        name=name,
+        phase=record.phase.value,
+        reason=reason,
+        total=record.machine_count,
+        remaining=len(record.machines()),
+        counts=record.outcome_counts,
+        age_s=round(now - record.requested_at, 1),
+        deadline_in_s=deadline_in_s,
         steps=[step_view(machine, step, now) for machine, step in sorted(steps.items())],
-    )  # fmt: skip
+    )
 
 
-def status_view(snapshot: Snapshot, names: Sequence[str], now: float) -> StatusView:
-    """Some drains, and the budgets."""
-    drains = [
-        drain_view(name, snapshot.drains.drains[name].record, snapshot.drains.steps_of(name), now) for name in names
-    ]
-    budgets = snapshot.picture.budgets()
-    used = snapshot.ledger.used_by_team()
+def status_view(snapshot: ClusterSnapshot, names: Sequence[str], now: float) -> StatusView:
+    """The drains of these names, and all budgets."""
+    table = snapshot.drains
+    drains = [drain_view(name, table.drains[name].record, table.steps_of(name), now) for name in names]
+    budgets = snapshot.planning_view.team_budgets()
+    used = snapshot.ledger.disruptions_by_team()
     views = [
-        BudgetView(team=team, allowed=budgets.whole[team], used=used.get(team, 0), period_s=budget.period_s)
+        BudgetView(team=team, allowed=budgets.total[team], used=used.get(team, 0), period_s=budget.period_s)
         for team, budget in sorted(snapshot.ledger.budgets.items())
     ]
     return StatusView(drains=drains, budgets=views)
 
 
 def plan_view(machines: int, preview: Preview) -> PlanView:
-    """A preview."""
+    """A preview of a drain of so many machines."""
     return PlanView(
         machines=machines,
-        waves=[{"machines": wave.machines, "jobs": wave.jobs} for wave in preview.waves],
-        disrupted=preview.disrupted(),
-        left=preview.left,
+        waves=[WaveView(machines=wave.machines, jobs=wave.jobs_by_team) for wave in preview.waves],
+        disrupted=preview.disruptions_by_team(),
+        left=preview.undrainable,
         waits=[wait_view(wait) for wait in preview.waits],
-        jobs_without_room=preview.to_rent,
+        jobs_without_room=preview.jobs_without_capacity,
     )
 
 
 def wait_view(wait: Wait) -> WaitView:
-    """A reason to wait."""
+    """Why something waits."""
     return WaitView(kind=wait.kind.value, machine=wait.machine, text=wait.text())
 
 
 def status_text(status: StatusView) -> list[str]:
-    """Lines for people."""
+    """The lines that `status` prints as text."""
     lines: list[str] = []
     for drain in status.drains:
-        left = ", ".join(f"{n} {outcome}" for outcome, n in sorted(drain.counts.items()))
-        lines.append(f"{drain.name}: {drain.phase}, {drain.remaining} of {drain.total} machines left" + _and(left))
-        if drain.reason:
-            lines.append(f"  waits: {drain.reason}")
-        if drain.deadline_in_s is not None:
-            lines.append(f"  deadline in {drain.deadline_in_s:.0f} s")
-        lines += [f"  {s.machine}: {s.phase} for {s.age_s:.0f} s, {s.disrupted} jobs stopped" for s in drain.steps]
+        lines += _drain_text(drain)
     for budget in status.budgets:
         lines.append(f"budget of {budget.team}: {budget.used} of {budget.allowed} used ({budget.period_s:.0f} s)")
     return lines or ["no drains"]
 
 
-def _and(text: str) -> str:
-    return f"; {text}" if text else ""
+def _drain_text(drain: DrainView) -> list[str]:
+    outcomes = ", ".join(f"{count} {outcome}" for outcome, count in sorted(drain.counts.items()))
+    summary = f"{drain.name}: {drain.phase}, {drain.remaining} of {drain.total} machines left"
+    lines = [f"{summary}; {outcomes}" if outcomes else summary]
+    if drain.reason:
+        lines.append(f"  waits: {drain.reason}")
+    if drain.deadline_in_s is not None:
+        lines.append(f"  deadline in {drain.deadline_in_s:.0f} s")
+    for step in drain.steps:
+        lines.append(f"  {step.machine}: {step.phase} for {step.age_s:.0f} s, {step.disrupted} jobs stopped")
+    return lines
 
 
 def plan_text(plan: PlanView) -> list[str]:
-    """Lines for people."""
+    """The lines that `plan` prints as text."""
     lines = [f"{plan.machines} machines in {len(plan.waves)} waves"]
     for number, wave in enumerate(plan.waves, 1):
-        jobs = "; ".join(f"{team}: {', '.join(refs)}" for team, refs in sorted(wave["jobs"].items())) or "no job"
-        lines.append(f"  wave {number}: {', '.join(wave['machines']) or 'no machine yet'} - stops {jobs}")
+        jobs = "; ".join(f"{team}: {', '.join(refs)}" for team, refs in sorted(wave.jobs.items())) or "no job"
+        lines.append(f"  wave {number}: {', '.join(wave.machines) or 'no machine yet'} - stops {jobs}")
     if plan.fewest_waves is not None:
         lines.append(f"  {'exactly' if plan.fewest_is_exact else 'at least'} {plan.fewest_waves} waves are needed")
     for wait in plan.waits:
--- a/hookwall/drains/request.py
+++ b/hookwall/drains/request.py
@@ -1,4 +1,7 @@
-"""What an operator asks of a drain, checked before anything is stored."""
+"""What an operator requests of a drain.
+
+Invariant: a request is validated before anything is stored.
+"""
 
 import hashlib
 import math
@@ -7,146 +10,167 @@
 
 import msgspec
 
-from hookwall.drains.records import Afterwards, AtDeadline, DrainPhase, DrainRecord
+from hookwall.drains.errors import InvalidDrainRequestError
+from hookwall.drains.records import DeadlinePolicy, DrainPhase, DrainRecord, EmptyMachinePolicy
 from hookwall.workers import name_codec
 
-NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}", re.ASCII)
-SHOWN = 8  # how many allowed values a message names
-
-
-class InvalidRequestError(Exception):
-    """The request can't be meant; the text names the field and what it may be."""
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}", re.ASCII)
+MAX_NAMES_SHOWN = 8  # how many allowed values a message names
+ROUNDING_TOLERANCE = 1e-9  # a share of 0.1 of 30 machines is 3, whatever the floating point product is
 
 
 class Selection(msgspec.Struct, frozen=True, kw_only=True):
     """Which machines: those named, or all of a type and zone, or a share of these."""
 
     machines: tuple[str, ...] = ()
-    type: str | None = None
+    machine_type: str | None = msgspec.field(name="type", default=None)
     zone: str | None = None
     share: float | None = None
 
 
 class DrainRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A drain as it is asked for."""
+    """A drain as it is requested. The encoded names are part of the stored digest, so they never change."""
 
     selection: Selection
-    batch: int = 1
-    finish_s: float = 0.0
+    batch_size: int = msgspec.field(name="batch", default=1)
+    finish_grace_s: float = msgspec.field(name="finish_s", default=0.0)
     deadline_s: float | None = None
-    at_deadline: AtDeadline = AtDeadline.GO_ON
-    afterwards: Afterwards = Afterwards.RETURN
-    unbudgeted: bool = False
+    deadline_policy: DeadlinePolicy = msgspec.field(name="at_deadline", default=DeadlinePolicy.CONTINUE)
+    empty_machine_policy: EmptyMachinePolicy = msgspec.field(name="afterwards", default=EmptyMachinePolicy.DELETE)
+    allow_unbudgeted: bool = msgspec.field(name="unbudgeted", default=False)
 
     def digest(self) -> str:
-        """The same for the same request."""
+        """Sixteen hexadecimal digits, the same for the same request."""
         return hashlib.sha256(msgspec.json.encode(self, order="deterministic")).hexdigest()[:16]
 
 
-class KnownMachine(msgspec.Struct, frozen=True):
+class SelectableMachine(msgspec.Struct, frozen=True):
     """A machine that the cloud lists, and how many tasks the records name there."""
 
     name: str
     type: str
     zone: str
-    tasks: int = 0
+    task_count: int = 0
 
 
-def check_name(name: str) -> str:
-    """A drain's name: it becomes part of a key."""
-    if not NAME.fullmatch(name):
-        raise InvalidRequestError(
+def validate_name(name: str) -> str:
+    """A drain's name, which becomes part of a key, or InvalidDrainRequestError."""
+    if not NAME_PATTERN.fullmatch(name):
+        raise InvalidDrainRequestError(
             f"NAME: up to 64 of a-z, 0-9, '.', '_' and '-', the first a letter or digit; is {name!r}"
         )
     return name
 
 
-def check(request: DrainRequest) -> DrainRequest:
-    """Refuse numbers that can't be meant."""
-    if request.batch < 1:
-        raise InvalidRequestError(f"--batch: must be a whole number from 1, is {request.batch}")
-    if not (math.isfinite(request.finish_s) and request.finish_s >= 0):
-        raise InvalidRequestError(f"--finish: must be a number of seconds from 0, is {request.finish_s}")
-    deadline = request.deadline_s
-    if deadline is not None and not (math.isfinite(deadline) and deadline > 0):
-        raise InvalidRequestError(f"--deadline: must be a positive number of seconds, is {deadline}")
-    if deadline is None and request.at_deadline is not AtDeadline.GO_ON:
-        raise InvalidRequestError("--at-deadline: needs --deadline")
-    share = request.selection.share
-    if share is not None and not 0.0 < share <= 1.0:
-        raise InvalidRequestError(f"--share: must be a number above 0 and up to 1, is {share}")
-    if request.selection.machines and (share is not None or request.selection.type or request.selection.zone):
-        raise InvalidRequestError("--machine: can't be combined with --type, --zone or --share")
-    if not request.selection.machines and share is None and not request.selection.type and not request.selection.zone:
-        raise InvalidRequestError("which machines: name --machine, --type, --zone or --share")
+def validate_request(request: DrainRequest) -> DrainRequest:
+    """The request, or InvalidDrainRequestError for numbers and combinations that can't be meant."""
+    if request.batch_size < 1:
+        raise InvalidDrainRequestError(f"--batch: must be a whole number from 1, is {request.batch_size}")
+    grace_s = request.finish_grace_s
+    if not (math.isfinite(grace_s) and grace_s >= 0):
+        raise InvalidDrainRequestError(f"--finish: must be a number of seconds from 0, is {grace_s}")
+    deadline_s = request.deadline_s
+    if deadline_s is not None and not (math.isfinite(deadline_s) and deadline_s > 0):
+        raise InvalidDrainRequestError(f"--deadline: must be a positive number of seconds, is {deadline_s}")
+    if deadline_s is None and request.deadline_policy is not DeadlinePolicy.CONTINUE:
+        raise InvalidDrainRequestError("--at-deadline: needs --deadline")
+    _validate_selection(request.selection)
     return request
 
 
-def check_budgets(request: DrainRequest, teams: Sequence[str], budgeted: Mapping[str, object]) -> None:
-    """Without a budget a team's jobs are only stopped where that was said explicitly."""
+def _validate_selection(selection: Selection) -> None:
+    share = selection.share
+    if share is not None and not 0.0 < share <= 1.0:
+        raise InvalidDrainRequestError(f"--share: must be a number above 0 and up to 1, is {share}")
+    by_kind = share is not None or selection.machine_type or selection.zone
+    if selection.machines and by_kind:
+        raise InvalidDrainRequestError("--machine: can't be combined with --type, --zone or --share")
+    if not selection.machines and not by_kind:
+        raise InvalidDrainRequestError("which machines: name --machine, --type, --zone or --share")
+
+
+def require_budgets(request: DrainRequest, teams: Sequence[str], budgeted: Mapping[str, object]) -> None:
+    """Raise InvalidDrainRequestError if a team has no budget, unless the request allows that explicitly."""
     missing = [team for team in teams if team not in budgeted]
-    if missing and not request.unbudgeted:
-        raise InvalidRequestError(
-            f"no disruption budget for {_some(missing)}: add drain.budgets to the operations file, "
+    if missing and not request.allow_unbudgeted:
+        raise InvalidDrainRequestError(
+            f"no disruption budget for {_list_names(missing)}: add drain.budgets to the operations file, "
             "or allow unlimited disruption with --unbudgeted"
         )
 
 
-def select(
-    selection: Selection, machines: Sequence[KnownMachine], types: Sequence[str], zones: Sequence[str]
+def select_machines(
+    selection: Selection, machines: Sequence[SelectableMachine], types: Sequence[str], zones: Sequence[str]
 ) -> list[str]:
-    """The machines that are meant, or BadRequest. Of a share, those with the fewest tasks."""
-    if selection.type is not None and selection.type not in types:
-        raise InvalidRequestError(f"--type: unknown: {selection.type!r}; the machine types are {_some(types)}")
+    """The names of the selected machines, sorted; of a share, those with the fewest tasks.
+
+    Raises:
+        InvalidDrainRequestError: a machine, type or zone is unknown, or nothing is selected.
+    """
+    if selection.machine_type is not None and selection.machine_type not in types:
+        raise InvalidDrainRequestError(
+            f"--type: unknown: {selection.machine_type!r}; the machine types are {_list_names(types)}"
+        )
     if selection.zone is not None and selection.zone not in zones:
-        raise InvalidRequestError(f"--zone: unknown: {selection.zone!r}; the zones are {_some(zones)}")
+        raise InvalidDrainRequestError(f"--zone: unknown: {selection.zone!r}; the zones are {_list_names(zones)}")
     names = {machine.name for machine in machines}
     unknown = sorted(set(selection.machines) - names)
     if unknown:
-        raise InvalidRequestError(f"--machine: unknown: {_some(unknown)}; the machines are {_some(sorted(names))}")
+        raise InvalidDrainRequestError(
+            f"--machine: unknown: {_list_names(unknown)}; the machines are {_list_names(sorted(names))}"
+        )
     if selection.machines:
         return sorted(set(selection.machines))
-    meant = [
+    selected = [
         machine
         for machine in machines
-        if selection.type in (None, machine.type) and selection.zone in (None, machine.zone)
+        if selection.machine_type in (None, machine.type) and selection.zone in (None, machine.zone)
     ]
-    if not meant:
-        raise InvalidRequestError("no machine is selected: the cloud lists none of this type and zone")
-    count = len(meant) if selection.share is None else math.ceil(selection.share * len(meant) - 1e-9)
-    meant.sort(key=lambda machine: (machine.tasks, machine.name))
-    return sorted(machine.name for machine in meant[:count])
+    if not selected:
+        raise InvalidDrainRequestError("no machine is selected: the cloud lists none of this type and zone")
+    selected.sort(key=lambda machine: (machine.task_count, machine.name))
+    return sorted(machine.name for machine in selected[: _share_of(len(selected), selection.share)])
 
 
-def _some(names: Sequence[str]) -> str:
+def _share_of(count: int, share: float | None) -> int:
+    """How many of so many machines a share is, rounded up; without a share all of them."""
+    return count if share is None else math.ceil(share * count - ROUNDING_TOLERANCE)
+
+
+def _list_names(names: Sequence[str]) -> str:
     """Names for a message: not thousands of them."""
-    shown = ", ".join(names[:SHOWN])
-    return shown + (f" and {len(names) - SHOWN} more" if len(names) > SHOWN else "") if names else "none"
+    if not names:
+        return "none"
+    shown = ", ".join(names[:MAX_NAMES_SHOWN])
+    hidden = len(names) - MAX_NAMES_SHOWN
+    return f"{shown} and {hidden} more" if hidden > 0 else shown
 
 
-def new_record(request: DrainRequest, machines: Sequence[str], now: float) -> DrainRecord:
+def new_drain_record(request: DrainRequest, machines: Sequence[str], now: float) -> DrainRecord:
     """The record with which a drain begins."""
     return DrainRecord(
-        phase=DrainPhase.ASKED,
-        request=request.digest(),
-        asked_at=now,
+        phase=DrainPhase.REQUESTED,
+        request_digest=request.digest(),
+        requested_at=now,
         changed_at=now,
-        total=len(machines),
-        remaining=name_codec.encode(machines),
-        batch=request.batch,
-        finish_s=request.finish_s,
-        afterwards=request.afterwards,
+        machine_count=len(machines),
+        remaining_machines=name_codec.encode(machines),
+        batch_size=request.batch_size,
+        finish_grace_s=request.finish_grace_s,
+        empty_machine_policy=request.empty_machine_policy,
         deadline_s=request.deadline_s,
-        at_deadline=request.at_deadline,
-        unbudgeted=request.unbudgeted,
+        deadline_policy=request.deadline_policy,
+        allow_unbudgeted=request.allow_unbudgeted,
     )
 
 
-def aborted(record: DrainRecord, now: float) -> DrainRecord:
+def aborted_record(record: DrainRecord, now: float) -> DrainRecord:
     """A drain that an operator aborts."""
-    return msgspec.structs.replace(record, phase=DrainPhase.ABORTED, changed_at=now, reason="aborted by an operator")
+    return msgspec.structs.replace(
+        record, phase=DrainPhase.ABORTED, changed_at=now, wait_reason="aborted by an operator"
+    )
 
 
-def resumed(record: DrainRecord, now: float) -> DrainRecord:
+def resumed_record(record: DrainRecord, now: float) -> DrainRecord:
     """An aborted drain that goes on with the machines that remain; its deadline counts from now."""
-    return msgspec.structs.replace(record, phase=DrainPhase.ASKED, asked_at=now, changed_at=now, reason="")
+    return msgspec.structs.replace(record, phase=DrainPhase.REQUESTED, requested_at=now, changed_at=now, wait_reason="")
--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -121,7 +121,7 @@
             self.clock,
             is_first_leadership=lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent,
             intake_blocked=lambda: not self.store.healthy(),
-            relocation_requests=lambda: self.drains.relocations(),
+            relocation_requests=lambda: self.drains.relocation_requests(),
             on_catalog=lambda catalog: self.key_dispatcher.publish_catalog(catalog),
         )
 
@@ -237,7 +237,7 @@
         """Made when the first drain is seen: importing it would cost every start of a node."""
         from hookwall.drains.controller import DrainController
 
-        controller = DrainController(
+        return DrainController(
             settings,
             self.params,
             self.fleet,
@@ -246,12 +246,9 @@
             self.leadership,
             self.clock,
             self.time_of_day,
+            drains_allowed=self.storage_version.allows_drains,
+            is_confirmed_deleted=self.scale_out.is_gone,
         )
-        controller.drains_allowed, controller.is_confirmed_deleted = (
-            self.storage_version.allows_drains,
-            self.scale_out.is_gone,
-        )
-        return controller
 
     # -- events --------------------------------------------------------------------------------
 
--- a/tests/drain_histories.py
+++ b/tests/drain_histories.py
@@ -92,7 +92,7 @@
         active = list(names)
         while active and self.simulation.now() < until:
             await asyncio.sleep(1.0)
-            active = [name for name in names if self.operator.record(name).active()]
+            active = [name for name in names if self.operator.record(name).is_active()]
         for name in active:
             self.simulation.broken.append(f"endless: {self.operator.record(name)}")
         if not active and cordoned(self.simulation):
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -15,8 +15,8 @@
 from hookwall.config.operations import Operations, validate_operations
 from hookwall.config.operations import load_operations as load_operations
 from hookwall.config.platform import InvalidSettingsError, PlatformParameters
-from hookwall.drains.bound import Load, LoadedJob, fewest_waves
 from hookwall.drains.command import ExitCode
+from hookwall.drains.lower_bound import LoadedJob, MachineLoad, wave_lower_bound
 from hookwall.storage import keys
 
 ROOT = Path(__file__).parents[2]
@@ -175,8 +175,10 @@
 # -- the fewest waves ------------------------------------------------------------------------------
 
 
-def loads(*machines: tuple[str, ...], gangs: frozenset[str] = frozenset()) -> list[Load]:
-    return [Load(f"vm-{i}", tuple(LoadedJob(j, "red", j in gangs) for j in jobs)) for i, jobs in enumerate(machines)]
+def loads(*machines: tuple[str, ...], gangs: frozenset[str] = frozenset()) -> list[MachineLoad]:
+    return [
+        MachineLoad(f"vm-{i}", tuple(LoadedJob(j, "red", j in gangs) for j in jobs)) for i, jobs in enumerate(machines)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -192,14 +194,14 @@
     ],
 )
 def test_the_fewest_waves(machines, batch, budget, fewest):
-    bound = fewest_waves(loads(*machines), batch, {"red": budget}, most=6)
+    bound = wave_lower_bound(loads(*machines), batch, {"red": budget}, enough_waves=6)
     assert (bound.waves, bound.exact) == (fewest, True)
 
 
 def test_a_gang_that_was_stopped_once_is_gone_from_its_other_machines():
     gang = loads(("g", "a"), ("g", "b"), gangs=frozenset("g"))
-    assert fewest_waves(gang, 1, {"red": 2}, most=4).waves == 2
-    assert fewest_waves(gang, 2, {"red": 3}, most=4).waves == 1
+    assert wave_lower_bound(gang, 1, {"red": 2}, enough_waves=4).waves == 2
+    assert wave_lower_bound(gang, 2, {"red": 3}, enough_waves=4).waves == 1
 
 
 # -- the operators' file ---------------------------------------------------------------------------
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -10,12 +10,13 @@
 
 from hookwall.config.platform import PlatformParameters
 from hookwall.drains import records
-from hookwall.drains.records import Afterwards, DisruptionPage, DrainPhase, StepPhase, StepRecord
-from hookwall.drains.request import DrainRequest, Selection, aborted, new_record
+from hookwall.drains.records import DisruptionPage, DrainPhase, EmptyMachinePolicy, StepPhase, StepRecord
+from hookwall.drains.request import DrainRequest, Selection, aborted_record, new_drain_record
 from hookwall.node.node import Node
 from hookwall.scheduling.image_affinity import STARVATION_S
 from hookwall.storage import keys
-from hookwall.storage.client import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.entries import KeyValueEntry
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 from hookwall.workers.machine import MachinePhase
 
 MACHINES = 4
@@ -64,25 +65,24 @@
         own = operations(grey=1)
         node.drains.controller = DrainController(
             own.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
-            self.clock, self.clock,
+            self.clock, self.clock, drains_allowed=lambda: True, is_confirmed_deleted=node.scale_out.is_gone,
         )  # fmt: skip
-        node.drains.controller.is_confirmed_deleted = node.scale_out.is_gone
         node.fleet.set_catalog(_catalog())
 
     def asks(self, *machines: str, batch: int = 2, **terms) -> None:
         """An operator has stored a drain."""
-        request = DrainRequest(selection=Selection(machines=machines), batch=batch, **terms)
-        self.put(DRAIN, records.encode(new_record(request, machines, self.clock())))
+        request = DrainRequest(selection=Selection(machines=machines), batch_size=batch, **terms)
+        self.put(DRAIN, records.encode(new_drain_record(request, machines, self.clock())))
 
     def put(self, key: str, value: object) -> None:
         """Somebody writes a key, and this node's watch tells of it."""
         self.state.epoch += 1
         self.state.keys[key] = (value, self.state.epoch)
-        self.node.drains.controller.table.take(key, value, self.state.epoch)
+        self.node.drains.controller.table.apply_key(key, value, self.state.epoch)
 
     def tick(self, seconds: float = 1.0) -> None:
         self.clock.tick(seconds)
-        asyncio.run(self.node.drains.controller.tick())
+        asyncio.run(self.node.drains.controller.advance_all())
 
     def stopping(self) -> set[str]:
         return {
@@ -96,7 +96,7 @@
         return None if stored is None else records.decode(stored[0], StepRecord)
 
     def used(self) -> int:
-        return self.node.drains.controller.ledger.used("grey")
+        return self.node.drains.controller.ledger.disruption_count("grey")
 
 
 def _idle(number: int) -> bytes:
@@ -128,8 +128,8 @@
     leader.tick()
     assert seen == [(True, False)] and leader.stopping() == {"run-000000"}
     page = records.decode(leader.state.keys[keys.DISRUPTION_PREFIX + "0"][0], DisruptionPage)
-    assert [entry.ref for entry in page.entries] == ["run-000000"]
-    assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted == 1
+    assert [entry.job_id for entry in page.entries] == ["run-000000"]
+    assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted_jobs == 1
 
 
 def test_a_new_leader_knows_what_was_spent(leader: Leader, params: PlatformParameters, clock: Clock, state: FakeState):
@@ -138,8 +138,8 @@
         leader.tick()
     assert leader.stopping() == {"run-000000"} and leader.used() == 1
     node = leader._node(params)
-    node.drains.controller.load([(key, value, stamp) for key, (value, stamp) in state.keys.items()])
-    assert node.drains.controller.ledger.used("grey") == 1 and node.fleet.cordoned == {FIRST, SECOND}
+    node.drains.controller.load_for_leadership([KeyValueEntry(key, *stored) for key, stored in state.keys.items()])
+    assert node.drains.controller.ledger.disruption_count("grey") == 1 and node.fleet.cordoned == {FIRST, SECOND}
     leader.node = node
     for _ in range(5):
         leader.tick()
@@ -168,13 +168,13 @@
     def abort() -> None:
         record = leader.node.drains.controller.table.drains["kernel"].record
         leader.state.epoch += 1
-        leader.state.keys[DRAIN] = (records.encode(aborted(record, leader.clock())), leader.state.epoch)
+        leader.state.keys[DRAIN] = (records.encode(aborted_record(record, leader.clock())), leader.state.epoch)
 
     leader.before[keys.CORDON_PREFIX + FIRST] = abort
     with pytest.raises(PreconditionFailedError) as conflict:
         leader.tick()
     assert not leader.stopping()
-    asyncio.run(leader.node.drains.controller.writes.refresh(conflict.value.keys))
+    asyncio.run(leader.node.drains.controller.writer.reread(conflict.value.keys))
     leader.tick()
     assert leader.step(FIRST) is None and not leader.stopping() and not leader.node.fleet.cordoned
     assert leader.node.drains.controller.table.drains["kernel"].record.phase is DrainPhase.ABORTED
@@ -182,7 +182,7 @@
 
 def test_a_step_that_somebody_else_has_changed_is_not_overwritten(leader: Leader):
     leader.asks(FIRST)
-    other = StepRecord(drain="other", phase=StepPhase.CORDONED, since=1.0, changed_at=1.0)
+    other = StepRecord(drain="other", phase=StepPhase.CORDONED, cordoned_at=1.0, changed_at=1.0)
 
     def cordon() -> None:
         leader.state.epoch += 1
@@ -220,7 +220,7 @@
     state.mode = "ok"
     with pytest.raises(PreconditionFailedError) as conflict:
         leader.tick()
-    asyncio.run(leader.node.drains.controller.writes.refresh(conflict.value.keys))
+    asyncio.run(leader.node.drains.controller.writer.reread(conflict.value.keys))
     leader.tick()
     assert leader.stopping() == {"run-000000"} and leader.used() == 1
 
@@ -243,7 +243,7 @@
     """A free machine is to be drained, and another job comes before it is returned."""
     fleet, free = leader.node.fleet, f"vm-{MACHINES:06d}"
     assert fleet.is_schedulable(fleet.machines[free], leader.clock())
-    leader.asks(free, afterwards=Afterwards.HOLD)
+    leader.asks(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
     leader.tick()
     assert not fleet.is_schedulable(fleet.machines[free], leader.clock())
     standing, _ = leader.node.scale_out.capacity.machine_counts(leader.clock())
@@ -258,14 +258,14 @@
     node.job_table.apply_record(keys.JOB_PREFIX + job.job_id, record, 90)
     assert job.allocations[0].machine == free != start.machine
     leader.put(keys.CORDON_PREFIX + free, records.encode(StepRecord(
-        drain="kernel", phase=StepPhase.CORDONED, since=1.0, changed_at=1.0)))  # fmt: skip
+        drain="kernel", phase=StepPhase.CORDONED, cordoned_at=1.0, changed_at=1.0)))  # fmt: skip
     _, answer = node.heartbeat_router.respond(_idle(MACHINES).replace(b'"tick":2', b'"tick":3'))
     assert b"launch" not in answer and not job.allocations, "it is placed elsewhere"
 
 
 def test_a_machine_that_is_held_is_not_let_go_as_beyond_need(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
-    leader.asks(free, afterwards=Afterwards.HOLD)
+    leader.asks(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
     for _ in range(2):
         leader.tick()
     assert leader.step(free).phase is StepPhase.EMPTY
@@ -279,14 +279,16 @@
 
 def test_a_machine_of_another_drain_is_named_and_left_to_it(leader: Leader):
     leader.put(keys.CORDON_PREFIX + FIRST, records.encode(StepRecord(
-        drain="other", phase=StepPhase.CORDONED, since=leader.clock(), changed_at=1.0)))  # fmt: skip
-    leader.put(keys.DRAIN_PREFIX + "other", records.encode(new_record(
-        DrainRequest(selection=Selection(machines=(FIRST,)), finish_s=600.0), [FIRST], leader.clock())))  # fmt: skip
+        drain="other", phase=StepPhase.CORDONED, cordoned_at=leader.clock(), changed_at=1.0)))  # fmt: skip
+    other = DrainRequest(selection=Selection(machines=(FIRST,)), finish_grace_s=600.0)
+    leader.put(keys.DRAIN_PREFIX + "other", records.encode(new_drain_record(other, [FIRST], leader.clock())))
     leader.asks(FIRST)
     leader.tick()
     leader.tick(6.0)
     assert leader.step(FIRST).drain == "other" and not leader.stopping()
-    assert leader.node.drains.controller.table.drains["kernel"].record.reason == f"{FIRST} is being drained by other"
+    assert (
+        leader.node.drains.controller.table.drains["kernel"].record.wait_reason == f"{FIRST} is being drained by other"
+    )
 
 
 def test_a_job_that_was_moved_leaves_its_room_to_nobody(leader: Leader):
@@ -306,7 +308,7 @@
 
 
 def test_a_machine_with_tasks_is_not_empty_and_not_returned(leader: Leader):
-    leader.asks(FIRST, finish_s=600.0)
+    leader.asks(FIRST, finish_grace_s=600.0)
     for _ in range(4):
         leader.tick()
     assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping()
--- a/tests/drains/test_drain_ledger.py
+++ b/tests/drains/test_drain_ledger.py
@@ -7,9 +7,10 @@
 
 from hookwall.config.operations import DisruptionBudget
 from hookwall.drains import records
+from hookwall.drains.disruption_ledger import DisruptionLedger, allowed_disruptions
 from hookwall.drains.drain_table import DrainTable
-from hookwall.drains.ledger import Ledger, allowance
-from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
+from hookwall.drains.records import DeadlinePolicy, DisruptionPage, DrainRecord, EmptyMachinePolicy, StepRecord
+from hookwall.drains.request import DrainRequest, Selection
 from hookwall.storage.job_records import MalformedRecordError
 from hookwall.workers import name_codec
 
@@ -18,8 +19,8 @@
 
 
 @pytest.fixture
-def ledger() -> Ledger:
-    return Ledger([DisruptionBudget("red", jobs=2, period_s=PERIOD_S)], value_limit=2048, margin_s=0.5)
+def ledger() -> DisruptionLedger:
+    return DisruptionLedger([DisruptionBudget("red", jobs=2, period_s=PERIOD_S)], value_limit=2048, clock_skew_s=0.5)
 
 
 @pytest.mark.parametrize(
@@ -35,66 +36,66 @@
     ],
 )
 def test_a_share_is_rounded_down_but_not_to_nothing_and_the_smaller_limit_holds(budget, running, allowed):
-    assert allowance(budget, running) == allowed
+    assert allowed_disruptions(budget, running) == allowed
 
 
-def test_a_disruption_counts_until_its_period_is_over_and_the_job_runs_as_before(ledger: Ledger):
-    ledger.spend("run-000001", "red", ran=3, now=100.0)
-    ledger.follow(lambda ref: 2, 100.0 + 2 * PERIOD_S)
-    assert ledger.used("red") == 1, "it has not recovered"
-    ledger.follow(lambda ref: 3, 100.0 + PERIOD_S)
-    assert ledger.used("red") == 1, "two nodes' times of day may differ"
-    ledger.follow(lambda ref: 0, 101.0 + PERIOD_S)
-    assert ledger.used("red") == 0, "it had recovered before"
+def test_a_disruption_counts_until_its_period_is_over_and_the_job_runs_as_before(ledger: DisruptionLedger):
+    ledger.record_disruption("run-000001", "red", running_tasks=3, now=100.0)
+    ledger.update_recovery(lambda ref: 2, 100.0 + 2 * PERIOD_S)
+    assert ledger.disruption_count("red") == 1, "it has not recovered"
+    ledger.update_recovery(lambda ref: 3, 100.0 + PERIOD_S)
+    assert ledger.disruption_count("red") == 1, "two nodes' times of day may differ"
+    ledger.update_recovery(lambda ref: 0, 101.0 + PERIOD_S)
+    assert ledger.disruption_count("red") == 0, "it had recovered before"
 
 
-def test_a_job_that_is_over_has_recovered(ledger: Ledger):
-    ledger.spend("run-000001", "red", ran=3, now=100.0)
-    ledger.follow(lambda ref: None, 100.0)
-    assert ledger.open_entry("run-000001") is None and ledger.used("red") == 1
+def test_a_job_that_is_over_has_recovered(ledger: DisruptionLedger):
+    ledger.record_disruption("run-000001", "red", running_tasks=3, now=100.0)
+    ledger.update_recovery(lambda ref: None, 100.0)
+    assert ledger.unrecovered_entry("run-000001") is None and ledger.disruption_count("red") == 1
 
 
-def test_a_job_counts_once_until_it_recovers_and_once_more_after(ledger: Ledger):
-    ledger.spend("run-000001", "red", ran=3, now=100.0)
-    ledger.spend("run-000001", "red", ran=1, now=110.0)
-    assert ledger.used("red") == 1 and ledger.open_entry("run-000001").ran == 3
-    ledger.follow(lambda ref: 3, 111.0)
-    ledger.spend("run-000001", "red", ran=3, now=112.0)
-    assert ledger.used("red") == 2
-    ledger.spend("run-000002", "blue", ran=1, now=112.0)
-    assert ledger.used("blue") == 0, "nobody asks about a team without a budget"
+def test_a_job_counts_once_until_it_recovers_and_once_more_after(ledger: DisruptionLedger):
+    ledger.record_disruption("run-000001", "red", running_tasks=3, now=100.0)
+    ledger.record_disruption("run-000001", "red", running_tasks=1, now=110.0)
+    assert ledger.disruption_count("red") == 1 and ledger.unrecovered_entry("run-000001").running_before == 3
+    ledger.update_recovery(lambda ref: 3, 111.0)
+    ledger.record_disruption("run-000001", "red", running_tasks=3, now=112.0)
+    assert ledger.disruption_count("red") == 2
+    ledger.record_disruption("run-000002", "blue", running_tasks=1, now=112.0)
+    assert ledger.disruption_count("blue") == 0, "nobody asks about a team without a budget"
 
 
-def test_more_entries_than_a_value_holds_go_on_further_pages(ledger: Ledger):
+def test_more_entries_than_a_value_holds_go_on_further_pages(ledger: DisruptionLedger):
     for n in range(100):
-        ledger.spend(f"run-{n:06d}", "red", ran=1, now=100.0)
+        ledger.record_disruption(f"run-{n:06d}", "red", running_tasks=1, now=100.0)
     assert len(ledger.pages) == 4
     for page in ledger.pages.values():
         assert len(json.dumps(records.encode(DisruptionPage(entries=page.entries)))) < 2048
-    ledger.follow(lambda ref: 1, 200.0)
+    ledger.update_recovery(lambda ref: 1, 200.0)
     for number in list(ledger.pages):
-        ledger.stored(number, 0)
+        ledger.record_page_version(number, 0)
     assert not ledger.pages
 
 
-def test_a_new_leader_counts_the_period_of_what_has_not_recovered_from_its_beginning(ledger: Ledger):
+def test_a_new_leader_counts_the_period_of_what_has_not_recovered_from_its_beginning(ledger: DisruptionLedger):
     """Its predecessor saw the loss after the stop was stored, and could not store that (drain_histories, seed 1000)."""
-    ledger.spend("run-000001", "red", ran=1, now=100.0)
-    ledger.spend("run-000002", "red", ran=1, now=100.0)
-    ledger.follow(lambda ref: 1 if ref == "run-000002" else 0, 101.0)
-    ledger.begin_term(105.0)
-    ledger.follow(lambda ref: 1, 101.0 + PERIOD_S)
-    assert [entry.ref for entry in ledger.entries()] == ["run-000001"]
-    ledger.follow(lambda ref: 1, 106.0 + PERIOD_S)
-    assert ledger.used("red") == 0
-
-
-def test_what_changes_while_a_page_is_written_is_written_again(ledger: Ledger):
-    ledger.spend("run-000001", "red", ran=1, now=100.0)
+    ledger.record_disruption("run-000001", "red", running_tasks=1, now=100.0)
+    ledger.record_disruption("run-000002", "red", running_tasks=1, now=100.0)
+    ledger.update_recovery(lambda ref: 1 if ref == "run-000002" else 0, 101.0)
+    ledger.begin_leadership(105.0)
+    ledger.update_recovery(lambda ref: 1, 101.0 + PERIOD_S)
+    assert [entry.job_id for entry in ledger.entries()] == ["run-000001"]
+    ledger.update_recovery(lambda ref: 1, 106.0 + PERIOD_S)
+    assert ledger.disruption_count("red") == 0
+
+
+def test_what_changes_while_a_page_is_written_is_written_again(ledger: DisruptionLedger):
+    ledger.record_disruption("run-000001", "red", running_tasks=1, now=100.0)
     ledger.pages[0].dirty = False
-    ledger.spend("run-000002", "red", ran=1, now=100.0)
-    ledger.stored(0, 7)
-    assert ledger.dirty() == [0] and ledger.pages[0].stamp == 7
+    ledger.record_disruption("run-000002", "red", running_tasks=1, now=100.0)
+    ledger.record_page_version(0, 7)
+    assert ledger.dirty_pages() == [0] and ledger.pages[0].version == 7
 
 
 # -- records ---------------------------------------------------------------------------------------
@@ -106,36 +107,51 @@
     assert records.encode(record) == GOLDEN[name]
 
 
+def test_the_digest_of_a_request_is_the_one_that_earlier_programs_stored():
+    """Under another digest the same request again would be refused as one with other terms."""
+    request = DrainRequest(
+        selection=Selection(machines=("vm-1",), machine_type="g4", zone="east", share=0.5),
+        batch_size=3,
+        finish_grace_s=20.0,
+        deadline_s=60.0,
+        deadline_policy=DeadlinePolicy.ABORT,
+        empty_machine_policy=EmptyMachinePolicy.HOLD,
+        allow_unbudgeted=True,
+    )
+    assert request.digest() == "dd6c6b895ce3e16a"
+    assert DrainRequest(selection=Selection(zone="east")).digest() == "555291da0088a307"
+
+
 def test_the_golden_drain_means_what_it_did():
     record = records.decode(GOLDEN["drain"], DrainRecord)
-    assert record.machines() == ["vm-000002", "vm-000007"] and record.total == 3 and record.active()
-    assert record.overdue(1900.1) and not record.overdue(1899.9)
+    assert record.machines() == ["vm-000002", "vm-000007"] and record.machine_count == 3 and record.is_active()
+    assert record.is_overdue(1900.1) and not record.is_overdue(1899.9)
 
 
 @pytest.mark.parametrize("change", [{"version": 2}, {"phase": "sleeping"}, {"batch": "two"}, {"remaining": 7}])
 def test_a_record_that_can_t_be_read_is_left_alone(change):
-    table = DrainTable(Ledger([], 2048, 0.0))
-    table.take("hookwall/drain/kernel", {**GOLDEN["drain"], **change}, 5)
+    table = DrainTable(DisruptionLedger([], 2048, 0.0))
+    table.apply_key("hookwall/drain/kernel", {**GOLDEN["drain"], **change}, 5)
     assert not table.drains
     with pytest.raises(MalformedRecordError):
         records.decode({**GOLDEN["step"], "version": 2}, StepRecord)
 
 
 def test_a_step_that_can_t_be_read_keeps_new_work_off_its_machine():
-    table = DrainTable(Ledger([], 2048, 0.0))
-    table.take("hookwall/cordon/vm-000002", {**GOLDEN["step"], "version": 2}, 5)
+    table = DrainTable(DisruptionLedger([], 2048, 0.0))
+    table.apply_key("hookwall/cordon/vm-000002", {**GOLDEN["step"], "version": 2}, 5)
     assert table.cordoned == {"vm-000002"} and not table.steps
-    table.read_all([])
+    table.apply_snapshot([])
     assert not table.cordoned
 
 
 def test_an_older_state_of_a_key_changes_nothing():
-    table = DrainTable(Ledger([], 2048, 0.0))
-    table.take("hookwall/cordon/vm-000002", GOLDEN["step"], 9)
-    table.take("hookwall/cordon/vm-000002", {**GOLDEN["step"], "phase": "empty"}, 8)
-    table.remove("hookwall/cordon/vm-000002", 8)
-    assert table.steps["vm-000002"].record.phase.value == "draining" and not table.maintained
-    table.remove("hookwall/cordon/vm-000002", 10)
+    table = DrainTable(DisruptionLedger([], 2048, 0.0))
+    table.apply_key("hookwall/cordon/vm-000002", GOLDEN["step"], 9)
+    table.apply_key("hookwall/cordon/vm-000002", {**GOLDEN["step"], "phase": "empty"}, 8)
+    table.apply_deletion("hookwall/cordon/vm-000002", 8)
+    assert table.steps["vm-000002"].record.phase.value == "draining" and not table.in_maintenance
+    table.apply_deletion("hookwall/cordon/vm-000002", 10)
     assert not table.steps and not table.cordoned
 
 
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -42,7 +42,7 @@
         code, told = await w.call("drain", "status", "kernel", "--wait", "150")
         assert code == ExitCode.OK and told["drains"][0]["phase"] == "finished", told
         record = decode(w.service.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
-        assert record.counts == {"returned": 4} and not set(machines) & w.workers.keys() and not cordoned(w)
+        assert record.outcome_counts == {"returned": 4} and not set(machines) & w.workers.keys() and not cordoned(w)
         for ref in refs:
             await w.runs(ref, 60.0)
         assert sorted(set(oracle.by_drains)) == sorted(refs)
--- a/tests/drains/test_drains.py
+++ b/tests/drains/test_drains.py
@@ -48,7 +48,7 @@
         await operator.start("kernel", "--zone", "east", "--batch", "2")
         await operator.ends("kernel", 200.0)
         assert not east & w.workers.keys() and not cordoned(w)
-        assert operator.record("kernel").counts == {"returned": 2}
+        assert operator.record("kernel").outcome_counts == {"returned": 2}
         assert len(w.oracle.by_drains) == 2, "each job there was stopped once"
         await w.until(lambda: all(w.on_machines(r) for r in w.jobs), 60.0, "a job was not started again")
 
@@ -67,7 +67,9 @@
         assert shared == machine_of(w, blue)
         w.workers.pop(machine_of(w, lost)).gone()
         await w.until(lambda: w.oracle.used("blue") == 1, 5.0, "no loss")
-        await w.until(lambda: w.leader().drains.controller.ledger.used("blue") == 1, 60.0, "the loss was not counted")
+        await w.until(
+            lambda: w.leader().drains.controller.ledger.disruption_count("blue") == 1, 60.0, "the loss was not counted"
+        )
         await operator.start("kernel", "--machine", shared)
         await operator.waits_for("kernel", "budget of team blue is spent", 20.0)
         assert shared in cordoned(w) and w.on_machines(red) == 1 and not w.oracle.by_drains
@@ -130,7 +132,7 @@
         await asyncio.sleep(45.0)
         if at_deadline == "abort":
             assert operator.record("kernel").phase.value == "aborted" and not cordoned(w)
-            assert operator.record("kernel").reason == "its deadline has passed"
+            assert operator.record("kernel").wait_reason == "its deadline has passed"
         assert w.oracle.by_drains == ([refs[0]] if at_deadline == "stop-waiting" else [])
         assert (machine in w.workers) == (at_deadline != "stop-waiting")
 
@@ -164,7 +166,7 @@
         else:
             setattr(worker, trouble, True)
         await operator.ends("kernel", 200.0)
-        assert not set(machines) & w.workers.keys() and sum(operator.record("kernel").counts.values()) == 2
+        assert not set(machines) & w.workers.keys() and sum(operator.record("kernel").outcome_counts.values()) == 2
         await w.until(lambda: all(w.on_machines(ref) for ref in refs), 60.0, "a job was not started again")
 
     drained(scenario)
@@ -210,7 +212,9 @@
         await operator.waits_for("driver", "waits to be released", 60.0)
         assert (await operator("release", "driver", *cordoned(w)))[0] == ExitCode.OK
         await operator.ends("driver", 20.0)
-        assert operator.record("driver").counts == {"back in service": 2} and {first, second} <= w.workers.keys()
+        assert (
+            operator.record("driver").outcome_counts == {"back in service": 2} and {first, second} <= w.workers.keys()
+        )
 
     drained(scenario)
 
@@ -339,7 +343,7 @@
                     w.start(name, 3 if name == "n2" else 0)
             await asyncio.sleep(20.0)
         assert not cordoned(w) and not w.oracle.losses and machine_of(w, ref) == machine
-        assert "not all nodes run" in operator.record("kernel").reason
+        assert "not all nodes run" in operator.record("kernel").wait_reason
         await w.upgrade("n2")
         await operator.ends("kernel", 150.0)
 
--- a/tests/harness/drain_simulation.py
+++ b/tests/harness/drain_simulation.py
@@ -10,7 +10,8 @@
 from hookwall.autoscaling.cloud_client import CloudClient
 from hookwall.config.operations import DisruptionBudget, DrainSettings, Operations
 from hookwall.config.platform import ExternalServices, PeerSeed, Settings, TeamQuota
-from hookwall.drains.command import DrainCommand, ExitCode, execute
+from hookwall.drains.command import DrainCommand, ExitCode
+from hookwall.drains.command_line import execute
 from hookwall.drains.records import DrainRecord, decode
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient
@@ -144,7 +145,7 @@
         client.call = lambda s, method, url, body, t: w.cloud.call("operator", method, path(url), body, t)
         said: list[str] = []
         command = DrainCommand(
-            self.settings, w.operations or Operations(), store, client, said.append, w.now, w.now
+            self.settings, w.operations or Operations(), store, client, said.append, w.now, w.now, json=True
         )  # fmt: skip
         args = cli.parser().parse_args(["drain", *words, "--config", "-", "--json"])
         code = await execute(command, args)
@@ -170,7 +171,7 @@
 
     async def waits_for(self, name: str, text: str, within_s: float) -> None:
         await self.simulation.until(
-            lambda: text in self.record(name).reason, within_s, f"{name} doesn't say {text!r}: {self.record(name)}"
+            lambda: text in self.record(name).wait_reason, within_s, f"{name} doesn't say {text!r}: {self.record(name)}"
         )
 
 
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -119,7 +119,7 @@
             found.update(
                 took_s=round(w.now() - began, 1), waves_planned=len(plan["waves"]), waves_fewest=plan["fewest_waves"],
                 budgets_bound_s=PERIOD_S * periods, bound_is_exact=at_once["fewest_is_exact"],
-                jobs_stopped=len(oracle.by_drains), machines=operator.record("measured").total,
+                jobs_stopped=len(oracle.by_drains), machines=operator.record("measured").machine_count,
                 machine=watch.steps.summary(),
             )  # fmt: skip
         await urgent
@@ -161,19 +161,19 @@
     names = sorted(node.fleet.machines)
     drains = node.build_drain_controller(DrainSettings(True, [DisruptionBudget("grey", jobs=10)]))
     result = {"machines": args.machines, "round_ms": timed(node.scheduler.run_round)}
-    asked = DrainRequest(selection=Selection(share=1.0), batch=args.batch)
-    record = request.new_record(asked, names, clock())
-    drains.table.put_drain("measured", record, 5)
+    asked = DrainRequest(selection=Selection(share=1.0), batch_size=args.batch)
+    record = request.new_drain_record(asked, names, clock())
+    drains.table.set_drain("measured", record, 5)
 
     def look() -> None:
-        drains.plans._search_at.clear()
-        drains.plans.build("measured")
+        drains.plan_builder.reset()
+        drains.plan_builder.build_plan("measured")
 
     result["search_ms"] = timed(look)
     for name in names[: args.batch]:
-        step = records.StepRecord(drain="measured", phase=records.StepPhase.CORDONED, since=0.0, changed_at=0.0)
-        drains.table.put_step(name, step, 6)
-    result["look_ms"] = timed(lambda: drains.plans.build("measured"))
+        step = records.StepRecord(drain="measured", phase=records.StepPhase.CORDONED, cordoned_at=0.0, changed_at=0.0)
+        drains.table.set_step(name, step, 6)
+    result["look_ms"] = timed(lambda: drains.plan_builder.build_plan("measured"))
     result["round_with_cordons_ms"] = timed(node.scheduler.run_round)
     result["record_bytes"] = len(json.dumps(records.encode(record)))
     result["sparse_record_bytes"] = len(json.dumps(name_codec.encode(names[::2])))
