--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -65,19 +65,10 @@
         drains_allowed: Callable[[], bool],
         is_confirmed_deleted: Callable[[str], bool],
     ) -> None:
-        """Share the cordoned machines with the fleet and the relocated jobs with the scheduler.
+        """Share the cordoned machines with `fleet` and the relocated jobs with `scheduler`.
 
-        Args:
-            settings: the teams' budgets.
-            params: the platform's parameters.
-            fleet: the machines, which tell of every disruption from here on.
-            scheduler: it places evicted jobs, and its round's budget of time is that of a plan.
-            store: where drains are stored.
-            leadership: whose fencing token every write has as a precondition.
-            clock: monotonic, in seconds.
-            wall: time of day in seconds.
-            drains_allowed: whether the program of every node knows drains.
-            is_confirmed_deleted: whether a machine is known to be deleted.
+        `clock` is monotonic, `wall` the time of day, both in seconds. `drains_allowed`: whether the program of every
+        node knows drains; `is_confirmed_deleted`: whether a machine is known to be deleted.
         """
         self.fleet = fleet
         self.clock = clock
@@ -94,6 +85,10 @@
         self.transitions = DrainTransitions(self.table, self.writer, fleet, self.disruptions, clock, wall)
         self.awaiting_capacity: dict[str, list[Occupant]] = {}  # by drain, jobs that wait for capacity elsewhere
         self._ledger_stored_at: float | None = None
+        self._connect(fleet, scheduler)
+
+    def _connect(self, fleet: Fleet, scheduler: Scheduler) -> None:
+        """The fleet and the scheduler work without drains until here, as most of the time there is none."""
         fleet.cordoned = self.table.cordoned
         fleet.in_maintenance = self.table.in_maintenance
         fleet.on_stop_requested = self.disruptions.record_stop_request
@@ -226,7 +221,7 @@
                 self.fleet.transition_to(known, MachinePhase.DELETING, f"drain {name}")
 
     def _end_stopping_tasks(self, name: str, waits: Iterable[Wait]) -> None:
-        """After the deadline: tasks that are stopping and still write a checkpoint are ended. Older ones stay."""
+        """After the deadline: tasks that are stopping and still write a checkpoint are ended. Earlier ones stay."""
         for wait in waits:
             machine = self.fleet.machines.get(wait.machine)
             if wait.kind is not WaitKind.STOPPING or machine is None:
--- a/hookwall/drains/lower_bound.py
+++ b/hookwall/drains/lower_bound.py
@@ -118,12 +118,8 @@
 ) -> WaveLowerBound:
     """The fewest waves for these machines; teams without a budget are not limited.
 
-    Args:
-        loads: the machines with their jobs.
-        batch_size: machines in a wave at the most.
-        budgets: jobs by team that a wave may disrupt.
-        enough_waves: so many are known to be enough.
-        solver_s: seconds that the solver may take; without a proof by then the bound is not exact.
+    `enough_waves` are known to be enough. The solver may take `solver_s` seconds; without a proof by then the bound is
+    not exact.
 
     Raises:
         SolverMissingError: the solver is not installed.
--- a/hookwall/drains/planning_view.py
+++ b/hookwall/drains/planning_view.py
@@ -106,7 +106,7 @@
         return tuple(Wait(WaitKind.STOPPING, machine.name, task) for task in sorted(late_tasks)[:1])
 
     def _stops_late(self, job: Job, allocation: Allocation, now: float) -> bool:
-        """Whether a task that was told to stop should have ended by now."""
+        """Whether a task whose worker got the stop command should have ended by now."""
         if allocation.stop_grace_s is None or allocation.stop_sent_at < 0 or job.spec is None:
             return False
         workers = self.fleet.params.workers
--- a/tests/drain_histories.py
+++ b/tests/drain_histories.py
@@ -18,6 +18,7 @@
 from harness.simulation import Simulation
 from histories import History, Invariants, broken_in, play_range
 
+from hookwall.drains.command import ExitCode
 from hookwall.drains.records import DrainPhase
 
 BUDGETS = {"red": 1, "blue": 2}
@@ -44,50 +45,51 @@
     async def play(self, simulation: Simulation) -> None:
         simulation.cloud.room = CLOUD_ROOM
         for n in range(1, self.random.randint(5, 9)):
-            simulation.go(self._arrives(n))
+            simulation.go(self._submit_job(n))
         await asyncio.sleep(25.0)
         names = [f"drain-{n}" for n in range(self.random.randint(1, 2))]
-        drains = [simulation.go(self._drains(name)) for name in names]
+        drains = [simulation.go(self._run_drain(name)) for name in names]
         troubles = [
             simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(0, 4))
         ]
         await asyncio.gather(*drains, *troubles)
-        await self._end(names)
+        await self._check_ends(names)
 
-    async def _arrives(self, n: int) -> None:
-        """A job comes at some time."""
-        await asyncio.sleep(self.span(0.0, 60.0) if n > 4 else 0.0)
+    async def _submit_job(self, number: int) -> None:
+        """A job is submitted at some time."""
+        await asyncio.sleep(self.span(0.0, 60.0) if number > 4 else 0.0)
         whole = self.random.random() < 0.5
         ref = self.simulation.job(
-            n, run_s=self.span(30.0, 120.0), owner=self.random.choice(["red", "blue"]),
+            number, run_s=self.span(30.0, 120.0), owner=self.random.choice(["red", "blue"]),
             pieces=self.random.choice([1, 2, 3]), shape=self.random.choice(["batch", "batch", "ensemble"]),
             cards=4.0 if whole else 1.0,
         )  # fmt: skip
         await self.simulation.accepted(ref, within_s=200.0)
 
-    async def _tries(self, *words: str) -> None:
+    async def _repeat_until_answered(self, *words: str) -> None:
         """The operator repeats a call until it is answered."""
         self.note(f"drain {' '.join(words)}")
         for _ in range(60):
             code, _ = await self.operator(*words)
-            if code not in (4, 5):
+            if code not in (ExitCode.CONFLICT, ExitCode.UNAVAILABLE):
                 return
             await asyncio.sleep(2.0)
 
-    async def _drains(self, name: str) -> None:
+    async def _run_drain(self, name: str) -> None:
         """One drain with random terms; some are aborted after a while and resumed."""
         await asyncio.sleep(self.span(0.0, 10.0))
         which = self.random.choice([["--zone", "east"], ["--zone", "west"], ["--share", "0.5"], ["--share", "1"]])
-        batch, finish = str(self.random.randint(1, 4)), str(self.random.choice([0, 0, 10]))
-        await self._tries("start", name, *which, "--batch", batch, "--finish", finish)
+        batch = str(self.random.randint(1, 4))
+        finish = str(self.random.choice([0, 0, 10]))
+        await self._repeat_until_answered("start", name, *which, "--batch", batch, "--finish", finish)
         if self.random.random() < 0.3:
             await asyncio.sleep(self.span(1.0, 20.0))
-            await self._tries("abort", name)
+            await self._repeat_until_answered("abort", name)
             await asyncio.sleep(self.span(0.0, 10.0))
-            await self._tries("resume", name)
+            await self._repeat_until_answered("resume", name)
 
-    async def _end(self, names: list[str]) -> None:
-        """Each drain ends, or says why not; nothing stays cordoned for one that has."""
+    async def _check_ends(self, names: list[str]) -> None:
+        """Each drain ends; nothing stays cordoned for one that has."""
         until = self.simulation.now() + ENDS_S
         active = list(names)
         while active and self.simulation.now() < until:
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "says"),
+    ("words", "message"),
     [
         (["--zone", "north"], "--zone: unknown: 'north'; the zones are east, west"),
         (["--type", "g9"], "--type: unknown: 'g9'; the machine types are g4"),
@@ -37,18 +37,18 @@
         (["--share", "1.5"], "--share: must be a number above 0 and up to 1"),
     ],
 )
-def test_bad_input_is_named_and_changes_nothing(words, says, capsys: CaptureFixture):
+def test_invalid_input_is_named_and_changes_nothing(words, message, capsys: CaptureFixture):
     async def scenario(w: Simulation, operator):
         for action in (["plan"], ["start", "kernel"]):
             code, value = await operator(*action, *words)
             assert (code, value) == (ExitCode.BAD_INPUT, None)
-            assert says in capsys.readouterr().err
+            assert message in capsys.readouterr().err
         assert not drain_phases(w)
 
     drained(scenario)
 
 
-def test_bad_names_and_words_that_no_number_is(capsys: CaptureFixture):
+def test_invalid_names_and_options_that_are_no_numbers_are_refused(capsys: CaptureFixture):
     async def scenario(w: Simulation, operator):
         for name in ("Kernel", "a/b", "x" * 65, ""):
             assert (await operator("start", name, "--zone", "east"))[0] == ExitCode.BAD_INPUT
@@ -61,7 +61,7 @@
     drained(scenario)
 
 
-def test_teams_without_a_budget_are_only_disrupted_where_that_is_said(capsys: CaptureFixture):
+def test_teams_without_a_budget_are_only_disrupted_with_unbudgeted(capsys: CaptureFixture):
     async def scenario(w: Simulation, operator):
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.BAD_INPUT
         assert "no disruption budget for blue" in capsys.readouterr().err
@@ -73,13 +73,13 @@
     drained(scenario, budgets={"red": 1})
 
 
-def test_the_same_drain_again_is_answered_with_its_state_and_another_is_refused(capsys: CaptureFixture):
+def test_a_repeated_request_prints_the_drain_s_state_and_other_terms_are_refused(capsys: CaptureFixture):
     async def scenario(w: Simulation, operator):
         await running_jobs(w, RED, **WHOLE)
         await operator.start("kernel", "--zone", "east")
         before = w.service.keys[keys.DRAIN_PREFIX + "kernel"]
-        code, told = await operator("start", "kernel", "--zone", "east")
-        assert code == ExitCode.OK and told["drains"][0]["name"] == "kernel"
+        code, printed = await operator("start", "kernel", "--zone", "east")
+        assert code == ExitCode.OK and printed["drains"][0]["name"] == "kernel"
         assert (await operator("start", "kernel", "--zone", "west"))[0] == ExitCode.BAD_INPUT
         assert "exists already with other terms" in capsys.readouterr().err
         assert w.service.keys[keys.DRAIN_PREFIX + "kernel"][0]["request"] == before[0]["request"]
@@ -87,7 +87,7 @@
     drained(scenario)
 
 
-def test_failures_of_the_service_are_told_apart():
+def test_failures_of_the_store_and_the_cloud_have_their_own_exit_codes():
     async def scenario(w: Simulation, operator):
         assert (await operator("status", "none"))[0] == ExitCode.NOT_FOUND
         assert (await operator("abort", "none"))[0] == ExitCode.NOT_FOUND
@@ -121,12 +121,14 @@
         await asyncio.sleep(10.0)
         before = dict(w.service.keys)
         machines = [part for ref in refs for part in ("--machine", machine_of(w, ref))]
-        code, told = await operator("plan", *machines, "--batch", "3", "--fewest")
-        assert code == ExitCode.OK and told["disrupted"] == {"red": 2, "blue": 1}
-        assert told["fewest_waves"] == 2 and told["fewest_is_exact"]
-        assert sorted(ref for wave in told["waves"] for jobs in wave["jobs"].values() for ref in jobs) == sorted(refs)
-        assert all(len(jobs) <= 1 for wave in told["waves"] for jobs in wave["jobs"].values())
-        assert [len(wave["machines"]) for wave in told["waves"]] == [1, 1, 1], "one free machine at a time"
+        code, printed = await operator("plan", *machines, "--batch", "3", "--fewest")
+        assert code == ExitCode.OK and printed["disrupted"] == {"red": 2, "blue": 1}
+        assert printed["fewest_waves"] == 2 and printed["fewest_is_exact"]
+        assert sorted(ref for wave in printed["waves"] for jobs in wave["jobs"].values() for ref in jobs) == sorted(
+            refs
+        )
+        assert all(len(jobs) <= 1 for wave in printed["waves"] for jobs in wave["jobs"].values())
+        assert [len(wave["machines"]) for wave in printed["waves"]] == [1, 1, 1], "one free machine at a time"
         drains = {
             k: v
             for k, v in w.service.keys.items()
@@ -137,18 +139,18 @@
     drained(scenario)
 
 
-def test_a_preview_says_what_can_t_be_drained_and_why():
+def test_a_preview_lists_what_can_t_be_drained_and_why():
     async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, RED, BLUE, BLUE, **WHOLE)
-        code, told = await operator("plan", "--zone", "east")
-        assert code == ExitCode.OK and not told["waves"] and len(told["left"]) == 2
-        assert {wait["kind"] for wait in told["waits"]} == {"room"} and told["jobs_without_room"] == 1
+        code, printed = await operator("plan", "--zone", "east")
+        assert code == ExitCode.OK and not printed["waves"] and len(printed["left"]) == 2
+        assert {wait["kind"] for wait in printed["waits"]} == {"room"} and printed["jobs_without_room"] == 1
         assert refs
 
     drained(scenario)
 
 
-def test_status_waits_for_the_end_for_as_long_as_it_was_told():
+def test_status_waits_for_the_end_for_as_long_as_its_option_allows():
     async def scenario(w: Simulation, operator):
         (ref,) = await running_jobs(w, RED, run_s=LONG_S, **WHOLE)
         await operator.start("kernel", "--machine", machine_of(w, ref), "--finish", "30")
@@ -193,12 +195,12 @@
         ([], 1, 1, 0),
     ],
 )
-def test_the_fewest_waves(machines, batch, budget, fewest):
+def test_the_lower_bound_is_the_fewest_waves(machines, batch, budget, fewest):
     bound = wave_lower_bound(loads(*machines), batch, {"red": budget}, enough_waves=6)
     assert (bound.waves, bound.exact) == (fewest, True)
 
 
-def test_a_gang_that_was_stopped_once_is_gone_from_its_other_machines():
+def test_a_gang_that_was_evicted_once_has_left_its_other_machines():
     gang = loads(("g", "a"), ("g", "b"), gangs=frozenset("g"))
     assert wave_lower_bound(gang, 1, {"red": 2}, enough_waves=4).waves == 2
     assert wave_lower_bound(gang, 2, {"red": 3}, enough_waves=4).waves == 1
@@ -207,14 +209,14 @@
 # -- the operators' file ---------------------------------------------------------------------------
 
 
-def read(tmp_path, text: str, params) -> Operations:
+def load(tmp_path, text: str, params) -> Operations:
     path = tmp_path / "operations.toml"
     path.write_text(text)
     return load_operations(str(path), params)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("drain = 1", "drain"),
         ("[drain]\nenabled = 'yes'", "drain.enabled"),
@@ -228,13 +230,13 @@
         ("[drain", "not TOML"),
     ],
 )
-def test_a_bad_operators_file_is_refused_by_name(tmp_path: Path, params: PlatformParameters, text, says):
-    with pytest.raises(InvalidSettingsError, match="(?s).*" + says.replace("'", ".")):
-        read(tmp_path, text, params)
+def test_an_invalid_operations_file_is_refused_by_field(tmp_path: Path, params: PlatformParameters, text, message):
+    with pytest.raises(InvalidSettingsError, match="(?s).*" + message.replace("'", ".")):
+        load(tmp_path, text, params)
 
 
-def test_unknown_settings_are_ignored_and_without_a_file_all_is_off(tmp_path: Path, params: PlatformParameters):
-    own = read(tmp_path, "colour = 1\n[drain]\nenabled = true\nlater = 2\n", params)
+def test_unknown_settings_are_ignored_and_without_a_file_drains_are_off(tmp_path: Path, params: PlatformParameters):
+    own = load(tmp_path, "colour = 1\n[drain]\nenabled = true\nlater = 2\n", params)
     assert own.drain.enabled and not load_operations(None, params).drain.enabled
     with pytest.raises(InvalidSettingsError, match="cannot read"):
         load_operations(str(tmp_path / "none.toml"), params)
@@ -245,7 +247,7 @@
     assert own.drain.enabled and validate_operations(own, params) == own
 
 
-def test_the_program_refuses_a_bad_file_with_status_2(tmp_path: Path):
+def test_the_program_refuses_an_invalid_operations_file_with_exit_code_2(tmp_path: Path):
     bad = tmp_path / "operations.toml"
     bad.write_text("[drain]\nenabled = 3\n")
     config = tmp_path / "settings.toml"
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -36,7 +36,7 @@
         self.before: dict[str, object] = {}  # what happens just before a key is written
         commit = state.commit
 
-        async def noted(when, put=(), hold=None, timeout=1.5, delete=()):
+        async def recording_commit(when, put=(), hold=None, timeout=1.5, delete=()):
             for key, _ in put:
                 change = self.before.pop(key, None)
                 if change is not None:
@@ -45,11 +45,11 @@
             self.written.extend(key for key, _ in put)
             return result
 
-        state.commit = noted
+        state.commit = recording_commit
 
     def _node(self, params) -> Node:
         node = leading(params, self.clock, MACHINES)
-        self._switch_on(node)
+        self._enable_drains(node)
         for number in range(MACHINES, 2 * MACHINES):
             node.heartbeat_router.respond(
                 report(number, 1).replace(b'"phase":"running"', b'"phase":"exited","cause":"done"')
@@ -59,7 +59,7 @@
             node.heartbeat_router.respond(report(number, 2) if number < MACHINES else _idle(number))
         return node
 
-    def _switch_on(self, node: Node) -> None:
+    def _enable_drains(self, node: Node) -> None:
         from hookwall.drains.controller import DrainController
 
         own = operations(grey=1)
@@ -69,13 +69,13 @@
         )  # fmt: skip
         node.fleet.set_catalog(_catalog())
 
-    def asks(self, *machines: str, batch: int = 2, **terms) -> None:
+    def request_drain(self, *machines: str, batch: int = 2, **terms) -> None:
         """An operator has stored a drain."""
         request = DrainRequest(selection=Selection(machines=machines), batch_size=batch, **terms)
         self.put(DRAIN, records.encode(new_drain_record(request, machines, self.clock())))
 
     def put(self, key: str, value: object) -> None:
-        """Somebody writes a key, and this node's watch tells of it."""
+        """Somebody writes a key, and this node's watch shows it."""
         self.state.epoch += 1
         self.state.keys[key] = (value, self.state.epoch)
         self.node.drains.controller.table.apply_key(key, value, self.state.epoch)
@@ -95,7 +95,7 @@
         stored = self.state.keys.get(keys.CORDON_PREFIX + machine)
         return None if stored is None else records.decode(stored[0], StepRecord)
 
-    def used(self) -> int:
+    def disruption_count(self) -> int:
         return self.node.drains.controller.ledger.disruption_count("grey")
 
 
@@ -117,7 +117,7 @@
 
 
 def test_the_ledger_is_stored_before_the_step_and_the_step_before_the_stop(leader: Leader):
-    leader.asks(FIRST)
+    leader.request_drain(FIRST)
     seen: list[tuple[bool, bool]] = []
     leader.tick()
     assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping()
@@ -132,11 +132,13 @@
     assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted_jobs == 1
 
 
-def test_a_new_leader_knows_what_was_spent(leader: Leader, params: PlatformParameters, clock: Clock, state: FakeState):
-    leader.asks(FIRST, SECOND)
+def test_a_new_leader_loads_the_disruptions_that_were_charged(
+    leader: Leader, params: PlatformParameters, clock: Clock, state: FakeState
+):
+    leader.request_drain(FIRST, SECOND)
     for _ in range(3):
         leader.tick()
-    assert leader.stopping() == {"run-000000"} and leader.used() == 1
+    assert leader.stopping() == {"run-000000"} and leader.disruption_count() == 1
     node = leader._node(params)
     node.drains.controller.load_for_leadership([KeyValueEntry(key, *stored) for key, stored in state.keys.items()])
     assert node.drains.controller.ledger.disruption_count("grey") == 1 and node.fleet.cordoned == {FIRST, SECOND}
@@ -148,8 +150,8 @@
     assert len(leader.stopping()) == 1
 
 
-def test_a_leader_that_was_replaced_changes_nothing(leader: Leader, state: FakeState):
-    leader.asks(FIRST)
+def test_a_leader_with_an_old_fencing_token_changes_nothing(leader: Leader, state: FakeState):
+    leader.request_drain(FIRST)
     leader.tick()
     state.keys[keys.LEADER_KEY] = ({}, 6)
     before = dict(state.keys)
@@ -159,9 +161,9 @@
 
 
 @pytest.mark.parametrize("at_step", [1, 2])
-def test_an_abort_in_between_comes_before_the_step(leader: Leader, at_step):
-    """The operator's write reaches the service just before the leader's, and the leader has not heard of it."""
-    leader.asks(FIRST)
+def test_an_abort_just_before_a_step_prevents_the_step(leader: Leader, at_step):
+    """The operator's write reaches the service just before the leader's, and the leader has not observed it."""
+    leader.request_drain(FIRST)
     if at_step == 2:
         leader.tick()
 
@@ -180,8 +182,8 @@
     assert leader.node.drains.controller.table.drains["kernel"].record.phase is DrainPhase.ABORTED
 
 
-def test_a_step_that_somebody_else_has_changed_is_not_overwritten(leader: Leader):
-    leader.asks(FIRST)
+def test_a_step_of_a_newer_version_is_not_overwritten(leader: Leader):
+    leader.request_drain(FIRST)
     other = StepRecord(drain="other", phase=StepPhase.CORDONED, cordoned_at=1.0, changed_at=1.0)
 
     def cordon() -> None:
@@ -194,8 +196,8 @@
     assert leader.step(FIRST) == other
 
 
-def test_a_stop_that_can_t_be_stored_is_tried_again_without_being_counted_twice(leader: Leader, state: FakeState):
-    leader.asks(FIRST)
+def test_an_eviction_that_can_t_be_stored_is_retried_and_charged_once(leader: Leader, state: FakeState):
+    leader.request_drain(FIRST)
     leader.tick()
 
     def fail() -> None:
@@ -205,13 +207,13 @@
         leader.before[keys.CORDON_PREFIX + FIRST] = fail
         with pytest.raises(RequestRejectedError):
             leader.tick()
-        assert leader.used() == 1 and not leader.stopping()
+        assert leader.disruption_count() == 1 and not leader.stopping()
     leader.tick()
-    assert leader.used() == 1 and leader.stopping() == {"run-000000"}
+    assert leader.disruption_count() == 1 and leader.stopping() == {"run-000000"}
 
 
-def test_a_page_that_was_written_without_an_answer_is_written_again(leader: Leader, state: FakeState):
-    leader.asks(FIRST)
+def test_a_ledger_page_with_an_unknown_outcome_is_written_again(leader: Leader, state: FakeState):
+    leader.request_drain(FIRST)
     leader.tick()
     page = keys.DISRUPTION_PREFIX + "0"
     leader.before[page] = lambda: setattr(state, "mode", "ghost")
@@ -222,28 +224,28 @@
         leader.tick()
     asyncio.run(leader.node.drains.controller.writer.reread(conflict.value.keys))
     leader.tick()
-    assert leader.stopping() == {"run-000000"} and leader.used() == 1
+    assert leader.stopping() == {"run-000000"} and leader.disruption_count() == 1
 
 
-def test_a_disruption_by_other_causes_is_stored_soon(leader: Leader):
+def test_a_disruption_by_another_cause_is_stored_within_the_ledger_interval(leader: Leader):
     leader.node.fleet.request_stop(
-        leader.node.job_table.jobs["run-000002"], *_starts(leader, "run-000002"), 1.0, "room"
+        leader.node.job_table.jobs["run-000002"], *_allocations(leader, "run-000002"), 1.0, "room"
     )
     leader.tick(3.0)
     assert [key for key in leader.written if key.startswith(keys.DISRUPTION_PREFIX)] == [keys.DISRUPTION_PREFIX + "0"]
     leader.clock.tick(PERIOD_S)
-    assert leader.used() == 1, "its tasks do not run yet"
+    assert leader.disruption_count() == 1, "its tasks do not run yet"
 
 
-def _starts(leader: Leader, ref: str) -> list:
+def _allocations(leader: Leader, ref: str) -> list:
     return list(leader.node.job_table.jobs[ref].allocations.values())
 
 
-def test_a_cordoned_machine_gets_no_work_from_the_next_round_on(leader: Leader):
+def test_a_cordoned_machine_is_not_schedulable_from_the_next_round_on(leader: Leader):
     """A free machine is to be drained, and another job comes before it is returned."""
     fleet, free = leader.node.fleet, f"vm-{MACHINES:06d}"
     assert fleet.is_schedulable(fleet.machines[free], leader.clock())
-    leader.asks(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
+    leader.request_drain(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
     leader.tick()
     assert not fleet.is_schedulable(fleet.machines[free], leader.clock())
     standing, _ = leader.node.scale_out.capacity.machine_counts(leader.clock())
@@ -253,7 +255,7 @@
 def test_a_start_that_is_stored_but_not_launched_is_not_launched_on_a_cordoned_machine(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
     job = node.job_table.jobs["run-000002"]
-    (start,) = _starts(leader, job.job_id)
+    (start,) = _allocations(leader, job.job_id)
     record = {**job.stored_value, "on": [[free, 1, 2, "0"]], "next": 3}
     node.job_table.apply_record(keys.JOB_PREFIX + job.job_id, record, 90)
     assert job.allocations[0].machine == free != start.machine
@@ -263,9 +265,9 @@
     assert b"launch" not in answer and not job.allocations, "it is placed elsewhere"
 
 
-def test_a_machine_that_is_held_is_not_let_go_as_beyond_need(leader: Leader):
+def test_scale_in_leaves_a_machine_in_maintenance_alone(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
-    leader.asks(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
+    leader.request_drain(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
     for _ in range(2):
         leader.tick()
     assert leader.step(free).phase is StepPhase.EMPTY
@@ -277,12 +279,12 @@
     assert others, "idle machines beside it are beyond need"
 
 
-def test_a_machine_of_another_drain_is_named_and_left_to_it(leader: Leader):
+def test_a_machine_of_another_drain_is_left_to_it_and_named_as_the_reason(leader: Leader):
     leader.put(keys.CORDON_PREFIX + FIRST, records.encode(StepRecord(
         drain="other", phase=StepPhase.CORDONED, cordoned_at=leader.clock(), changed_at=1.0)))  # fmt: skip
     other = DrainRequest(selection=Selection(machines=(FIRST,)), finish_grace_s=600.0)
     leader.put(keys.DRAIN_PREFIX + "other", records.encode(new_drain_record(other, [FIRST], leader.clock())))
-    leader.asks(FIRST)
+    leader.request_drain(FIRST)
     leader.tick()
     leader.tick(6.0)
     assert leader.step(FIRST).drain == "other" and not leader.stopping()
@@ -291,10 +293,10 @@
     )
 
 
-def test_a_job_that_was_moved_leaves_its_room_to_nobody(leader: Leader):
+def test_a_relocated_job_is_served_as_one_that_starves(leader: Leader):
     """What is kept for gangs to come was found for it; it waited a minute beside it."""
     scheduler = leader.node.scheduler
-    leader.asks(FIRST)
+    leader.request_drain(FIRST)
     for _ in range(2):
         leader.tick()
     job = leader.node.job_table.jobs["run-000000"]
@@ -307,8 +309,8 @@
     assert not scheduler._starves(other, leader.clock())
 
 
-def test_a_machine_with_tasks_is_not_empty_and_not_returned(leader: Leader):
-    leader.asks(FIRST, finish_grace_s=600.0)
+def test_a_machine_with_tasks_is_neither_empty_nor_deleted(leader: Leader):
+    leader.request_drain(FIRST, finish_grace_s=600.0)
     for _ in range(4):
         leader.tick()
     assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping()
--- a/tests/drains/test_drain_ledger.py
+++ b/tests/drains/test_drain_ledger.py
@@ -90,7 +90,7 @@
     assert ledger.disruption_count("red") == 0
 
 
-def test_what_changes_while_a_page_is_written_is_written_again(ledger: DisruptionLedger):
+def test_a_page_that_changes_during_its_write_is_written_again(ledger: DisruptionLedger):
     ledger.record_disruption("run-000001", "red", running_tasks=1, now=100.0)
     ledger.pages[0].dirty = False
     ledger.record_disruption("run-000002", "red", running_tasks=1, now=100.0)
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("change", [{"version": 2}, {"phase": "sleeping"}, {"batch": "two"}, {"remaining": 7}])
-def test_a_record_that_can_t_be_read_is_left_alone(change):
+def test_a_malformed_record_is_ignored(change):
     table = DrainTable(DisruptionLedger([], 2048, 0.0))
     table.apply_key("hookwall/drain/kernel", {**GOLDEN["drain"], **change}, 5)
     assert not table.drains
@@ -137,7 +137,7 @@
         records.decode({**GOLDEN["step"], "version": 2}, StepRecord)
 
 
-def test_a_step_that_can_t_be_read_keeps_new_work_off_its_machine():
+def test_a_malformed_step_cordons_its_machine_all_the_same():
     table = DrainTable(DisruptionLedger([], 2048, 0.0))
     table.apply_key("hookwall/cordon/vm-000002", {**GOLDEN["step"], "version": 2}, 5)
     assert table.cordoned == {"vm-000002"} and not table.steps
@@ -145,7 +145,7 @@
     assert not table.cordoned
 
 
-def test_an_older_state_of_a_key_changes_nothing():
+def test_an_older_version_of_a_key_changes_nothing():
     table = DrainTable(DisruptionLedger([], 2048, 0.0))
     table.apply_key("hookwall/cordon/vm-000002", GOLDEN["step"], 9)
     table.apply_key("hookwall/cordon/vm-000002", {**GOLDEN["step"], "phase": "empty"}, 8)
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -30,8 +30,8 @@
             await w.runs(ref, 40.0)
         machines = [machine_of(w, ref) for ref in refs]
         named = [part for machine in machines for part in ("--machine", machine)]
-        code, told = await w.call("drain", "plan", *named, "--batch", "2")
-        assert code == ExitCode.OK and told["disrupted"] == {"blue": 2, "red": 2}
+        code, printed = await w.call("drain", "plan", *named, "--batch", "2")
+        assert code == ExitCode.OK and printed["disrupted"] == {"blue": 2, "red": 2}
         assert not any(key.startswith(keys.DRAIN_PREFIX) for key in w.service.keys)
         code, _ = await w.call("drain", "start", "kernel", *named, "--batch", "2")
         assert code == ExitCode.OK
@@ -39,8 +39,8 @@
         await replaced(w, w.leader_name())
         await w.until(lambda: len(oracle.by_drains) >= 2, 120.0, "nothing is drained after the leader was killed")
         await replaced(w, w.leader_name())
-        code, told = await w.call("drain", "status", "kernel", "--wait", "150")
-        assert code == ExitCode.OK and told["drains"][0]["phase"] == "finished", told
+        code, printed = await w.call("drain", "status", "kernel", "--wait", "150")
+        assert code == ExitCode.OK and printed["drains"][0]["phase"] == "finished", printed
         record = decode(w.service.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
         assert record.outcome_counts == {"returned": 4} and not set(machines) & w.workers.keys() and not cordoned(w)
         for ref in refs:
--- a/tests/drains/test_drains.py
+++ b/tests/drains/test_drains.py
@@ -73,8 +73,8 @@
         await operator.start("kernel", "--machine", shared)
         await operator.waits_for("kernel", "budget of team blue is spent", 20.0)
         assert shared in cordoned(w) and w.on_machines(red) == 1 and not w.oracle.by_drains
-        _, told = await operator("status")
-        assert [b["used"] for b in told["budgets"] if b["team"] == "blue"] == [1]
+        _, printed = await operator("status")
+        assert [b["used"] for b in printed["budgets"] if b["team"] == "blue"] == [1]
         await operator.ends("kernel", 150.0)
         assert sorted(w.oracle.by_drains) == sorted([red, blue])
 
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("at_deadline", ["go-on", "stop-waiting", "abort"])
-def test_what_happens_at_the_deadline_is_what_was_asked_for(at_deadline):
+def test_the_deadline_policy_decides_what_happens_at_the_deadline(at_deadline):
     async def scenario(w: Simulation, operator):
         refs = await running_jobs(w, RED, BLUE, RED, BLUE, **WHOLE)
         machine = machine_of(w, refs[0])
@@ -139,7 +139,7 @@
     drained(scenario)
 
 
-def test_a_task_that_never_ends_is_named_and_only_ended_where_the_deadline_says_so():
+def test_a_task_that_never_stops_is_named_and_only_ended_by_the_deadline_policy():
     async def scenario(w: Simulation, operator):
         (ref,) = await running_jobs(w, RED, **WHOLE)
         w.jobs[ref].save_s = 10_000.0
@@ -178,8 +178,8 @@
         machine = machine_of(w, refs[0])
         await operator.start("kernel", "--machine", machine)
         await operator.waits_for("kernel", "no room", 30.0)
-        code, told = await operator("abort", "kernel")
-        assert code == ExitCode.OK and told["drains"][0]["phase"] == "aborted"
+        code, printed = await operator("abort", "kernel")
+        assert code == ExitCode.OK and printed["drains"][0]["phase"] == "aborted"
         await w.until(lambda: not cordoned(w), 10.0, "still cordoned")
         assert w.leader().fleet.is_schedulable(w.leader().fleet.machines[machine], w.now()) and not w.oracle.losses
         assert (await operator("abort", "kernel"))[0] == ExitCode.BAD_INPUT
@@ -191,7 +191,7 @@
     drained(scenario)
 
 
-def test_a_held_machine_stays_through_maintenance_until_it_is_released():
+def test_a_machine_in_maintenance_stays_out_of_service_until_it_is_released():
     """Its worker is silent for long, as while a driver is installed; such machines were deleted."""
 
     async def scenario(w: Simulation, operator):
@@ -233,7 +233,7 @@
     drained(scenario)
 
 
-def test_a_gang_on_two_machines_is_one_job_and_moves_as_a_whole():
+def test_a_gang_on_two_machines_is_one_disruption_and_relocates_as_a_whole():
     async def scenario(w: Simulation, operator):
         w.cloud.room = 2
         (ref,) = await running_jobs(w, RED, shape="ensemble", pieces=2, samePlace=True, **WHOLE)
@@ -262,7 +262,7 @@
     drained(scenario)
 
 
-def test_an_outage_of_the_state_service_stops_no_work_that_is_not_recorded():
+def test_an_outage_of_the_store_evicts_no_job_whose_disruption_is_not_stored():
     async def scenario(w: Simulation, operator):
         w.cloud.room = 4
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("step", range(1, 9))
-def test_a_leader_that_ends_at_any_step_loses_neither_budget_nor_drain(step, late):
+def test_a_leader_that_crashes_at_any_write_loses_neither_budget_nor_drain(step, late):
     """The leader ends just after its n-th write for the drain was carried out, or while that is still on its way."""
 
     async def scenario(w: Simulation, operator):
@@ -333,8 +333,8 @@
         machine = machine_of(w, ref)
         await w.upgrade("n0")
         await w.upgrade("n1")
-        code, told = await operator("start", "kernel", "--machine", machine)
-        assert code == ExitCode.OK and "n2" in told["drains"][0]["reason"]
+        code, printed = await operator("start", "kernel", "--machine", machine)
+        assert code == ExitCode.OK and "n2" in printed["drains"][0]["reason"]
         for _ in range(2):
             w.crash(next(n for n, node in w.nodes.items() if node is w.leader()))
             await w.led()
--- a/tests/harness/drain_simulation.py
+++ b/tests/harness/drain_simulation.py
@@ -22,7 +22,7 @@
 
 def operations(**jobs: int) -> Operations:
     """Budgets by team, as numbers of jobs."""
-    budgets = [DisruptionBudget(team, jobs=most, period_s=PERIOD_S) for team, most in jobs.items()]
+    budgets = [DisruptionBudget(team, jobs=limit, period_s=PERIOD_S) for team, limit in jobs.items()]
     return Operations(DrainSettings(True, budgets))
 
 
@@ -46,7 +46,7 @@
 
 @dataclass
 class BudgetOracle:
-    """What workers show of lost work, compared with the budgets; knows nothing of the controllers' memory."""
+    """What workers show of lost work, compared with the budgets; has nothing from the controllers' memory."""
 
     simulation: Simulation
     budgets: dict[str, int]
@@ -66,7 +66,7 @@
         )  # fmt: skip
 
     def _by_drain(self, ref: str, worker: FakeWorker, task: Task, cause: str) -> bool:
-        """Whether it was told to stop in an orderly way, and its machine, or one of its gang's, is being drained."""
+        """Whether it got an orderly stop command, and its machine, or one of its gang's, is being drained."""
         if cause != "halted" or not task.grace_s:
             return False
         stored = self.simulation.service.keys
@@ -110,8 +110,9 @@
     def used(self, team: str) -> int:
         """How many jobs of a team are disrupted now, or were within the period.
 
-        The leader counts a job that recovered and is disrupted again twice. Here it is one: a task that was told to
-        stop before may end just after the others have come back, and only the leader knows that this is one disruption.
+        The leader counts a job that recovered and is disrupted again twice. Here it is one: a task that got its stop
+        command before may end just after the others have come back, and only the leader knows that this is one
+        disruption.
         """
         now = self.simulation.now()
         return len(
@@ -143,13 +144,13 @@
         client = CloudClient("127.0.0.1:1", 100.0, w.now)
         store.send_request = lambda s, method, url, body, t: w.service.call("operator", method, path(url), body, t)
         client.call = lambda s, method, url, body, t: w.cloud.call("operator", method, path(url), body, t)
-        said: list[str] = []
+        printed: list[str] = []
         command = DrainCommand(
-            self.settings, w.operations or Operations(), store, client, said.append, w.now, w.now, json=True
+            self.settings, w.operations or Operations(), store, client, printed.append, w.now, w.now, json=True
         )  # fmt: skip
         args = cli.parser().parse_args(["drain", *words, "--config", "-", "--json"])
         code = await execute(command, args)
-        return code, json.loads(said[0]) if said else None
+        return code, json.loads(printed[0]) if printed else None
 
     async def start(self, name: str, *words: str) -> None:
         code, _ = await self("start", name, *words)
@@ -161,7 +162,7 @@
         return value["drains"][0]
 
     def record(self, name: str) -> DrainRecord:
-        """What is stored, without asking anybody."""
+        """What is stored, read without a request."""
         return decode(self.simulation.service.keys[keys.DRAIN_PREFIX + name][0], DrainRecord)
 
     async def ends(self, name: str, within_s: float, phase: str = "finished") -> None:
@@ -171,7 +172,9 @@
 
     async def waits_for(self, name: str, text: str, within_s: float) -> None:
         await self.simulation.until(
-            lambda: text in self.record(name).wait_reason, within_s, f"{name} doesn't say {text!r}: {self.record(name)}"
+            lambda: text in self.record(name).wait_reason,
+            within_s,
+            f"{name} doesn't wait for {text!r}: {self.record(name)}",
         )
 
 
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -5,7 +5,7 @@
 
 `empty` drains one of two zones of a fleet under load and prints one line of JSON: the time that it took against the
 lower bound that batch and budgets allow, the time of each machine from cordon to deletion, how long stopped jobs were
-away, and how long urgent jobs that came meanwhile waited. `cost` times the leader's looks at a drain beside a round of
+away, and how long urgent jobs that came meanwhile waited. `cost` times the leader's plans of a drain beside a round of
 decisions.
 """
 
@@ -42,7 +42,7 @@
 ENDS_S = 3000.0
 LONGEST_MS = 3_600_000
 DIGITS = 3  # significant digits of a histogram
-LOOKS = 20
+REPEATS = 20
 
 
 class Timings:
@@ -55,25 +55,28 @@
         self.histogram.record_value(max(1, round(1000 * seconds)))
 
     def summary(self) -> dict[str, float]:
-        h = self.histogram
-        at = {f"p{p}_s": h.get_value_at_percentile(p) / 1000 for p in (50, 90)} if h.total_count else {}
-        return {"count": h.total_count, **at, "longest_s": h.get_max_value() / 1000}
+        histogram = self.histogram
+        at = {f"p{p}_s": histogram.get_value_at_percentile(p) / 1000 for p in (50, 90)} if histogram.total_count else {}
+        return {"count": histogram.total_count, **at, "longest_s": histogram.get_max_value() / 1000}
 
 
-class Watch:
-    """Follows steps and urgent jobs in a simulation."""
+class DrainObserver:
+    """Times steps and urgent jobs in a simulation."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
-        self.steps, self.urgent, self.away = Timings(), Timings(), Timings()
+        self.steps = Timings()
+        self.urgent = Timings()
+        self.away = Timings()
         self.cordoned_at: dict[str, float] = {}
-        simulation.on_step.append(self.step)
+        simulation.on_step.append(self.observe_cordons)
 
-    def step(self) -> None:
-        now, there = self.simulation.now(), cordoned(self.simulation)
-        for machine in there - self.cordoned_at.keys():
+    def observe_cordons(self) -> None:
+        now = self.simulation.now()
+        cordoned_now = cordoned(self.simulation)
+        for machine in cordoned_now - self.cordoned_at.keys():
             self.cordoned_at[machine] = now
-        for machine in self.cordoned_at.keys() - there:
+        for machine in self.cordoned_at.keys() - cordoned_now:
             self.steps.add(now - self.cordoned_at.pop(machine))
 
     async def urgent_jobs(self, first: int) -> None:
@@ -97,7 +100,7 @@
 
     async def scenario(w: Simulation) -> None:
         w.cloud.room = args.machines
-        oracle, watch, operator = BudgetOracle(w, budgets).watch(), Watch(w), Operator(w)
+        oracle, observer, operator = BudgetOracle(w, budgets).watch(), DrainObserver(w), Operator(w)
         count = args.machines
         for n in range(1, count + 1):
             team = ("red", "blue")[n % 2]
@@ -107,7 +110,7 @@
         await asyncio.sleep(WARM_UP_S)
         which = ["--zone", "east", "--batch", str(args.batch)]
         began = w.now()
-        urgent = w.go(watch.urgent_jobs(count + 1))
+        urgent = w.go(observer.urgent_jobs(count + 1))
         if not args.no_drain:
             code, plan = await operator("plan", *which, "--fewest")
             _, at_once = await operator("plan", "--zone", "east", "--batch", str(args.machines), "--fewest")
@@ -120,14 +123,14 @@
                 took_s=round(w.now() - began, 1), waves_planned=len(plan["waves"]), waves_fewest=plan["fewest_waves"],
                 budgets_bound_s=PERIOD_S * periods, bound_is_exact=at_once["fewest_is_exact"],
                 jobs_stopped=len(oracle.by_drains), machines=operator.record("measured").machine_count,
-                machine=watch.steps.summary(),
+                machine=observer.steps.summary(),
             )  # fmt: skip
         await urgent
         await asyncio.sleep(60.0)
         for loss in oracle.losses:
             assert loss.restored_at is not None, loss
-            watch.away.add(loss.restored_at - loss.first_at)
-        found.update(urgent=watch.urgent.summary(), losses=len(oracle.losses), away=watch.away.summary())
+            observer.away.add(loss.restored_at - loss.first_at)
+        found.update(urgent=observer.urgent.summary(), losses=len(oracle.losses), away=observer.away.summary())
 
     state = StoreLimits(rps=300.0, write_rps=100.0, value_kb=16.0, txn_ops=12)
     play(scenario, args.machines, teams=TEAMS, operations=operations(**budgets), state=state)
@@ -146,7 +149,7 @@
 def timed(work: Any) -> float:
     """The median of some calls, in milliseconds."""
     times: list[float] = []
-    for _ in range(LOOKS):
+    for _ in range(REPEATS):
         began = time.perf_counter()
         work()
         times.append(1000 * (time.perf_counter() - began))
@@ -154,22 +157,22 @@
 
 
 def cost(args: argparse.Namespace) -> dict[str, Any]:
-    """What a leader's look at a drain costs beside its round, with a job on each of many machines."""
+    """What a leader's plan of a drain costs beside its round, with a job on each of many machines."""
     params = fleet_params()
     clock = time.monotonic
     node = leading(params, clock, args.machines)
     names = sorted(node.fleet.machines)
     drains = node.build_drain_controller(DrainSettings(True, [DisruptionBudget("grey", jobs=10)]))
     result = {"machines": args.machines, "round_ms": timed(node.scheduler.run_round)}
-    asked = DrainRequest(selection=Selection(share=1.0), batch_size=args.batch)
-    record = request.new_drain_record(asked, names, clock())
+    requested = DrainRequest(selection=Selection(share=1.0), batch_size=args.batch)
+    record = request.new_drain_record(requested, names, clock())
     drains.table.set_drain("measured", record, 5)
 
-    def look() -> None:
+    def plan_with_search() -> None:
         drains.plan_builder.reset()
         drains.plan_builder.build_plan("measured")
 
-    result["search_ms"] = timed(look)
+    result["search_ms"] = timed(plan_with_search)
     for name in names[: args.batch]:
         step = records.StepRecord(drain="measured", phase=records.StepPhase.CORDONED, cordoned_at=0.0, changed_at=0.0)
         drains.table.set_step(name, step, 6)
