--- a/hookwall/api/job_service.py
+++ b/hookwall/api/job_service.py
@@ -78,7 +78,6 @@
         `packing_enabled`, whether all nodes read packed records and know dependencies; `cancellations_current`, whether
         all cancellations that are older than `cancel_s` are known here.
         """
-        self.params = params
         self.table = table
         self.store = store
         self.reader = reader
--- a/hookwall/jobs/write_batch.py
+++ b/hookwall/jobs/write_batch.py
@@ -38,7 +38,7 @@
             encoded=encoded,
             new_chunks={key: text for key, text in encoded.chunks.items() if key not in stored_chunks},
             record_bytes=job_records.json_bytes(encoded.value) + ENTRY_BYTES,
-            starts={a.task: StoredStart(a.machine, a.attempt) for a in job.allocations.values()},
+            starts=_stored_starts(job),
             phase=job.phase,
             done_count=job.done_count,
             had_unsaved_starts=job.has_unsaved_starts,
@@ -66,6 +66,13 @@
         self.job.write_in_flight = True
 
 
+def _stored_starts(job: Job) -> dict[int, StoredStart]:
+    """The starts that the job's record names once it is written, by task."""
+    return {
+        allocation.task: StoredStart(allocation.machine, allocation.attempt) for allocation in job.allocations.values()
+    }
+
+
 def chunk_bytes(chunks: dict[str, str]) -> int:
     """Bytes of chunks in a transaction."""
     return sum(len(text) + ENTRY_BYTES for text in chunks.values())
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -60,8 +60,8 @@
     params: PlatformParameters, state: FakeState, clock: Clock, method, path, body, status
 ):
     async def script(session: ClientSession, base, http_server: HttpServer):
-        async with session.request(method, base + path, data=body) as answer:
-            return answer.status
+        async with session.request(method, base + path, data=body) as response:
+            return response.status
 
     assert talk(params, state, clock, script) == status
 
@@ -72,8 +72,8 @@
             yield b"x" * 4096
 
     async def script(session: ClientSession, base, http_server: HttpServer):
-        async with session.post(base + "/v1/jobs", data=endless()) as answer:
-            return answer.status
+        async with session.post(base + "/v1/jobs", data=endless()) as response:
+            return response.status
 
     assert talk(params, state, clock, script) == 413
 
@@ -88,8 +88,8 @@
             ("POST", "/v1/jobs/run-000001/cancel", None),
             ("GET", "/v1/jobs/run-000001", None),
         ):
-            async with session.request(method, base + path, json=body) as answer:
-                seen.append((answer.status, (await answer.json())["phase"]))
+            async with session.request(method, base + path, json=body) as response:
+                seen.append((response.status, (await response.json())["phase"]))
         return seen
 
     assert talk(params, state, clock, script) == [
@@ -100,8 +100,8 @@
 def test_overload_is_429_at_once_with_when_to_come_back(params: PlatformParameters, state: FakeState, clock: Clock):
     async def script(session: ClientSession, base, http_server: HttpServer):
         http_server.user_requests_in_flight = MAX_USER_REQUESTS
-        async with session.get(base + "/v1/jobs/run-000001") as answer:
-            return answer.status, answer.headers.get("Retry-After")
+        async with session.get(base + "/v1/jobs/run-000001") as response:
+            return response.status, response.headers.get("Retry-After")
 
     assert talk(params, state, clock, script) == (429, "1")
 
@@ -114,10 +114,10 @@
             raise RuntimeError("surprise")
 
         http_server.job_service.get = broken
-        async with session.get(base + "/v1/jobs/run-000001") as answer:
-            first = answer.status
-        async with session.get(base + "/up") as answer:
-            return first, answer.status
+        async with session.get(base + "/v1/jobs/run-000001") as response:
+            first = response.status
+        async with session.get(base + "/up") as response:
+            return first, response.status
 
     assert talk(params, state, clock, script) == (503, 200)
 
@@ -130,14 +130,14 @@
         writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         first = await reader.readuntil(b"{}")
         clock.tick(http_server.idle_timeout_s - 1.0)
-        kept = http_server.close_idle_connections()
+        closed_early = http_server.close_idle_connections()
         closing = asyncio.create_task(http_server.run())
         clock.tick(2.0)
         async with asyncio.timeout(3.0):
             rest = await reader.read()
         closing.cancel()
         writer.close()
-        return first.split()[1], kept, rest
+        return first.split()[1], closed_early, rest
 
     assert talk(params, state, clock, script) == (b"200", 0, b"")
 
@@ -181,11 +181,11 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{")
         await asyncio.sleep(0.05)
-        taken = http_server.user_requests_in_flight
+        in_flight = http_server.user_requests_in_flight
         async with asyncio.timeout(3.0):
             status = (await reader.readline()).split()[1]
         writer.close()
-        return taken, status, http_server.user_requests_in_flight
+        return in_flight, status, http_server.user_requests_in_flight
 
     assert talk(params, state, clock, script) == (0, b"408", 0)
 
@@ -193,7 +193,7 @@
 def test_requests_on_one_connection_are_answered_in_their_order(
     params: PlatformParameters, state: FakeState, clock: Clock
 ):
-    # Nobody should send a second one before the first is answered; whoever does gets no answer to the other.
+    # Nobody should send a second one before the first is answered; whoever does gets no response to the other.
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -218,10 +218,10 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(raw)
         async with asyncio.timeout(3.0):
-            answer = await reader.read()
+            response = await reader.read()
         writer.close()
         async with session.get(base + "/up") as up:
-            return answer.split()[1], up.status
+            return response.split()[1], up.status
 
     assert talk(params, state, clock, script) == (b"400", 200)
 
@@ -232,7 +232,7 @@
         loop = asyncio.get_running_loop()
         http_server.handle_heartbeat = lambda body: made.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
         before = len(asyncio.all_tasks(loop))
-        async with session.post(base + "/agent/beat", data=b"{}") as answer:
-            return answer.status, made[0] - before
+        async with session.post(base + "/agent/beat", data=b"{}") as response:
+            return response.status, made[0] - before
 
     assert talk(params, state, clock, script) == (200, 0)
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -59,7 +59,7 @@
     return ledger
 
 
-def leads(ledger: CancellationLedger, clock: Clock):
+def make_leader(ledger: CancellationLedger, clock: Clock):
     leadership = ledger.leadership
     leadership.role, leadership.lease_mode, leadership.session_lease_until, leadership.quorum_acks = (
         Role.LEADER,
@@ -87,7 +87,7 @@
 
 
 def test_complete_votes_of_a_majority_keep_a_leader_current_without_the_store(ledger: CancellationLedger, clock: Clock):
-    leads(ledger, clock)
+    make_leader(ledger, clock)
     ledger.confirm_records_read(clock() - 100.0)
     ledger.on_known_cancellations("n1", clock(), KnownCancellations([], False))
     assert not ledger.may_renew_leases(), "a peer that has not read the records may have forgotten"
@@ -122,7 +122,7 @@
 
 def test_a_leader_gives_its_records_revision_only_while_it_is_valid(ledger: CancellationLedger, clock: Clock):
     assert ledger.records_revision() is None
-    leads(ledger, clock)
+    make_leader(ledger, clock)
     assert ledger.records_revision() == 50
     clock.tick(QUORUM_LEASE_S)
     assert ledger.records_revision() is None
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -85,7 +85,7 @@
 
 
 @pytest.fixture
-def leads(state: FakeState, clock: Clock) -> JobWriter:
+def leading_writer(state: FakeState, clock: Clock) -> JobWriter:
     """A leader's writer whose job runs on vm-1, as stored, and has just been moved to vm-2."""
     state.has_spare_changes = lambda: True
     state.epoch = 9
@@ -119,60 +119,65 @@
 
 
 @pytest.mark.parametrize("mode", ["lost", "down"])
-def test_a_decision_reverted_while_its_write_is_lost_is_not_written_again(leads: JobWriter, state: FakeState, mode):
+def test_a_decision_reverted_while_its_write_is_lost_is_not_written_again(
+    leading_writer: JobWriter, state: FakeState, mode
+):
     """Its write was lost. Meanwhile a lease delegate's key was seen, so the next one would have been stored."""
     commit = state.commit
 
     async def meanwhile(*args, **options):
-        leads.table.revert_unsaved()
+        leading_writer.table.revert_unsaved()
         return await commit(*args, **options)
 
     state.commit, state.mode = meanwhile, mode
-    write(leads)
-    assert machines(leads) == ["vm-1"] and not leads.table.jobs["run-000002"].has_unsaved_changes
+    write(leading_writer)
+    assert machines(leading_writer) == ["vm-1"] and not leading_writer.table.jobs["run-000002"].has_unsaved_changes
 
 
-def test_a_decision_reverted_while_its_write_succeeds_stays(leads: JobWriter, state: FakeState):
+def test_a_decision_reverted_while_its_write_succeeds_stays(leading_writer: JobWriter, state: FakeState):
     commit = state.commit
 
     async def meanwhile(*args, **options):
-        leads.table.revert_unsaved()
+        leading_writer.table.revert_unsaved()
         return await commit(*args, **options)
 
     state.commit = meanwhile
-    write(leads)
-    assert machines(leads) == ["vm-2"]
-    move(leads.table.jobs["run-000002"])
+    write(leading_writer)
+    assert machines(leading_writer) == ["vm-2"]
+    move(leading_writer.table.jobs["run-000002"])
     state.commit, state.mode = commit, "lost"
-    write(leads)
-    assert machines(leads) == ["vm-2"] and leads.table.jobs["run-000002"].has_unsaved_changes, (
+    write(leading_writer)
+    assert machines(leading_writer) == ["vm-2"] and leading_writer.table.jobs["run-000002"].has_unsaved_changes, (
         "only what was in flight is reverted"
     )
 
 
-def test_a_read_of_a_delegate_s_key_does_not_show_earlier_delegations(leads: JobWriter, state: FakeState, clock: Clock):
+def test_a_read_of_a_delegate_s_key_does_not_show_earlier_delegations(
+    leading_writer: JobWriter, state: FakeState, clock: Clock
+):
     """The key named vm-1, was gone and now names vm-9: only the watch shows the first."""
     state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
-    leads.delegation_guard._watched = _not
-    write(leads)
-    assert machines(leads) == ["vm-1"]
+    leading_writer.delegation_guard._watched = _not
+    write(leading_writer)
+    assert machines(leading_writer) == ["vm-1"]
     assert (
-        leads.delegation_guard.delegated_leases.is_delegated("vm-9")
-        and leads.delegation_guard.delegated_leases.last_possible_renewal("vm-1") == clock()
+        leading_writer.delegation_guard.delegated_leases.is_delegated("vm-9")
+        and leading_writer.delegation_guard.delegated_leases.last_possible_renewal("vm-1") == clock()
     )
 
 
 def test_where_the_watch_has_shown_all_changes_expired_leases_stay_expired(
-    leads: JobWriter, state: FakeState, clock: Clock
+    leading_writer: JobWriter, state: FakeState, clock: Clock
 ):
     state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 9)
-    leads.delegation_guard.delegated_leases.apply_key(DELEGATE_KEY, {"machines": ["vm-9"]}, 8)
-    leads.delegation_guard.watched_revision = lambda: 9
+    leading_writer.delegation_guard.delegated_leases.apply_key(DELEGATE_KEY, {"machines": ["vm-9"]}, 8)
+    leading_writer.delegation_guard.watched_revision = lambda: 9
     state.commit = _conflict
-    write(leads)
+    write(leading_writer)
     assert (
-        machines(leads) == ["vm-1"] and leads.delegation_guard.delegated_leases.last_possible_renewal("vm-1") < clock()
+        machines(leading_writer) == ["vm-1"]
+        and leading_writer.delegation_guard.delegated_leases.last_possible_renewal("vm-1") < clock()
     )
     assert "get " + DELEGATE_KEY not in state.requests
 
@@ -185,24 +190,28 @@
     raise PreconditionFailedError([DELEGATE_KEY], 9)
 
 
-def test_a_record_deferred_during_a_write_is_applied_although_the_leadership_ended(leads: JobWriter, state: FakeState):
+def test_a_record_deferred_during_a_write_is_applied_although_the_leadership_ended(
+    leading_writer: JobWriter, state: FakeState
+):
     """It was left aside for good, so this node knew an older record until the next change."""
-    job = leads.table.jobs["run-000002"]
+    job = leading_writer.table.jobs["run-000002"]
 
     async def meanwhile(*args, **options):
-        leads.table.apply_record(keys.JOB_PREFIX + job.job_id, {"phase": "withdrawn", "n": 1, "next": 2, "on": []}, 12)
-        leads.leadership.role = Role.FOLLOWER
+        leading_writer.table.apply_record(
+            keys.JOB_PREFIX + job.job_id, {"phase": "withdrawn", "n": 1, "next": 2, "on": []}, 12
+        )
+        leading_writer.leadership.role = Role.FOLLOWER
         raise PreconditionFailedError([keys.LEADER_KEY], 12)
 
     state.commit = meanwhile
-    write(leads)
+    write(leading_writer)
     assert job.version == 12 and job.deferred_record is None and job.is_final()
 
 
-def test_a_leader_reads_a_record_with_missing_chunks_again_by_itself(leads: JobWriter, state: FakeState):
+def test_a_leader_reads_a_record_with_missing_chunks_again_by_itself(leading_writer: JobWriter, state: FakeState):
     """Nothing of the job is started before, so it must not wait for somebody to ask."""
     read = []
-    leads.leadership.valid = lambda: not read
+    leading_writer.leadership.valid = lambda: not read
 
     async def refresh(key):
         read.append(key)
@@ -210,11 +219,11 @@
     async def run():
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
-                await leads.run()
+                await leading_writer.run()
 
-    leads.reload_record = refresh
-    leads.table.jobs["run-000002"].has_unsaved_changes = False
-    leads.table.chunks.await_chunks("run-000002", {}, 12)
+    leading_writer.reload_record = refresh
+    leading_writer.table.jobs["run-000002"].has_unsaved_changes = False
+    leading_writer.table.chunks.await_chunks("run-000002", {}, 12)
     asyncio.run(run())
     assert read == [keys.JOB_PREFIX + "run-000002"]
 
