--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -24,14 +24,14 @@
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 from hookwall.workers.delegation_record import EncodedDelegation, NameForm, encode_machines
+from hookwall.workers.redirect_schedule import RedirectSchedule
 
 log = logging.getLogger(__name__)
 
 SESSION_LEASE_S = 6.0
 RENEWAL_PERIOD_S = 1.5
 LEADER_SILENCE_S = 3.0  # so long without a message from the leader, its workers' leases are renewed here
-REDIRECT_PERIOD_S = 20.0  # how often a worker may be redirected to a leader that it has not met
-MAX_DELEGATION_S = 60.0  # and no longer than this, lest a worker stay with a node that can't use it
+MAX_DELEGATION_S = 60.0  # no longer than this for one worker, lest it stay with a node that can't use it
 
 
 class StoredDelegation(NamedTuple):
@@ -83,9 +83,7 @@
         self.delegated: set[str] = set()
         self.requested: set[str] = set()
         self.delegated_since: dict[str, float] = {}
-        # The token with which each worker first came: our responses bring it the leader's.
-        self.first_fencing_token: dict[str, int] = {}
-        self.redirected_at: dict[str, float] = {}
+        self.redirects = RedirectSchedule()
         self.redirected_during_write: set[str] = set()  # since the last write began
         self.shrink_pending = False  # whether the stored key names machines that are no longer answered
         self.lock = asyncio.Lock()
@@ -132,16 +130,13 @@
         had 85 machines of 419. One that finds no leader there comes back.
         """
         leader_key = self.leadership.leader_key
-        now = self.clock()
         machine = heartbeat.machine
         if leader_key.lease_mode is not LeaseMode.SESSION_LEASE or not self.covers(machine):
             return None
-        if self.first_fencing_token[machine] >= leader_key.version:
-            return None
-        redirected_at = self.redirected_at.get(machine)
-        if redirected_at is not None and now - redirected_at < REDIRECT_PERIOD_S:
+        now = self.clock()
+        if not self.redirects.is_due(machine, leader_key.version, now):
             return None
-        self.redirected_at[machine] = now
+        self.redirects.record_redirect(machine, now)
         self.delegated.discard(machine)
         self.redirected_during_write.add(machine)
         self.shrink_pending = True
@@ -153,7 +148,7 @@
             return None
         machine = heartbeat.machine
         self.delegated_since.setdefault(machine, self.clock())
-        self.first_fencing_token.setdefault(machine, heartbeat.fencing_token)
+        self.redirects.record_arrival(machine, heartbeat.fencing_token)
         if not self.covers(machine):
             self.requested.add(machine)
             await self.store_delegation()
@@ -289,8 +284,7 @@
         self._invalidate()
         self.requested.clear()
         self.delegated_since.clear()
-        self.first_fencing_token.clear()
-        self.redirected_at.clear()
+        self.redirects.clear()
         self.shrink_pending = False
         log.info("lease delegation ended reason=%s", reason)
         if session_lease is not None:
