--- a/hookwall/workers/delegated_leases.py
+++ b/hookwall/workers/delegated_leases.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from hookwall.storage.entries import Precondition
 from hookwall.workers.delegation_record import decode_machines
 from hookwall.workers.machine import NEVER
 
@@ -80,6 +81,6 @@
         """Until when a follower may have renewed the machine's lease, as far as its delegation has ended."""
         return max(self.all_released_at, self.released_at.get(machine, NEVER))
 
-    def preconditions(self, keys: list[str]) -> list[tuple[str, int]]:
+    def preconditions(self, keys: list[str]) -> list[Precondition]:
         """The versions of the keys on which each write of the leader is conditional; 0: no such key."""
-        return [(key, self.delegations[key].version if key in self.delegations else 0) for key in keys]
+        return [Precondition(key, self.delegations[key].version if key in self.delegations else 0) for key in keys]
--- a/hookwall/workers/delegation_guard.py
+++ b/hookwall/workers/delegation_guard.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable
 
 from hookwall.jobs.job_table import JobTable
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.errors import OutcomeUnknownError, RequestRejectedError
 from hookwall.workers.delegated_leases import DelegatedLeases
 
 log = logging.getLogger(__name__)
@@ -43,7 +44,7 @@
 
     def preconditions(self) -> list[tuple[str, int]]:
         """The keys with the versions that are known here."""
-        return self.delegated_leases.preconditions(self.delegation_keys)
+        return [*self.delegated_leases.preconditions(self.delegation_keys)]
 
     async def handle_changed_keys(self, changed: list[str], revision: int) -> None:
         """A follower renews leases that this leader did not know of: what seemed to have expired may not have.
--- a/hookwall/workers/delegation_record.py
+++ b/hookwall/workers/delegation_record.py
@@ -8,7 +8,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from hookwall.storage import job_records
+from hookwall.storage import compression
+from hookwall.storage.errors import MalformedRecordError
+from hookwall.storage.job_records import json_bytes
 from hookwall.workers import name_codec
 
 log = logging.getLogger(__name__)
@@ -50,15 +52,15 @@
 def _encode_all(fencing_token: int, names: list[str], form: NameForm, max_bytes: int) -> dict[str, object] | None:
     """The first form that is small enough, or None."""
     value: dict[str, object] = {_FENCING_TOKEN: fencing_token, _MACHINES: names}
-    if job_records.json_bytes(value) <= max_bytes:
+    if json_bytes(value) <= max_bytes:
         return value
     if form is NameForm.PLAIN:
         return None
     if form is NameForm.NUMBERED:
         value = {_FENCING_TOKEN: fencing_token, _NUMBERED: name_codec.encode(names)}
     else:
-        value = {_FENCING_TOKEN: fencing_token, _PACKED: job_records.compress(names)}
-    return value if job_records.json_bytes(value) <= max_bytes else None
+        value = {_FENCING_TOKEN: fencing_token, _PACKED: compression.compress(names)}
+    return value if json_bytes(value) <= max_bytes else None
 
 
 def decode_machines(value: object) -> frozenset[str] | None:
@@ -69,10 +71,10 @@
     names = value.get(_MACHINES)
     try:
         if isinstance(value.get(_PACKED), str):
-            names = job_records.decompress(value[_PACKED], list[str])
+            names = compression.decompress(value[_PACKED], list[str])
         elif _NUMBERED in value:
             names = name_codec.decode(value[_NUMBERED])
-    except job_records.MalformedRecordError as error:
+    except MalformedRecordError as error:
         log.error("malformed lease delegation reason=%s", error)
         return None
     if not isinstance(names, list):
--- a/hookwall/workers/fleet_transitions.py
+++ b/hookwall/workers/fleet_transitions.py
@@ -10,8 +10,9 @@
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs.job import Allocation, Job
 from hookwall.jobs.job_table import JobTable
+from hookwall.protocol.heartbeat_messages import TaskId
 from hookwall.workers.fleet_state import FleetState
-from hookwall.workers.machine import AllocatedTask, Machine, MachinePhase, TaskKey
+from hookwall.workers.machine import AllocatedTask, Machine, MachinePhase
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +84,7 @@
         """A job's record was replaced by another node's write: its allocations are those of the new record."""
         for allocation in before:
             machine = self.machines.get(allocation.machine)
-            key = TaskKey(job.job_id, allocation.task)
+            key = TaskId(job.job_id, allocation.task)
             if machine is not None and machine.allocations.pop(key, None) is not None:
                 machine.free_capacity = None
         self.attach_allocations(job)
@@ -99,7 +100,7 @@
         return allocation
 
     def _attach(self, job: Job, allocation: Allocation, machine: Machine) -> None:
-        machine.allocations[TaskKey(job.job_id, allocation.task)] = AllocatedTask(job, allocation)
+        machine.allocations[TaskId(job.job_id, allocation.task)] = AllocatedTask(job, allocation)
         machine.free_capacity = None
 
     def release_allocation(self, job: Job, allocation: Allocation, reason: str) -> None:
@@ -108,7 +109,7 @@
         if machine is not None:
             if job.spec is not None and not job.spec.spot:
                 machine.last_on_demand_work_at = self.clock()
-            machine.allocations.pop(TaskKey(job.job_id, allocation.task), None)
+            machine.allocations.pop(TaskId(job.job_id, allocation.task), None)
             machine.free_capacity = None
         if job.allocations.get(allocation.task) is allocation:
             job.remove_allocation(allocation.task)
@@ -126,7 +127,7 @@
             self.release_allocation(job, allocation, reason)
         self.set_unrecorded_tasks(machine, set())
 
-    def set_unrecorded_tasks(self, machine: Machine, tasks: set[TaskKey]) -> None:
+    def set_unrecorded_tasks(self, machine: Machine, tasks: set[TaskId]) -> None:
         """Replace the tasks that a worker reports and that no allocation known here explains.
 
         However that came about, they are there: they are not started anywhere else until they are shown gone.
--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -22,7 +22,9 @@
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.heartbeat_messages import Command, Heartbeat
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition, Put
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 from hookwall.workers.delegation_record import EncodedDelegation, NameForm, encode_machines
 from hookwall.workers.redirect_schedule import RedirectSchedule
 
@@ -133,10 +135,8 @@
         machine = heartbeat.machine
         if leader_key.lease_mode is not LeaseMode.SESSION_LEASE or not self.covers(machine):
             return None
-        now = self.clock()
-        if not self.redirects.is_due(machine, leader_key.version, now):
+        if not self.redirects.begin_if_due(machine, leader_key.version, self.clock()):
             return None
-        self.redirects.record_redirect(machine, now)
         self.delegated.discard(machine)
         self.redirected_during_write.add(machine)
         self.shrink_pending = True
@@ -160,8 +160,8 @@
         """Stops of the reported tasks whose jobs are cancelled."""
         commands = []
         for status in heartbeat.tasks:
-            key = heartbeat_messages.parse_task_id(status.task_id)
-            if key is not None and self.table.is_cancelled(key[0]) and status.phase != "exited":
+            task_id = heartbeat_messages.parse_task_id(status.task_id)
+            if task_id is not None and self.table.is_cancelled(task_id.job_id) and status.phase != "exited":
                 commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, 0.0))
         return commands
 
@@ -195,14 +195,14 @@
         """Write the key under a new session lease; the errors of the store are the caller's."""
         if self.key_version is None:
             found = await self.store.get(self.key)
-            self.key_version = found[1] if found is not None else 0
+            self.key_version = found.version if found is not None else 0
         sent_at = self.clock()
         session_lease = await self.store.grant_session_lease(SESSION_LEASE_S)
         encoded = self.encode(token, machines)
         # Who is not named any more is not answered any more, from before that is stored.
         self.delegated &= set(encoded.machines)
-        preconditions = [(keys.LEADER_KEY, token), (self.key, self.key_version)]
-        version = await self.store.commit(preconditions, [(self.key, encoded.value)], session_lease)
+        preconditions = [Precondition(keys.LEADER_KEY, token), Precondition(self.key, self.key_version)]
+        version = await self.store.commit(preconditions, [Put(self.key, encoded.value)], session_lease)
         return StoredDelegation(token, version, session_lease, sent_at, encoded.machines)
 
     def _apply_stored(self, stored: StoredDelegation) -> None:
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple
 
 from hookwall.jobs.job import Allocation, Job
+from hookwall.protocol.heartbeat_messages import TaskId
 from hookwall.scheduling.placement import FreeCapacity
 
 NEVER = -1e9  # before any time of the clock: a time that has not come yet, where a hot path compares it
@@ -45,13 +46,6 @@
 SCHEDULABLE_PHASES = (MachinePhase.UP,)
 
 
-class TaskKey(NamedTuple):
-    """Identifies a task among all jobs."""
-
-    job_id: str
-    task: int
-
-
 class AllocatedTask(NamedTuple):
     """A start of a task that a record or a decision names on a machine."""
 
@@ -140,9 +134,9 @@
 
     def _init_tasks(self) -> None:
         """What may run on the machine, and what is free there."""
-        self.allocations: dict[TaskKey, AllocatedTask] = {}
+        self.allocations: dict[TaskId, AllocatedTask] = {}
         # Tasks that its worker reports and that no allocation known here explains.
-        self.unrecorded_tasks: set[TaskKey] = set()
+        self.unrecorded_tasks: set[TaskId] = set()
         # Its lease expired with cancelled tasks there, and its worker has not begun a new epoch since.
         self.may_run_cancelled_tasks = False
         self.cached_images: OrderedDict[int, float] = OrderedDict()  # image -> GB, most recently used last
--- a/hookwall/workers/name_codec.py
+++ b/hookwall/workers/name_codec.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from hookwall.storage import job_records
-from hookwall.storage.job_records import MalformedRecordError
+from hookwall.storage import compression
+from hookwall.storage.errors import MalformedRecordError
 
 NUMBERED_NAME = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL | re.ASCII)
 MAX_NAMES = 1_000_000
@@ -71,13 +71,13 @@
     for number in sorted(numbers):
         gaps.append(number - last)
         last = number
-    return job_records.compress_bytes(msgspec.msgpack.encode(gaps))
+    return compression.compress_bytes(msgspec.msgpack.encode(gaps))
 
 
 def _unpack(text: str) -> list[int]:
     """The numbers that `_pack` was given."""
     try:
-        gaps = msgspec.msgpack.decode(job_records.decompress_bytes(text), type=list[int])
+        gaps = msgspec.msgpack.decode(compression.decompress_bytes(text), type=list[int])
     except msgspec.DecodeError as error:
         raise MalformedRecordError(str(error)) from error
     if len(gaps) > MAX_NAMES or any(gap < 1 for gap in gaps):
--- a/hookwall/workers/redirect_schedule.py
+++ b/hookwall/workers/redirect_schedule.py
@@ -19,16 +19,15 @@
         """A worker came with this token; only its first one counts."""
         self.first_fencing_token.setdefault(machine, fencing_token)
 
-    def is_due(self, machine: str, leader_token: int, now: float) -> bool:
-        """Whether a worker that has come before should try the leader now."""
+    def begin_if_due(self, machine: str, leader_token: int, now: float) -> bool:
+        """Whether a worker that has come before should try the leader now; if so, its next period begins."""
         if self.first_fencing_token[machine] >= leader_token:
             return False
         redirected_at = self.redirected_at.get(machine)
-        return redirected_at is None or now - redirected_at >= REDIRECT_PERIOD_S
-
-    def record_redirect(self, machine: str, now: float) -> None:
-        """The worker is redirected now."""
+        if redirected_at is not None and now - redirected_at < REDIRECT_PERIOD_S:
+            return False
         self.redirected_at[machine] = now
+        return True
 
     def clear(self) -> None:
         """The delegation has ended: whoever comes again comes for the first time."""
--- a/hookwall/workers/task_reconciliation.py
+++ b/hookwall/workers/task_reconciliation.py
@@ -5,13 +5,12 @@
 """
 
 import logging
-from functools import lru_cache
 
 from hookwall.jobs.job import CANCELLED, OPEN, Allocation, Job
 from hookwall.protocol import heartbeat_messages
-from hookwall.protocol.heartbeat_messages import Command, Heartbeat, TaskStatus
+from hookwall.protocol.heartbeat_messages import Command, Heartbeat, TaskId, TaskStatus
 from hookwall.workers.fleet_transitions import FleetTransitions
-from hookwall.workers.machine import AllocatedTask, Machine, MachinePhase, TaskKey
+from hookwall.workers.machine import AllocatedTask, Machine, MachinePhase
 from hookwall.workers.task_exits import TaskExits
 
 log = logging.getLogger(__name__)
@@ -30,29 +29,29 @@
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
         """Apply all task statuses of a heartbeat, and what it does not report; returns the commands."""
         commands: list[Command] = []
-        present: set[TaskKey] = set()
-        unrecorded: set[TaskKey] = set()
+        present: set[TaskId] = set()
+        unrecorded: set[TaskId] = set()
         for status in heartbeat.tasks:
-            key = task_key(status.task_id)
-            if key is None:
+            task_id = heartbeat_messages.parse_task_id(status.task_id)
+            if task_id is None:
                 continue
-            allocated = machine.allocations.get(key)
+            allocated = machine.allocations.get(task_id)
             if allocated is not None and allocated.allocation.attempt != status.attempt:
                 allocated = None  # the records name another start of this task
             if status.phase == "exited":
-                if self._apply_exit(machine, key, status, allocated, commands):
-                    present.add(key)
+                if self._apply_exit(machine, task_id, status, allocated, commands):
+                    present.add(task_id)
                 continue
-            present.add(key)
+            present.add(task_id)
             if allocated is None:
-                unrecorded.add(key)
+                unrecorded.add(task_id)
                 commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, 0.0))
             else:
                 self._apply_status(machine, status, allocated, commands, now)
         self.fleet.set_unrecorded_tasks(machine, unrecorded)
         has_our_token = heartbeat.fencing_token == self.fleet.fencing_token
-        for key, (job, allocation) in list(machine.allocations.items()):
-            if key not in present:
+        for task_id, (job, allocation) in list(machine.allocations.items()):
+            if task_id not in present:
                 self._reconcile_absent(machine, job, allocation, has_our_token, commands)
         return commands
 
@@ -90,7 +89,7 @@
     def _apply_exit(
         self,
         machine: Machine,
-        key: TaskKey,
+        task_id: TaskId,
         status: TaskStatus,
         allocated: AllocatedTask | None,
         commands: list[Command],
@@ -98,8 +97,8 @@
         """A task has ended. False if no record names it and its worker forgets it with the response."""
         if allocated is not None:
             self.exits.apply_exit(machine, allocated.job, allocated.allocation, status.cause or "")
-        job = self.fleet.table.jobs.get(key.job_id)
-        if job is not None and job.stored_starts.get(key.task) == (machine.name, status.attempt):
+        job = self.fleet.table.jobs.get(task_id.job_id)
+        if job is not None and job.stored_starts.get(task_id.task) == (machine.name, status.attempt):
             return True
         # Only once the record no longer names this start: a leader that forgot it would
         # otherwise launch the same attempt again.
@@ -134,13 +133,6 @@
         return machine.phase is MachinePhase.UP and machine.name not in self.fleet.cordoned
 
 
-@lru_cache(maxsize=8192)  # each heartbeat names the same tasks again; a few more than the machines run at once
-def task_key(task_id: str) -> TaskKey | None:
-    """`run-000412/3` as the key of an allocation; None for what names no task."""
-    parts = heartbeat_messages.parse_task_id(task_id)
-    return None if parts is None else TaskKey(*parts)
-
-
 def _stop_has_effect(allocation: Allocation, status: TaskStatus) -> bool:
     """A task that writes its checkpoint already only heeds a stop that gives it no more time."""
     return status.phase != "saving" or allocation.stop_grace_s == 0.0
--- a/tests/workers/test_name_codec.py
+++ b/tests/workers/test_name_codec.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hookwall.storage import job_records
-from hookwall.storage.job_records import MalformedRecordError
+from hookwall.storage import compression, job_records
+from hookwall.storage.errors import MalformedRecordError
 from hookwall.workers import name_codec
 
 KEY_LIMIT = job_records.usable_value_bytes(2.0)  # of a state service that has lowered its limits
@@ -26,9 +26,9 @@
 
 def test_decoding_what_is_no_list_of_names_is_an_error():
     good = name_codec.encode(["vm-1", "vm-7"])
-    backwards = job_records.compress_bytes(b"\x92\x05\x00")
+    backwards = compression.compress_bytes(b"\x92\x05\x00")
     bad = [None, [], {}, {"groups": [], "others": 1}, {**good, "groups": [["vm-", 1]]}]
-    bad += [{**good, "groups": [["vm-", 1, text]]} for text in ("nonsense", job_records.compress("text"), backwards)]
+    bad += [{**good, "groups": [["vm-", 1, text]]} for text in ("nonsense", compression.compress("text"), backwards)]
     for value in bad:
         with pytest.raises(MalformedRecordError):
             name_codec.decode(value)
