--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -22,16 +22,18 @@
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.heartbeat_messages import Command, Heartbeat
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition, Put
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 from hookwall.workers.delegation_record import EncodedDelegation, NameForm, encode_machines
+from hookwall.workers.redirect_schedule import RedirectSchedule
 
 log = logging.getLogger(__name__)
 
 SESSION_LEASE_S = 6.0
 RENEWAL_PERIOD_S = 1.5
 LEADER_SILENCE_S = 3.0  # so long without a message from the leader, its workers' leases are renewed here
-REDIRECT_PERIOD_S = 20.0  # how often a worker may be redirected to a leader that it has not met
-MAX_DELEGATION_S = 60.0  # and no longer than this, lest a worker stay with a node that can't use it
+MAX_DELEGATION_S = 60.0  # no longer than this for one worker, lest it stay with a node that can't use it
 
 
 class StoredDelegation(NamedTuple):
@@ -83,9 +85,7 @@
         self.delegated: set[str] = set()
         self.requested: set[str] = set()
         self.delegated_since: dict[str, float] = {}
-        # The token with which each worker first came: our responses bring it the leader's.
-        self.first_fencing_token: dict[str, int] = {}
-        self.redirected_at: dict[str, float] = {}
+        self.redirects = RedirectSchedule()
         self.redirected_during_write: set[str] = set()  # since the last write began
         self.shrink_pending = False  # whether the stored key names machines that are no longer answered
         self.lock = asyncio.Lock()
@@ -132,16 +132,11 @@
         had 85 machines of 419. One that finds no leader there comes back.
         """
         leader_key = self.leadership.leader_key
-        now = self.clock()
         machine = heartbeat.machine
         if leader_key.lease_mode is not LeaseMode.SESSION_LEASE or not self.covers(machine):
             return None
-        if self.first_fencing_token[machine] >= leader_key.version:
-            return None
-        redirected_at = self.redirected_at.get(machine)
-        if redirected_at is not None and now - redirected_at < REDIRECT_PERIOD_S:
+        if not self.redirects.begin_if_due(machine, leader_key.version, self.clock()):
             return None
-        self.redirected_at[machine] = now
         self.delegated.discard(machine)
         self.redirected_during_write.add(machine)
         self.shrink_pending = True
@@ -153,7 +148,7 @@
             return None
         machine = heartbeat.machine
         self.delegated_since.setdefault(machine, self.clock())
-        self.first_fencing_token.setdefault(machine, heartbeat.fencing_token)
+        self.redirects.record_arrival(machine, heartbeat.fencing_token)
         if not self.covers(machine):
             self.requested.add(machine)
             await self.store_delegation()
@@ -165,8 +160,8 @@
         """Stops of the reported tasks whose jobs are cancelled."""
         commands = []
         for status in heartbeat.tasks:
-            key = heartbeat_messages.parse_task_id(status.task_id)
-            if key is not None and self.table.is_cancelled(key[0]) and status.phase != "exited":
+            task_id = heartbeat_messages.parse_task_id(status.task_id)
+            if task_id is not None and self.table.is_cancelled(task_id.job_id) and status.phase != "exited":
                 commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, 0.0))
         return commands
 
@@ -200,14 +195,14 @@
         """Write the key under a new session lease; the errors of the store are the caller's."""
         if self.key_version is None:
             found = await self.store.get(self.key)
-            self.key_version = found[1] if found is not None else 0
+            self.key_version = found.version if found is not None else 0
         sent_at = self.clock()
         session_lease = await self.store.grant_session_lease(SESSION_LEASE_S)
         encoded = self.encode(token, machines)
         # Who is not named any more is not answered any more, from before that is stored.
         self.delegated &= set(encoded.machines)
-        preconditions = [(keys.LEADER_KEY, token), (self.key, self.key_version)]
-        version = await self.store.commit(preconditions, [(self.key, encoded.value)], session_lease)
+        preconditions = [Precondition(keys.LEADER_KEY, token), Precondition(self.key, self.key_version)]
+        version = await self.store.commit(preconditions, [Put(self.key, encoded.value)], session_lease)
         return StoredDelegation(token, version, session_lease, sent_at, encoded.machines)
 
     def _apply_stored(self, stored: StoredDelegation) -> None:
@@ -289,8 +284,7 @@
         self._invalidate()
         self.requested.clear()
         self.delegated_since.clear()
-        self.first_fencing_token.clear()
-        self.redirected_at.clear()
+        self.redirects.clear()
         self.shrink_pending = False
         log.info("lease delegation ended reason=%s", reason)
         if session_lease is not None:
