--- a/hookwall/autoscaling/capacity.py
+++ b/hookwall/autoscaling/capacity.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 
 from hookwall.autoscaling.inventory import Inventory
-from hookwall.scheduling.resources import FreeCapacity
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.machine import Machine, MachinePhase
+from hookwall.workers.resources import FreeCapacity
 
 OVERDUE_BOOTS = 2.5  # so many times its type's usual boot, a machine is no longer counted on
 UNKNOWN_TYPE_BOOT_S = 30.0
--- a/hookwall/autoscaling/provisioning_plan.py
+++ b/hookwall/autoscaling/provisioning_plan.py
@@ -10,7 +10,10 @@
 from hookwall.autoscaling.capacity import Capacity, MachinePool
 from hookwall.autoscaling.demand import Demand
 from hookwall.autoscaling.pool_backoff import PoolBackoff
-from hookwall.scheduling.resources import (
+from hookwall.scheduling.round_state import provisioning_order
+from hookwall.scheduling.scheduler import Scheduler
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import (
     EPSILON,
     ROUNDING,
     FreeCapacity,
@@ -18,9 +21,6 @@
     placeable_task_count,
     satisfies_constraints,
 )
-from hookwall.scheduling.round_state import provisioning_order
-from hookwall.scheduling.scheduler import Scheduler
-from hookwall.workers.fleet import Fleet
 
 MAX_PER_REQUEST = 50
 MAX_PRICE_RATIO = 2.5  # a pool is no substitute for another that costs so much less
--- a/hookwall/autoscaling/scale_out.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -28,9 +28,9 @@
 from hookwall.autoscaling.scale_in import ScaleIn
 from hookwall.config.platform import PlatformParameters
 from hookwall.protocol.cloud_messages import Catalog
-from hookwall.scheduling.resources import ResourceRequest
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import ResourceRequest
 
 log = logging.getLogger(__name__)
 
--- a/hookwall/jobs/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -14,9 +14,9 @@
 from hookwall.jobs.job import OPEN, Job, jobs_to_write
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.leadership_view import LeadershipView
+from hookwall.jobs.start_record_budget import StartRecordBudget
 from hookwall.jobs.write_batch import ENTRY_BYTES, MAX_TRANSACTION_BYTES, PendingWrite, next_chunks
 from hookwall.leadership.roles import Role
-from hookwall.scheduling.round_state import StartRecordBudget
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_collector import ChunkCollector
 from hookwall.storage.client import PRECONDITIONS_PER_CHANGE, KeyValueClient
--- a/hookwall/scheduling/feasibility.py
+++ b/hookwall/scheduling/feasibility.py
@@ -8,7 +8,7 @@
 from hookwall.config.platform import TeamQuota
 from hookwall.protocol.cloud_messages import Catalog, MachineType
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.scheduling.resources import ROUNDING
+from hookwall.workers.resources import ROUNDING
 
 
 def infeasibility_reason(spec: JobSpec, catalog: Catalog, teams: Mapping[str, TeamQuota]) -> str | None:
--- a/hookwall/scheduling/fit.py
+++ b/hookwall/scheduling/fit.py
@@ -8,8 +8,8 @@
 from hookwall.jobs.job import Job
 from hookwall.protocol.cloud_messages import Catalog, MachineType
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.scheduling.resources import ROUNDING
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import ROUNDING
 
 EXCLUSIVE_SHARE = 0.5  # a task that takes more than this of a machine leaves no capacity for another like it
 
--- a/hookwall/scheduling/image_affinity.py
+++ b/hookwall/scheduling/image_affinity.py
@@ -12,15 +12,15 @@
 from collections.abc import Callable
 
 from hookwall.jobs.job import Job
-from hookwall.scheduling.resources import (
+from hookwall.scheduling.round_state import QueuedJob, RankAndKind, RoundState
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import (
     EPSILON,
     FreeCapacity,
     ResourceRequest,
     placeable_task_count,
     satisfies_constraints,
 )
-from hookwall.scheduling.round_state import QueuedJob, RankAndKind, RoundState
-from hookwall.workers.fleet import Fleet
 
 CACHED_IMAGE_GAIN_S = 12.0  # a fetch longer than this is worth freeing a machine that has the image
 DECLINE_SHARE = 0.35  # of the time of a fetch, a job declines machines without its image
--- a/hookwall/scheduling/machine_selection.py
+++ b/hookwall/scheduling/machine_selection.py
@@ -9,9 +9,9 @@
 from hookwall.scheduling.image_affinity import STARVATION_S, ImageAffinity
 from hookwall.scheduling.placement import Placement, place
 from hookwall.scheduling.reservations import Reservations
-from hookwall.scheduling.resources import FreeCapacity, ResourceRequest
 from hookwall.scheduling.round_state import RoundState
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import FreeCapacity, ResourceRequest
 
 MAX_FAILURES = 2  # after so many on one machine, a job avoids it for a while
 
--- a/hookwall/scheduling/placement.py
+++ b/hookwall/scheduling/placement.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from hookwall.scheduling.resources import (
+from hookwall.workers.resources import (
     EPSILON,
     UNKNOWN_ZONE,
     FreeCapacity,
--- a/hookwall/scheduling/preemption.py
+++ b/hookwall/scheduling/preemption.py
@@ -13,17 +13,16 @@
 from hookwall.config.platform import TeamQuota
 from hookwall.jobs.job import OPEN, Job
 from hookwall.scheduling.preemption_options import find_options, preemption_key
-from hookwall.scheduling.resources import (
+from hookwall.scheduling.round_state import PreemptionOption, ResourceUsage, RoundState, Victim
+from hookwall.workers.fleet import Fleet
+from hookwall.workers.orderly_stop import stop_grace_s
+from hookwall.workers.resources import (
     EPSILON,
     FreeCapacity,
     ResourceRequest,
     placeable_task_count,
     satisfies_constraints,
 )
-from hookwall.scheduling.round_state import PreemptionOption, ResourceUsage, RoundState, Victim
-from hookwall.workers.fleet import Fleet
-
-CHECKPOINT_MARGIN_S = 0.5  # of grace, beside what a checkpoint takes
 
 Borrowed = dict[int, ResourceUsage]  # by team: what it uses beyond its guarantee
 
@@ -227,8 +226,7 @@
                 continue
             for victim, allocation in option.victims:
                 assert victim.spec is not None
-                has_checkpoints = victim.spec.checkpoint_interval_s > 0
-                grace_s = victim.spec.checkpoint_cost_s + CHECKPOINT_MARGIN_S if has_checkpoints else 0.0
+                grace_s = stop_grace_s(victim.spec)
                 self.fleet.request_stop(victim, allocation, grace_s, f"preempted for {job.job_id}")
             self.reserve_machine(job, state, option.machine_index)
             missing -= option.freed_task_count
--- a/hookwall/scheduling/preemption_options.py
+++ b/hookwall/scheduling/preemption_options.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from hookwall.jobs.job import Allocation, Job
-from hookwall.scheduling.resources import FreeCapacity, ResourceRequest, placeable_task_count, satisfies_constraints
 from hookwall.scheduling.round_state import PreemptionKey, PreemptionOption, RoundState, Victim
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count, satisfies_constraints
 
 SETTLED_AFTER_S = 30.0  # a start that lasts this long counts for its user
 REFETCH_COST_S_PER_GB = 0.2  # for each GB of images that others would have to fetch again
--- a/hookwall/scheduling/quotas.py
+++ b/hookwall/scheduling/quotas.py
@@ -6,8 +6,8 @@
 from hookwall.config.platform import TeamQuota
 from hookwall.jobs.job import OPEN, Job
 from hookwall.jobs.job_table import JobTable
-from hookwall.scheduling.resources import EPSILON, ROUNDING
 from hookwall.scheduling.round_state import ResourceUsage, RoundState
+from hookwall.workers.resources import EPSILON, ROUNDING
 
 
 class Quotas:
--- a/hookwall/scheduling/reservations.py
+++ b/hookwall/scheduling/reservations.py
@@ -14,9 +14,9 @@
 from hookwall.scheduling.fit import task_fit
 from hookwall.scheduling.image_affinity import ImageAffinity
 from hookwall.scheduling.preemption import Preemption
-from hookwall.scheduling.resources import FreeCapacity, ResourceRequest, placeable_task_count
 from hookwall.scheduling.round_state import QueuedJob, RoundState
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count
 
 SET_ASIDE_Z = 0.8  # how many machines are set aside for whole-machine jobs, in roots of their mean demand
 LEAST_MEAN_DEMAND = 0.5  # machines; below this, none is set aside for jobs that may come
--- a/hookwall/scheduling/round_state.py
+++ b/hookwall/scheduling/round_state.py
@@ -11,11 +11,7 @@
 
 from hookwall.jobs.job import Allocation, Job
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.scheduling.resources import EPSILON, FreeCapacity, ResourceRequest, satisfies_constraints
-
-BYTES_PER_MACHINE = 40  # of a record, for each machine that it names
-BYTES_PER_START = 14  # and for each start, with what it leaves in the ranges of tasks that are done
-MINIMUM_STARTS = 8  # that any record can name
+from hookwall.workers.resources import EPSILON, FreeCapacity, ResourceRequest, satisfies_constraints
 
 Victim = tuple[Job, Allocation]  # as the fleet holds them, machine by machine
 
@@ -32,18 +28,6 @@
     declining_since: float = -1.0  # since when it declines machines without its image, and got nothing; -1: it does not
 
 
-@dataclass(slots=True, frozen=True)
-class StartRecordBudget:
-    """How many bytes of its record the starts of one job may take in the plain form.
-
-    Several starts on one machine share its name, so new ones are assumed to need no more names in a usual record. Those
-    of a larger one count as each on a machine of its own, since that is what it might come to.
-    """
-
-    usual_bytes: float
-    maximum_bytes: float
-
-
 @dataclass(slots=True)
 class ResourceUsage:
     """CPUs and GPUs that a team's tasks may be using now, or that all its unfinished jobs request."""
@@ -154,16 +138,6 @@
             usage.add(job.spec, task_count)
 
 
-def recordable_start_count(job: Job, budget: StartRecordBudget) -> int:
-    """How many more starts the job's record can name: a value has a limit, and ranges are short."""
-    starts = len(job.allocations)
-    machines = {allocation.machine for allocation in job.allocations.values()}
-    used = BYTES_PER_MACHINE * len(machines) + BYTES_PER_START * starts
-    in_usual_record = (budget.usual_bytes - used) / BYTES_PER_START
-    in_largest_record = (budget.maximum_bytes - used) / (BYTES_PER_MACHINE + BYTES_PER_START)
-    return max(0, MINIMUM_STARTS - starts, int(in_usual_record), int(in_largest_record))
-
-
 def provisioning_order(waiting: dict[str, QueuedJob]) -> list[QueuedJob]:
     """Queued jobs in the order in which machines are provisioned for them."""
     return sorted(waiting.values(), key=lambda queued: (queued.job.rank, queued.job.queued_at, queued.job.job_id))
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -15,6 +15,7 @@
 from hookwall.config.platform import PlatformParameters, ServiceObjective
 from hookwall.jobs.job import OPEN, Job
 from hookwall.jobs.job_table import JobTable
+from hookwall.jobs.start_record_budget import StartRecordBudget, recordable_start_count
 from hookwall.scheduling.cached_image_wait import CachedImageWait
 from hookwall.scheduling.image_affinity import STARVATION_S, ImageAffinity
 from hookwall.scheduling.machine_selection import MachineSelection
@@ -22,14 +23,7 @@
 from hookwall.scheduling.preemption import Preemption
 from hookwall.scheduling.quotas import Quotas
 from hookwall.scheduling.reservations import Reservations
-from hookwall.scheduling.resources import EPSILON, ResourceRequest
-from hookwall.scheduling.round_state import (
-    QueuedJob,
-    ResourceUsage,
-    RoundState,
-    StartRecordBudget,
-    recordable_start_count,
-)
+from hookwall.scheduling.round_state import QueuedJob, ResourceUsage, RoundState
 from hookwall.scheduling.serving_order import (
     QueueEntry,
     QueueKey,
@@ -39,6 +33,7 @@
 )
 from hookwall.storage.job_records import plain_allocations_bytes
 from hookwall.workers.fleet import Fleet
+from hookwall.workers.resources import EPSILON, ResourceRequest
 
 log = logging.getLogger(__name__)
 
--- a/hookwall/workers/fleet_state.py
+++ b/hookwall/workers/fleet_state.py
@@ -9,8 +9,8 @@
 
 from hookwall.config.platform import PlatformParameters
 from hookwall.protocol.cloud_messages import Catalog, MachineType
-from hookwall.scheduling.placement import UNKNOWN_ZONE, FreeCapacity
 from hookwall.workers.machine import SCHEDULABLE_PHASES, Machine, MachineDescription, NameIndex
+from hookwall.workers.resources import UNKNOWN_ZONE, FreeCapacity
 
 
 class FleetState:
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -9,7 +9,7 @@
 
 from hookwall.jobs.job import Allocation, Job
 from hookwall.protocol.heartbeat_messages import TaskId
-from hookwall.scheduling.placement import FreeCapacity
+from hookwall.workers.resources import FreeCapacity
 
 NEVER = -1e9  # before any time of the clock: a time that has not come yet, where a hot path compares it
 
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hookwall.scheduling.placement import idle_capacity, place, tie_break_key
-from hookwall.scheduling.resources import FreeCapacity, ResourceRequest, placeable_task_count
+from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count
 
 
 def machine(index, gpus, zone=0, spot=False, cpus=100.0, memory=1000.0, cached=(), type_=0, price=1.0) -> FreeCapacity:
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -7,8 +7,8 @@
 from scheduling_steps import bring_up
 
 from hookwall.config.platform import MachineLimits, PlatformParameters
+from hookwall.jobs.start_record_budget import BYTES_PER_MACHINE, BYTES_PER_START, StartRecordBudget
 from hookwall.scheduling import machine_selection
-from hookwall.scheduling.round_state import BYTES_PER_MACHINE, BYTES_PER_START, StartRecordBudget
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage.job_records import encode_plain
 
