--- a/hookwall/api/job_service.py
+++ b/hookwall/api/job_service.py
@@ -24,8 +24,8 @@
 from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.protocol import job_messages
 from hookwall.protocol.cloud_messages import Catalog
+from hookwall.protocol.errors import MalformedMessageError
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.protocol.json_messages import MalformedMessageError
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.errors import (
--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -14,8 +14,9 @@
 from hookwall.errors import HookwallError
 from hookwall.protocol import json_messages
 from hookwall.protocol.cloud_messages import Catalog, ListedMachine, MachineListPage, ProvisionedMachines
-from hookwall.protocol.http_client import NoResponseError, call, open_session
-from hookwall.protocol.json_messages import MalformedMessageError, Message
+from hookwall.protocol.errors import MalformedMessageError, NoResponseError
+from hookwall.protocol.http_client import call, open_session
+from hookwall.protocol.json_messages import Message
 from hookwall.storage.rate_limit import TokenBucket
 
 POLL_INTERVAL_S = 0.3  # between two looks of a loop at whether there is something to ask the cloud
--- a/hookwall/autoscaling/inventory.py
+++ b/hookwall/autoscaling/inventory.py
@@ -101,7 +101,7 @@
             try:
                 listed = await self.client.machines()
             except CloudUnavailableError as error:
-                log.debug("machine list failed error=%s", error)
+                log.debug("machine list failed: error=%s", error)
                 await asyncio.sleep(RETRY_AFTER_S)
                 continue
             if leads() and leadership_number == self.leadership_number:
--- a/hookwall/autoscaling/scale_out.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -112,7 +112,7 @@
             try:
                 await self._reconcile(leads, fencing_token)
             except CloudUnavailableError as error:
-                log.debug("cloud request failed error=%s", error)
+                log.debug("cloud request failed: error=%s", error)
                 await asyncio.sleep(RETRY_AFTER_S)
 
     async def _reconcile(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
@@ -171,7 +171,7 @@
             return
         self.capacity.pending_requests.remove(request)
         log.info(
-            "machines provisioned request=%s type=%s zone=%s spot=%s provisioned=%d requested=%d",
+            "machines provisioned: request=%s type=%s zone=%s spot=%s provisioned=%d requested=%d",
             request.name, type_, zone, pool.spot, len(names), request.count,
         )  # fmt: skip
         if len(names) < request.count:
@@ -188,7 +188,7 @@
         counts = self.capacity.machine_counts(now)
         demand = self.demand
         log.debug(
-            "demand on_demand_need=%.0f total_need=%.0f on_demand_target=%.0f total_target=%.0f "
+            "demand: on_demand_need=%.0f total_need=%.0f on_demand_target=%.0f total_target=%.0f "
             "on_demand_machines=%d machines=%d waiting_jobs=%d",
             demand.on_demand_need, demand.on_demand_need + demand.spot_need, demand.targets.on_demand,
             demand.targets.total, counts.on_demand, counts.total, len(self.scheduler.waiting),
--- a/hookwall/jobs/job_table.py
+++ b/hookwall/jobs/job_table.py
@@ -8,8 +8,9 @@
 import logging
 from collections.abc import Callable
 
+from hookwall.jobs.allocation import Allocation
 from hookwall.jobs.dependency_graph import DependencyGraph, GraphChanges, Outcome
-from hookwall.jobs.job import CANCELLED, OPEN, Allocation, Job
+from hookwall.jobs.job import CANCELLED, OPEN, Job
 from hookwall.protocol import job_messages
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_table import ChunkTable
--- a/hookwall/jobs/write_batch.py
+++ b/hookwall/jobs/write_batch.py
@@ -2,7 +2,8 @@
 
 from dataclasses import dataclass
 
-from hookwall.jobs.job import Job, StoredStart
+from hookwall.jobs.allocation import StoredStart
+from hookwall.jobs.job import Job
 from hookwall.storage import job_records, keys
 from hookwall.storage.entries import Put
 from hookwall.storage.job_records import EncodedRecord
--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -19,14 +19,9 @@
 from hookwall.leadership.session_lease import revoke_session_lease, session_lease_end, session_lease_s
 from hookwall.protocol.peer_messages import MessageKind, PeerMessage, PeerResponse
 from hookwall.storage import keys
-from hookwall.storage.client import (
-    KeyValueClient,
-    OutcomeUnknownError,
-    PreconditionFailedError,
-    RequestRejectedError,
-    VersionedValue,
-)
-from hookwall.storage.entries import Precondition, Put
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition, Put, VersionedValue
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
@@ -100,7 +95,7 @@
         except PreconditionFailedError:
             log.debug("election lost: another node was faster, or a voter has restarted")
         except (RequestRejectedError, OutcomeUnknownError) as error:
-            log.debug("election lost error=%s", error)
+            log.debug("election lost: error=%s", error)
         finally:
             if self._replaced_version:
                 self._announce_abandoned()
@@ -152,7 +147,7 @@
         absent_since = state.leader_key.absent_since if stored.version == 0 else state.vote_grant.started_at
         absent_s = state.clock() - absent_since
         if count.peer_responded or not no_other_leader or absent_s < LEAD_WITHOUT_QUORUM_AFTER_S:
-            log.debug("election lost votes=%d quorum=%d", count.votes, state.quorum)
+            log.debug("election lost: votes=%d quorum=%d", count.votes, state.quorum)
             return None
         return LeaseMode.SESSION_LEASE
 
--- a/hookwall/leadership/leadership_state.py
+++ b/hookwall/leadership/leadership_state.py
@@ -27,7 +27,8 @@
 from hookwall.leadership.roles import LeaseMode, Role
 from hookwall.leadership.vote_fence import VoteFence
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S, ObservedLeaderKey, VoteGrant
-from hookwall.storage.client import KeyValueClient, VersionedValue
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import VersionedValue
 
 log = logging.getLogger(__name__)
 
@@ -191,7 +192,7 @@
         if role is self.role:
             return
         log.info(
-            "leadership role changed from=%s to=%s reason=%r fencing_token=%d",
+            "leadership role changed: from=%s to=%s reason=%r fencing_token=%d",
             self.role.value, role.value, reason, self.fencing_token,
         )  # fmt: skip
         self.role = role
--- a/hookwall/leadership/session_lease.py
+++ b/hookwall/leadership/session_lease.py
@@ -9,7 +9,8 @@
 from hookwall.config.clock_bounds import MAX_CLOCK_DRIFT
 from hookwall.leadership.leadership_state import LeadershipState
 from hookwall.leadership.roles import LeaseMode
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.errors import OutcomeUnknownError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +35,7 @@
     try:
         await store.revoke_session_lease(lease)
     except (RequestRejectedError, OutcomeUnknownError) as error:
-        log.debug("session lease not revoked lease=%d error=%s", lease, error)
+        log.debug("session lease not revoked: lease=%d error=%s", lease, error)
         return False
     return True
 
--- a/hookwall/leadership/store_probe.py
+++ b/hookwall/leadership/store_probe.py
@@ -9,7 +9,8 @@
 from hookwall.leadership.leadership_state import LeadershipState
 from hookwall.leadership.roles import Role
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.errors import OutcomeUnknownError, RequestRejectedError
 
 PROBE_PERIOD_S = 0.5
 RESPONSE_AGE_S = 0.8  # a response that is no older makes a probe unnecessary
--- a/hookwall/leadership/vote_fence.py
+++ b/hookwall/leadership/vote_fence.py
@@ -16,14 +16,9 @@
 
 from hookwall.leadership.random_ids import random_id
 from hookwall.storage import keys
-from hookwall.storage.client import (
-    KeyValueClient,
-    OutcomeUnknownError,
-    PreconditionFailedError,
-    RequestRejectedError,
-    VersionedValue,
-)
-from hookwall.storage.entries import Precondition, Put
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.entries import Precondition, Put, VersionedValue
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +51,7 @@
                 self._on_leader_key(await self._store.read(keys.LEADER_KEY))
                 self.version = version
             except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError) as error:
-                log.debug("vote fence not written error=%s", type(error).__name__)
+                log.debug("vote fence not written: error=%s", type(error).__name__)
                 await asyncio.sleep(RETRY_S)
         await asyncio.Event().wait()
 
--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -16,8 +16,9 @@
 from hookwall.config.operations import DrainSettings, Operations
 from hookwall.config.platform import Settings
 from hookwall.drains.drain_subsystem import DrainSubsystem
+from hookwall.jobs.allocation import Allocation
 from hookwall.jobs.cancellations import CancellationLedger
-from hookwall.jobs.job import Allocation, Job
+from hookwall.jobs.job import Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
 from hookwall.jobs.record_reader import JobRecordReader
--- a/hookwall/scheduling/preemption_options.py
+++ b/hookwall/scheduling/preemption_options.py
@@ -5,7 +5,8 @@
 
 from collections.abc import Callable
 
-from hookwall.jobs.job import Allocation, Job
+from hookwall.jobs.allocation import Allocation
+from hookwall.jobs.job import Job
 from hookwall.scheduling.round_state import PreemptionKey, PreemptionOption, RoundState, Victim
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count, satisfies_constraints
--- a/hookwall/scheduling/round_state.py
+++ b/hookwall/scheduling/round_state.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hookwall.jobs.job import Allocation, Job
+from hookwall.jobs.allocation import Allocation
+from hookwall.jobs.job import Job
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.workers.resources import EPSILON, FreeCapacity, ResourceRequest, satisfies_constraints
 
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -151,7 +151,7 @@
         unstored = self.unstored_job_count()
         for at, (key, job) in enumerate(queue):
             if at > 0 and self.clock() - now > self.budget_s:
-                log.debug("round out of time served=%d queued=%d", at, len(queue))
+                log.debug("round out of time: served=%d queued=%d", at, len(queue))
                 return key
             if unstored > MAX_UNSTORED_JOBS:
                 return key
@@ -209,7 +209,7 @@
         state.usage.setdefault(job.team_index, ResourceUsage()).add(spec, placed)
         if log.isEnabledFor(logging.DEBUG):
             where = ",".join(f"{self.fleet.machines_by_index[index].name}*{count}" for index, count in placements)
-            log.debug("tasks placed job=%s attempt=%d tasks=%d machines=%s", job.job_id, attempt, placed, where)
+            log.debug("tasks placed: job=%s attempt=%d tasks=%d machines=%s", job.job_id, attempt, placed, where)
 
     def _wait_for_room(
         self,
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from hookwall.config.platform import StoreLimits
-from hookwall.protocol.http_client import NoResponseError, SendRequest, call, open_session
+from hookwall.protocol.errors import NoResponseError
+from hookwall.protocol.http_client import SendRequest, call, open_session
 from hookwall.storage import keys, wire_format
 from hookwall.storage.entries import (
     ChangeBatch,
--- a/hookwall/workers/delegation_record.py
+++ b/hookwall/workers/delegation_record.py
@@ -45,7 +45,7 @@
         del names[len(names) * 3 // 4 :]
         value = _encode_all(fencing_token, names, form, max_bytes)
     if len(names) < len(machines):
-        log.error("lease delegation truncated to the value limit named=%d requested=%d", len(names), len(machines))
+        log.error("lease delegation truncated to the value limit: named=%d requested=%d", len(names), len(machines))
     return EncodedDelegation(value, names)
 
 
@@ -75,7 +75,7 @@
         elif _NUMBERED in value:
             names = name_codec.decode(value[_NUMBERED])
     except MalformedRecordError as error:
-        log.error("malformed lease delegation reason=%s", error)
+        log.error("malformed lease delegation: reason=%s", error)
         return None
     if not isinstance(names, list):
         log.error("malformed lease delegation reason=no machines")
--- a/hookwall/workers/fleet_transitions.py
+++ b/hookwall/workers/fleet_transitions.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable, Iterable
 
 from hookwall.config.platform import PlatformParameters
-from hookwall.jobs.job import Allocation, Job
+from hookwall.jobs.allocation import Allocation
+from hookwall.jobs.job import Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.protocol.heartbeat_messages import TaskId
 from hookwall.workers.fleet_state import FleetState
@@ -52,7 +53,7 @@
         if machine.phase is phase:
             return
         log.info(
-            "machine phase changed machine=%s from=%s to=%s reason=%s",
+            "machine phase changed: machine=%s from=%s to=%s reason=%s",
             machine.name, machine.phase.value, phase.value, reason,
         )  # fmt: skip
         machine.phase = phase
@@ -116,7 +117,7 @@
             self.on_allocation_released(job, allocation)
         if log.isEnabledFor(logging.DEBUG):
             log.debug(
-                "allocation released job=%s task=%d attempt=%d machine=%s reason=%s",
+                "allocation released: job=%s task=%d attempt=%d machine=%s reason=%s",
                 job.job_id, allocation.task, allocation.attempt, allocation.machine, reason,
             )  # fmt: skip
         self.on_change()
@@ -150,6 +151,6 @@
             if each.stop_grace_s is None:
                 each.stop_grace_s = grace_s
         log.debug(
-            "stop requested job=%s task=%d machine=%s reason=%s",
+            "stop requested: job=%s task=%d machine=%s reason=%s",
             job.job_id, allocation.task, allocation.machine, reason,
         )  # fmt: skip
--- a/hookwall/workers/heartbeat_handler.py
+++ b/hookwall/workers/heartbeat_handler.py
@@ -76,7 +76,7 @@
         """
         if heartbeat.fencing_token != self.fleet.fencing_token or heartbeat.epoch != machine.epoch:
             if machine.acknowledges:
-                log.info("heartbeat shows no response received machine=%s", machine.name)
+                log.info("heartbeat shows no response received: machine=%s", machine.name)
             # The first heartbeat of all: it has had no chance yet. A worker that has just begun, as one that
             # has seen no token has, is trusted to get the response, and finds its first tasks in the next:
             # half a second later instead of three, of the 60 in which urgent work is to begin.
@@ -86,7 +86,7 @@
         elif now - machine.last_response_at < UNACKNOWLEDGED_S:
             machine.acknowledged_at = now
             if machine.unresponsive:
-                log.info("machine responsive again machine=%s", machine.name)
+                log.info("machine responsive again: machine=%s", machine.name)
                 machine.unresponsive = False
             if not machine.acknowledges:
                 machine.acknowledges = True
--- a/hookwall/workers/heartbeat_router.py
+++ b/hookwall/workers/heartbeat_router.py
@@ -13,8 +13,8 @@
 from hookwall.jobs.cancellations import CancellationLedger
 from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import heartbeat_messages
+from hookwall.protocol.errors import MalformedMessageError
 from hookwall.protocol.heartbeat_messages import Heartbeat, HeartbeatResponse
-from hookwall.protocol.json_messages import MalformedMessageError
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.lease_delegate import LeaseDelegate
 
@@ -61,7 +61,7 @@
         try:
             heartbeat = heartbeat_messages.decode_heartbeat(body)
         except MalformedMessageError as error:
-            log.info("malformed heartbeat reason=%s", error)
+            log.info("malformed heartbeat: reason=%s", error)
             return MALFORMED
         leadership = self.leadership
         leadership.worker_heartbeats_seen += 1
--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -181,10 +181,10 @@
             except RequestRejectedError as error:
                 # Not executed, so what is stored is as it was. A fleet that came all at once used up this
                 # node's changes, and each refusal ended the renewals for those that had been stored.
-                log.debug("lease delegation rejected machines=%d reason=%s", len(machines), error)
+                log.debug("lease delegation rejected: machines=%d reason=%s", len(machines), error)
                 return
             except (PreconditionFailedError, OutcomeUnknownError) as error:
-                log.debug("lease delegation not stored machines=%d reason=%s", len(machines), type(error).__name__)
+                log.debug("lease delegation not stored: machines=%d reason=%s", len(machines), type(error).__name__)
                 # The write may still happen and tie the key to a session lease that nobody renews, so what was
                 # delegated before can't be relied on either. The leader's view errs on the safe side.
                 self._invalidate()
@@ -208,7 +208,7 @@
     def _apply_stored(self, stored: StoredDelegation) -> None:
         """The key is stored: its machines are answered from now on."""
         if not self.delegated:
-            log.info("lease delegation begins leader=%s", self.leadership.leader_key.leader)
+            log.info("lease delegation begins: leader=%s", self.leadership.leader_key.leader)
         self.fencing_token = stored.fencing_token
         self.key_version = stored.key_version
         self.session_lease = stored.session_lease
@@ -286,12 +286,12 @@
         self.delegated_since.clear()
         self.redirects.clear()
         self.shrink_pending = False
-        log.info("lease delegation ended reason=%s", reason)
+        log.info("lease delegation ended: reason=%s", reason)
         if session_lease is not None:
             try:
                 await self.store.revoke_session_lease(session_lease)
             except (RequestRejectedError, OutcomeUnknownError) as error:
-                log.debug("session lease not revoked reason=%s", type(error).__name__)
+                log.debug("session lease not revoked: reason=%s", type(error).__name__)
 
 
 def _session_valid_until(sent_at: float) -> float:
--- a/hookwall/workers/lease_expiry.py
+++ b/hookwall/workers/lease_expiry.py
@@ -44,7 +44,7 @@
             if not machine.unresponsive and self._is_unresponsive(machine, valid_since, now):
                 machine.unresponsive = True
                 machine.acknowledges = False
-                log.info("machine unresponsive machine=%s", machine.name)
+                log.info("machine unresponsive: machine=%s", machine.name)
                 self.fleet.on_change()
             if self._has_expired(machine, valid_since, now):
                 self._expire(machine)
@@ -68,7 +68,7 @@
 
     def _expire(self, machine: Machine) -> None:
         """Release everything on a machine."""
-        log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.allocations))
+        log.info("lease expired: machine=%s tasks=%d", machine.name, len(machine.allocations))
         # A machine that hangs ends its tasks only when it goes on; cancelled ones must be gone before.
         machine.may_run_cancelled_tasks = machine.may_run_cancelled_tasks or any(
             job.phase == CANCELLED for job, _ in machine.allocations.values()
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -7,7 +7,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from hookwall.jobs.job import Allocation, Job
+from hookwall.jobs.allocation import Allocation
+from hookwall.jobs.job import Job
 from hookwall.protocol.heartbeat_messages import TaskId
 from hookwall.workers.resources import FreeCapacity
 
--- a/hookwall/workers/task_exits.py
+++ b/hookwall/workers/task_exits.py
@@ -6,7 +6,8 @@
 
 import logging
 
-from hookwall.jobs.job import OPEN, Allocation, Job
+from hookwall.jobs.allocation import Allocation
+from hookwall.jobs.job import OPEN, Job
 from hookwall.workers.fleet_transitions import FleetTransitions
 from hookwall.workers.machine import Machine, MachinePhase
 
@@ -39,7 +40,7 @@
             job.retry_not_before = self.fleet.clock() + UNKNOWN_IMAGE_PAUSE_S
         if cause not in ("done", "halted") and job.phase == OPEN:
             log.info(
-                "task ended job=%s task=%d attempt=%d machine=%s cause=%s",
+                "task ended: job=%s task=%d attempt=%d machine=%s cause=%s",
                 job.job_id, allocation.task, allocation.attempt, machine.name, cause,
             )  # fmt: skip
         self.fleet.release_allocation(job, allocation, cause)
--- a/hookwall/workers/task_reconciliation.py
+++ b/hookwall/workers/task_reconciliation.py
@@ -6,7 +6,8 @@
 
 import logging
 
-from hookwall.jobs.job import CANCELLED, OPEN, Allocation, Job
+from hookwall.jobs.allocation import Allocation
+from hookwall.jobs.job import CANCELLED, OPEN, Job
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.heartbeat_messages import Command, Heartbeat, TaskId, TaskStatus
 from hookwall.workers.fleet_transitions import FleetTransitions
@@ -76,7 +77,7 @@
         """A task has gone on to another phase."""
         job, allocation = allocated
         log.debug(
-            "task phase changed task=%s attempt=%d machine=%s phase=%s",
+            "task phase changed: task=%s attempt=%d machine=%s phase=%s",
             status.task_id, status.attempt, machine.name, status.phase,
         )  # fmt: skip
         allocation.reported_phase = status.phase
--- a/tests/api/test_job_service.py
+++ b/tests/api/test_job_service.py
@@ -12,7 +12,7 @@
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.record_reader import JobRecordReader
 from hookwall.storage import keys
-from hookwall.storage.client import PreconditionFailedError
+from hookwall.storage.errors import PreconditionFailedError
 from hookwall.storage.read_confirmation import ReadConfirmation
 
 
--- a/tests/jobs/test_job_table.py
+++ b/tests/jobs/test_job_table.py
@@ -9,7 +9,8 @@
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs.job import jobs_to_write
 from hookwall.jobs.job_table import JobTable
-from hookwall.storage.job_records import decode_ranges, encode_plain, encode_ranges
+from hookwall.storage.job_records import encode_plain
+from hookwall.storage.task_ranges import decode_ranges, encode_ranges
 
 
 def test_task_ranges_round_trip_and_stay_small():
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -10,14 +10,14 @@
 from sample_records import chunked_record
 
 from hookwall.config.platform import StoreLimits
-from hookwall.jobs.job import Allocation
+from hookwall.jobs.allocation import Allocation
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
 from hookwall.jobs.start_record_budget import BYTES_PER_MACHINE, BYTES_PER_START
 from hookwall.leadership.roles import Role
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.storage import keys
-from hookwall.storage.client import OutcomeUnknownError, PreconditionFailedError
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError
 from hookwall.storage.job_records import JobRecord, encode_record, json_bytes, usable_value_bytes
 from hookwall.workers.delegated_leases import DelegatedLeases
 from hookwall.workers.delegation_guard import DelegationGuard
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -13,7 +13,7 @@
 from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 from hookwall.storage import keys
-from hookwall.storage.client import VersionedValue
+from hookwall.storage.entries import VersionedValue
 
 
 def test_a_candidate_needs_a_majority(state: FakeState, clock: Clock):
--- a/tests/leadership/test_replaced_leader_key.py
+++ b/tests/leadership/test_replaced_leader_key.py
@@ -10,7 +10,7 @@
 from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S, VOTE_GRANT_S
 from hookwall.storage import keys
-from hookwall.storage.client import RequestRejectedError
+from hookwall.storage.errors import RequestRejectedError
 
 
 def abandoned_elections(lead: Leadership) -> list[object]:
--- a/tests/leadership/test_vote_fence.py
+++ b/tests/leadership/test_vote_fence.py
@@ -9,7 +9,7 @@
 from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 from hookwall.storage import keys
-from hookwall.storage.client import OutcomeUnknownError
+from hookwall.storage.errors import OutcomeUnknownError
 
 MY_KEY = keys.VOTE_FENCE_PREFIX + "n0"
 
--- a/tests/storage/test_client.py
+++ b/tests/storage/test_client.py
@@ -7,8 +7,9 @@
 from key_value_stub import LOWER_LIMITS, store_with
 
 from hookwall.config.platform import PlatformParameters, StoreLimits
-from hookwall.protocol.http_client import NoResponseError
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, RequestRejectedError, RequestTooLargeError
+from hookwall.protocol.errors import NoResponseError
+from hookwall.storage.client import KeyValueClient
+from hookwall.storage.errors import OutcomeUnknownError, RequestRejectedError, RequestTooLargeError
 
 
 @pytest.mark.parametrize(
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -15,7 +15,8 @@
 from hookwall.protocol.peer_messages import KnownCancellations, PeerStatus, decode_response
 from hookwall.storage import job_records, keys
 from hookwall.storage.storage_version import CURRENT_VERSION, StorageVersionGate
-from hookwall.workers.delegated_leases import DelegatedLeases, decode_machines
+from hookwall.workers.delegated_leases import DelegatedLeases
+from hookwall.workers.delegation_record import decode_machines
 
 SAMPLES = Path(__file__).parent.parent / "golden"
 GOLDEN = json.loads((SAMPLES / "format_1.json").read_text(encoding="utf-8"))
--- a/tests/storage/test_job_records.py
+++ b/tests/storage/test_job_records.py
@@ -9,12 +9,8 @@
 from hookwall.protocol import job_messages
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_table import ChunkTable
-from hookwall.storage.job_records import (
-    JobRecord,
-    MalformedRecordError,
-    MissingChunksError,
-    RecordTooLargeError,
-)
+from hookwall.storage.errors import MalformedRecordError, MissingChunksError, RecordTooLargeError
+from hookwall.storage.job_records import JobRecord
 
 JOB_ID = "run-000001"
 LIMIT = job_records.usable_value_bytes(2.0)
--- a/tests/storage/test_rate_shares.py
+++ b/tests/storage/test_rate_shares.py
@@ -7,7 +7,7 @@
 from key_value_stub import LOWER_LIMITS, NODES, store_with
 
 from hookwall.config.platform import PlatformParameters
-from hookwall.storage.client import RequestRejectedError
+from hookwall.storage.errors import RequestRejectedError
 from hookwall.storage.rate_limit import TokenBucket
 
 
--- a/tests/workers/test_lease_delegate.py
+++ b/tests/workers/test_lease_delegate.py
@@ -11,7 +11,7 @@
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.heartbeat_messages import Heartbeat
 from hookwall.storage import keys
-from hookwall.storage.client import PreconditionFailedError
+from hookwall.storage.errors import PreconditionFailedError
 from hookwall.storage.job_records import encode_plain, json_bytes, usable_value_bytes
 from hookwall.workers.delegation_record import decode_machines
 from hookwall.workers.lease_delegate import LEADER_SILENCE_S, SESSION_LEASE_S, LeaseDelegate
