--- a/hookwall/__main__.py
+++ b/hookwall/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m hookwall`: the command line."""
+
 import sys
 
 from hookwall.cli import main
--- a/hookwall/cli.py
+++ b/hookwall/cli.py
@@ -7,8 +7,9 @@
 import sys
 
 from hookwall import __version__
-from hookwall.config.operations import load_operations as load_operations
-from hookwall.config.platform import InvalidSettingsError, load_settings
+from hookwall.config.checks import InvalidSettingsError
+from hookwall.config.operations import load_operations
+from hookwall.config.platform import load_settings
 
 GC_EVERY = 10_000  # new objects
 
@@ -32,6 +33,7 @@
 
 
 def log_to_stderr(level: str) -> None:
+    """Log lines of this level and above go to standard error; InvalidSettingsError for an unknown level."""
     if level not in LEVELS:
         raise InvalidSettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, is {level!r}")
     logging.basicConfig(
@@ -42,6 +44,7 @@
 
 
 def run_serve(args: argparse.Namespace) -> int:
+    """Run one controller node until it is killed; returns the exit status."""
     log_to_stderr(os.environ.get("LOG_LEVEL") or "error")
     settings = load_settings(args.config)
     operations = load_operations(args.operations, settings.platform)
@@ -72,10 +75,11 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Entry point: run a command and return its exit status."""
     words = sys.argv[1:] if argv is None else argv
     args = parser(with_tools=words[:1] != ["serve"]).parse_args(words)
     try:
-        return args.run(args)
+        return int(args.run(args))
     except InvalidSettingsError as e:
         print(f"hookwall: {e}", file=sys.stderr)
         return 2
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -13,7 +13,8 @@
 from hookwall.jobs.allocation import NEVER, Allocation, StoredStart
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.storage.entries import StoredValue
-from hookwall.storage.job_records import JobRecord, StoredAllocation, decode_ranges, encode_ranges
+from hookwall.storage.job_records import JobRecord, StoredAllocation
+from hookwall.storage.task_ranges import decode_ranges, encode_ranges
 
 __all__ = ["CANCELLED", "DONE", "NEVER", "OPEN", "Allocation", "Job", "StoredStart", "jobs_to_write"]
 
@@ -162,7 +163,8 @@
         if self.phase == DONE:
             record.finished_at = self.finished_at
         if self.phase == OPEN or allocations:
-            assert self.spec is not None and self.done_flags is not None
+            assert self.spec is not None
+            assert self.done_flags is not None
             record.spec = self.spec
             record.submitted_at = self.submitted_at
             done_tasks = (task for task, done in enumerate(self.done_flags) if done)
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -94,8 +94,8 @@
                 response = self._pending.pop(message.get(SERIAL_FIELD, NO_SERIAL), None)
                 if response is not None and not response.done():
                     response.set_result(message)
-        except Exception as error:  # whatever a peer sends must not end this node
-            log.debug("peer connection ended peer=%s error=%s", self.name, type(error).__name__)
+        except Exception as error:  # noqa: BLE001 - whatever a peer sends must not end this node
+            log.debug("peer connection ended: peer=%s error=%s", self.name, type(error).__name__)
         finally:
             self._close(writer)
 
@@ -117,8 +117,8 @@
                 await writer.drain()
         except (asyncio.IncompleteReadError, OSError):
             pass
-        except Exception as error:  # whatever a peer sends must not end this node
-            log.info("peer connection dropped error=%s: %s", type(error).__name__, error)
+        except Exception as error:  # noqa: BLE001 - whatever a peer sends must not end this node
+            log.info("peer connection dropped: error=%s: %s", type(error).__name__, error)
         finally:
             writer.close()
 
--- a/hookwall/node/key_dispatch.py
+++ b/hookwall/node/key_dispatch.py
@@ -6,7 +6,6 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
@@ -20,11 +19,12 @@
 from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import json_messages
 from hookwall.protocol.cloud_messages import Catalog
-from hookwall.protocol.json_messages import MalformedMessageError
+from hookwall.protocol.errors import MalformedMessageError
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage import keys
-from hookwall.storage.client import KeyValueClient, OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
+from hookwall.storage.client import KeyValueClient
 from hookwall.storage.entries import KeyValueEntry
+from hookwall.storage.errors import OutcomeUnknownError, PreconditionFailedError, RequestRejectedError
 from hookwall.storage.storage_version import StorageVersionGate
 from hookwall.storage.watch import WatchProgress
 from hookwall.workers.delegation_guard import DelegationGuard
@@ -71,7 +71,7 @@
 
     # -- single changes ------------------------------------------------------------------------
 
-    def apply_key(self, key: str, value: Any, version: int) -> None:
+    def apply_key(self, key: str, value: object, version: int) -> None:
         """A key has this value since `version`."""
         if key.startswith(keys.JOB_PREFIX):
             self.job_table.apply_record(key, value, version)
@@ -162,7 +162,7 @@
 
     # -- the catalog of machine types ----------------------------------------------------------
 
-    def _apply_stored_catalog(self, value: Any) -> None:
+    def _apply_stored_catalog(self, value: object) -> None:
         """Another node has stored the catalog."""
         try:
             catalog = json_messages.convert_message(value, Catalog)
--- a/hookwall/workers/delegation_guard.py
+++ b/hookwall/workers/delegation_guard.py
@@ -52,7 +52,7 @@
         The watch delivers each value that a key has had, so it is waited for. A read shows the last one only, and
         machines that another value named meanwhile had their leases renewed as well.
         """
-        log.info("lease delegations changed; unsaved decisions are void keys=%s", ",".join(changed))
+        log.info("lease delegations changed; unsaved decisions are void: keys=%s", ",".join(changed))
         if await self._watch_reaches(revision):
             self.table.revert_unsaved()
             return
@@ -67,7 +67,7 @@
     async def _watch_reaches(self, revision: int) -> bool:
         """Wait for the watch to deliver all changes up to a revision; False if it takes too long."""
         deadline = self.clock() + WATCH_WAIT_S
-        while self.watched_revision() < revision and self.clock() < deadline:
+        while self.watched_revision() < revision and self.clock() < deadline:  # noqa: ASYNC110 - the watch has no event
             await asyncio.sleep(WATCH_POLL_S)
         return self.watched_revision() >= revision > 0
 
--- a/run.py
+++ b/run.py
@@ -15,6 +15,7 @@
     """
 
     def get_code(self, fullname: str) -> object:
+        """The code of a module, from `target/pycache` where the build compiled it."""
         sys.pycache_prefix = os.path.join(ROOT, "target", "pycache")
         try:
             return super().get_code(fullname)
--- a/tests/config/test_platform_settings.py
+++ b/tests/config/test_platform_settings.py
@@ -3,7 +3,6 @@
 from pathlib import Path
 
 import pytest
-from pytest import CaptureFixture, MonkeyPatch
 
 from hookwall.cli import main
 from hookwall.config import platform
@@ -59,7 +58,9 @@
         ("size = 2", "size = = 2", "--config"),
     ],
 )
-def test_bad_settings_end_with_one_line_that_names_the_field(tmp_path: Path, capsys: CaptureFixture, old, new, field):
+def test_bad_settings_end_with_one_line_that_names_the_field(
+    tmp_path: Path, capsys: pytest.CaptureFixture, old, new, field
+):
     file = tmp_path / "settings.toml"
     file.write_text(GOOD.replace(old, new))
     assert main(["serve", "--config", str(file)]) == 2
@@ -67,7 +68,7 @@
     assert field in error and error.count("\n") == 1
 
 
-def test_a_bad_log_level_is_refused(tmp_path: Path, capsys: CaptureFixture, monkeypatch: MonkeyPatch):
+def test_a_bad_log_level_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture, monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setenv("LOG_LEVEL", "loud")
     assert main(["serve", "--config", str(tmp_path / "none")]) == 2
     assert "LOG_LEVEL" in capsys.readouterr().err
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -7,7 +7,6 @@
 
 import pytest
 from conftest import Clock, FakeState
-from pytest import MonkeyPatch
 
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs import cancellations
@@ -112,7 +111,7 @@
     assert ledger.known_cancellations(None).cancellations == [("run-000002", 35)]
 
 
-def test_more_than_a_message_holds_is_not_complete(ledger: CancellationLedger, monkeypatch: MonkeyPatch):
+def test_more_than_a_message_holds_is_not_complete(ledger: CancellationLedger, monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(cancellations, "MAX_PER_MESSAGE", 2)
     ledger.all_records_read = True
     for n in range(3):
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -3,7 +3,6 @@
 import msgspec
 import pytest
 from conftest import Cluster
-from pytest import MonkeyPatch
 from scheduling_steps import bring_up
 
 from hookwall.config.platform import MachineLimits, PlatformParameters
@@ -32,7 +31,7 @@
     assert len(a.allocations) + len(b.allocations) == 16
 
 
-def test_a_round_out_of_time_goes_on_where_it_stopped(cluster: Cluster, monkeypatch: MonkeyPatch):
+def test_a_round_out_of_time_goes_on_where_it_stopped(cluster: Cluster, monkeypatch: pytest.MonkeyPatch):
     bring_up(cluster, *[f"vm-{i}" for i in range(8)])
     jobs = [cluster.submit(n, pieces=1) for n in range(1, 21)]
     place = machine_selection.place
