--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -11,11 +11,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from production import OLD_NODES
-
 from harness.cloud import FakeCloud
 from harness.frozen_process import run_while_not_frozen
 from harness.key_value_store import FakeKeyValueStore
+from harness.older_versions import OLD_NODES
 from harness.peer_link import PeerLink
 from harness.rules import JobFacts, RuleChecker
 from harness.users import UserRequests
--- a/tests/harness/users.py
+++ b/tests/harness/users.py
@@ -5,10 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from conftest import description
-
 from harness.key_value_store import FakeKeyValueStore
 from harness.rules import JobFacts, RuleChecker
+from harness.submissions import description
 from harness.worker import STEP_S, FakeWorker
 from hookwall.node.node import Node
 
--- a/tests/node/test_cost.py
+++ b/tests/node/test_cost.py
@@ -1,11 +1,12 @@
-"""What one report, poll, hint or list costs must not grow with the fleet: operations are counted, not seconds."""
+"""What one heartbeat, poll, hint or list costs must not grow with the fleet: operations are counted, not seconds."""
 
 import sys
 from collections.abc import Callable
+from types import FrameType
 
 import pytest
-from conftest import Clock
-from leading_node import leading, report
+from harness.fake_clock import Clock
+from harness.leading_node import leading, report
 
 from hookwall.config.platform import PlatformParameters
 from hookwall.leadership.peer_transport import MAX_FRAME_BYTES, encode_frame
@@ -18,7 +19,7 @@
     """How many calls of Python and built-in functions `work` makes."""
     count = 0
 
-    def profile(frame, event, argument) -> None:
+    def profile(_frame: FrameType, event: str, _argument: object) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
@@ -31,11 +32,12 @@
 
 
 @pytest.fixture
-def fleets(params: PlatformParameters, clock: Clock):
+def fleets(params: PlatformParameters, clock: Clock) -> list[Node]:
+    """Leaders of a small and of a large fleet."""
     return [leading(params, clock, machines) for machines in FLEETS]
 
 
-def test_a_report_costs_the_same_in_any_fleet(fleets):
+def test_a_heartbeat_costs_the_same_in_any_fleet(fleets):
     small, large = (operations(lambda node=node: node.heartbeat_router.respond(report(7, 2))) for node in fleets)
     assert 0 < large <= small
 
@@ -50,30 +52,30 @@
     assert 0 < large <= small
 
 
-def test_an_answer_to_a_ping_costs_the_same_in_any_fleet(fleets):
+def test_a_response_to_a_ping_costs_the_same_in_any_fleet(fleets):
     ping = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3}
     small, large = (operations(lambda node=node: node.leadership.handle_peer_message(ping)) for node in fleets)
     assert 0 < large <= small
 
 
-def test_a_kept_lease_costs_the_same_in_any_fleet(fleets):
-    """A follower answers a worker whose name its key has already."""
+def test_a_delegated_lease_costs_the_same_in_any_fleet(fleets):
+    """A lease delegate looks up a worker that its key already names."""
     for node in fleets:
         node.lease_delegate.delegated = set(node.fleet.machines)
     small, large = (operations(lambda node=node: node.lease_delegate.covers("vm-000007")) for node in fleets)
     assert 0 < large <= small
 
 
-def test_the_machine_list_takes_half_of_the_cloud_s_requests_at_most(fleets, params: PlatformParameters):
+def test_the_machine_list_uses_half_of_the_cloud_s_requests_at_most(fleets, params: PlatformParameters):
     for node in fleets:
-        lists = node.scale_out.inventory
-        pages = -(-len(node.fleet.machines) // lists.client.page_size)
-        assert lists.interval_s() >= max(4.0, 2 * pages / params.cloud.rps)
+        inventory = node.scale_out.inventory
+        pages = -(-len(node.fleet.machines) // inventory.client.page_size)
+        assert inventory.interval_s() >= max(4.0, 2 * pages / params.cloud.rps)
     assert fleets[0].scale_out.inventory.interval_s() == 4.0, "small fleets are listed as often as before"
 
 
-def test_rounds_of_a_full_fleet_cost_a_few_operations_a_machine(fleets):
-    """A round looks at each machine's free capacity. What it does beside that is bounded by its budget of time."""
+def test_lease_expiry_in_a_full_fleet_costs_a_few_operations_a_machine(fleets):
+    """What a scheduling round does for each machine before it places; the rest is bounded by its budget of time."""
     costs = []
     for node in fleets:
         node.fleet.expire_leases(node.clock())
