--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -15,7 +15,7 @@
 from hookwall.protocol import json_messages
 from hookwall.protocol.cloud_messages import Catalog, ListedMachine, MachineListPage, ProvisionedMachines
 from hookwall.protocol.errors import MalformedMessageError, NoResponseError
-from hookwall.protocol.http_client import call, open_session
+from hookwall.protocol.http_client import request_json, open_session
 from hookwall.protocol.json_messages import Message
 from hookwall.storage.rate_limit import TokenBucket
 
@@ -48,7 +48,7 @@
         """`rps`: requests a second that the cloud allows."""
         self.base_url = f"http://{address}"
         self.session: aiohttp.ClientSession | None = None
-        self.call = call  # tests put a stand-in here
+        self.call = request_json  # tests put a stand-in here
         self.bucket = TokenBucket(rps * RATE_SHARE, max(1.0, rps * BURST_S), clock)
 
     async def open(self) -> None:
--- a/hookwall/protocol/http_client.py
+++ b/hookwall/protocol/http_client.py
@@ -32,7 +32,7 @@
     return aiohttp.ClientSession(connector=connector, auto_decompress=False)
 
 
-async def call(
+async def request_json(
     session: aiohttp.ClientSession | None, method: str, url: str, body: object, timeout: float
 ) -> HttpResult:
     """Status and raw body of one request.
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -16,7 +16,7 @@
 
 from hookwall.config.platform import StoreLimits
 from hookwall.protocol.errors import NoResponseError
-from hookwall.protocol.http_client import SendRequest, call, open_session
+from hookwall.protocol.http_client import SendRequest, request_json, open_session
 from hookwall.storage import keys, wire_format
 from hookwall.storage.entries import (
     ChangeBatch,
@@ -82,7 +82,7 @@
         limits: StoreLimits,
         node_count: int,
         clock: Callable[[], float],
-        send_request: SendRequest = call,
+        send_request: SendRequest = request_json,
     ) -> None:
         """Prepare requests to `host:port` for one of `node_count` nodes that share the limits."""
         self.base_url = f"http://{address}"
