--- a/hookwall/drains/command.py
+++ b/hookwall/drains/command.py
@@ -61,18 +61,18 @@
         store: KeyValueClient,
         client: CloudClient,
         print_line: Callable[[str], None] = print,
-        wall: Callable[[], float] = time.time,
+        time_of_day: Callable[[], float] = time.time,
         clock: Callable[[], float] = time.monotonic,
         *,
         json: bool = False,
     ) -> None:
-        """Print through `print_line`, as one JSON value or as text; `wall` and `clock` are in seconds."""
+        """Print through `print_line`, as one JSON value or as text; `time_of_day` and `clock` are in seconds."""
         self.settings = settings
         self.operations = operations
         self.store = store
         self.client = client
         self.print_line = print_line
-        self.wall = wall
+        self.time_of_day = time_of_day
         self.clock = clock
         self.json = json
 
@@ -104,10 +104,10 @@
         if known is not None:
             return self._print_existing(snapshot, name, known.record.request_digest == requested.digest())
         machines = self._select_machines(snapshot, requested)
-        record = request.new_drain_record(requested, machines, self.wall())
+        record = request.new_drain_record(requested, machines, self.time_of_day())
         key = drain_keys.drain_key(name)
         await self.store.commit([Precondition(key, ABSENT)], [Put(key, records.encode(record))])
-        view = report.drain_view(name, record, {}, self.wall())
+        view = report.drain_view(name, record, {}, self.time_of_day())
         outdated_nodes = snapshot.nodes_without_drains()
         if outdated_nodes:
             view.reason = f"begins once these nodes run a program that knows drains: {', '.join(outdated_nodes)}"
@@ -127,7 +127,7 @@
             if not wait_s or not active or self.clock() >= until:
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
-        self._print_status(report.status_view(snapshot, names, self.wall()))
+        self._print_status(report.status_view(snapshot, names, self.time_of_day()))
         return ExitCode.WAITING if wait_s and active else ExitCode.OK
 
     async def abort(self, name: str) -> ExitCode:
@@ -142,11 +142,11 @@
         """Put empty machines back in service after maintenance."""
         steps = {machine: await self._read_empty_step(name, machine) for machine in machines}
         for machine, (step, version) in steps.items():
-            changed = msgspec.structs.replace(step, phase=StepPhase.RELEASED, changed_at=self.wall())
+            changed = msgspec.structs.replace(step, phase=StepPhase.RELEASED, changed_at=self.time_of_day())
             key = drain_keys.step_key(machine)
             await self.store.commit([Precondition(key, version)], [Put(key, records.encode(changed))])
         views = [
-            report.step_view(machine, msgspec.structs.replace(step, phase=StepPhase.RELEASED), self.wall())
+            report.step_view(machine, msgspec.structs.replace(step, phase=StepPhase.RELEASED), self.time_of_day())
             for machine, (step, _) in steps.items()
         ]
         self._print(views, [f"{view.machine}: {view.phase}" for view in views])
@@ -201,7 +201,7 @@
             except PreconditionFailedError:
                 if attempt == MAX_ATTEMPTS:
                     raise
-        view = report.drain_view(name, changed, {}, self.wall())
+        view = report.drain_view(name, changed, {}, self.time_of_day())
         self._print_status(report.StatusView(drains=[view], budgets=[]))
         return ExitCode.OK
 
@@ -218,7 +218,7 @@
             raise InvalidDrainRequestError(
                 f"NAME: drain {name} is {record.phase.value}; this needs one that is {allowed}"
             )
-        changed = change(record, self.wall())
+        changed = change(record, self.time_of_day())
         await self.store.commit([Precondition(key, stored.version)], [Put(key, records.encode(changed))])
         return changed
 
@@ -235,7 +235,7 @@
         self._print(status, report.status_text(status))
 
     def _print_existing(self, snapshot: ClusterSnapshot, name: str, same_request: bool) -> ExitCode:
-        self._print_status(report.status_view(snapshot, [name], self.wall()))
+        self._print_status(report.status_view(snapshot, [name], self.time_of_day()))
         if same_request:
             return ExitCode.OK
         raise InvalidDrainRequestError(f"NAME: drain {name} exists already with other terms; choose another name")
--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -60,19 +60,19 @@
         store: KeyValueClient,
         leadership: Leadership,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        time_of_day: Callable[[], float],
         *,
         drains_allowed: Callable[[], bool],
         is_confirmed_deleted: Callable[[str], bool],
     ) -> None:
         """Share the cordoned machines with `fleet` and the relocated jobs with `scheduler`.
 
-        `clock` is monotonic, `wall` the time of day, both in seconds. `drains_allowed`: whether the program of every
-        node knows drains; `is_confirmed_deleted`: whether a machine is known to be deleted.
+        `clock` is monotonic; it and `time_of_day` are in seconds. `drains_allowed`: whether the program of every node
+        knows drains; `is_confirmed_deleted`: whether a machine is known to be deleted.
         """
         self.fleet = fleet
         self.clock = clock
-        self.wall = wall
+        self.time_of_day = time_of_day
         self._drains_allowed = drains_allowed
         self._is_confirmed_deleted = is_confirmed_deleted
         jobs = scheduler.table
@@ -80,9 +80,9 @@
         self.table = DrainTable(self.ledger)
         self.writer = DrainWriter(self.table, self.ledger, store, leadership)
         self.planning_view = PlanningView(jobs, fleet, scheduler, self.ledger)
-        self.plan_builder = PlanBuilder(self.table, self.planning_view, scheduler, clock, wall)
-        self.disruptions = DisruptionRecorder(self.ledger, jobs, fleet, clock, wall)
-        self.transitions = DrainTransitions(self.table, self.writer, fleet, self.disruptions, clock, wall)
+        self.plan_builder = PlanBuilder(self.table, self.planning_view, scheduler, clock, time_of_day)
+        self.disruptions = DisruptionRecorder(self.ledger, jobs, fleet, clock, time_of_day)
+        self.transitions = DrainTransitions(self.table, self.writer, fleet, self.disruptions, clock, time_of_day)
         self.awaiting_capacity: dict[str, list[Occupant]] = {}  # by drain, jobs that wait for capacity elsewhere
         self._ledger_stored_at: float | None = None
         self._connect(fleet, scheduler)
@@ -168,7 +168,7 @@
         record = self.table.drains[name].record
         if record.phase is DrainPhase.REQUESTED:
             await self.transitions.begin(name)
-        if record.is_overdue(self.wall()) and record.deadline_policy is DeadlinePolicy.ABORT:
+        if record.is_overdue(self.time_of_day()) and record.deadline_policy is DeadlinePolicy.ABORT:
             await self.transitions.transition_to(name, DrainPhase.ABORTED, DEADLINE_REASON)
             return
         await self._follow_machines(name)
@@ -182,7 +182,7 @@
             await self.transitions.cordon(name, machine)
         for eviction in plan.evictions:
             await self.transitions.evict(name, eviction)
-        if record.is_overdue(self.wall()) and record.deadline_policy is DeadlinePolicy.SKIP_WAITS:
+        if record.is_overdue(self.time_of_day()) and record.deadline_policy is DeadlinePolicy.SKIP_WAITS:
             self._end_stopping_tasks(name, plan.waits)
         await self._store_wait_reason(name, plan.waits)
 
--- a/hookwall/drains/disruption_recorder.py
+++ b/hookwall/drains/disruption_recorder.py
@@ -50,14 +50,14 @@
         jobs: JobTable,
         fleet: Fleet,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        time_of_day: Callable[[], float],
     ) -> None:
-        """Record in `ledger`; `clock` is monotonic, `wall` the time of day, both in seconds."""
+        """Record in `ledger`; `clock` is monotonic; it and `time_of_day` are in seconds."""
         self.ledger = ledger
         self.jobs = jobs
         self.fleet = fleet
         self.clock = clock
-        self.wall = wall
+        self.time_of_day = time_of_day
         # Jobs whose eviction is entered and may not have been stored yet, and until when that counts.
         self.charged_until: dict[str, float] = {}
         # Jobs that drains have evicted, until as many of their tasks run as before.
@@ -66,7 +66,7 @@
     def record_stop_request(self, job: Job) -> None:
         """A job's tasks are about to be stopped, for whatever reason."""
         if job.phase == OPEN and job.spec is not None:
-            self.ledger.record_disruption(job.job_id, job.spec.team, running_task_count(job), self.wall())
+            self.ledger.record_disruption(job.job_id, job.spec.team, running_task_count(job), self.time_of_day())
 
     def record_lost_allocation(self, job: Job, allocation: Allocation) -> None:
         """An allocation ended without its task being done. It is no longer among the job's allocations."""
@@ -84,7 +84,7 @@
         )
         if allocation.reported_phase in RUNNING_PHASES or may_have_run:
             running = running_task_count(job) + 1
-            self.ledger.record_disruption(job.job_id, job.spec.team, running, self.wall())
+            self.ledger.record_disruption(job.job_id, job.spec.team, running, self.time_of_day())
 
     def charge_eviction(self, job: Job) -> None:
         """A drain is about to evict a job: entered before that is stored."""
@@ -99,7 +99,7 @@
 
     def begin_leadership(self) -> None:
         """A new leadership: whatever has not recovered is being relocated, whoever stopped it."""
-        self.ledger.begin_leadership(self.wall())
+        self.ledger.begin_leadership(self.time_of_day())
         self.charged_until.clear()
         self.relocating.clear()
         for entry in self.ledger.entries():
@@ -108,7 +108,7 @@
 
     def update_recovery(self) -> None:
         """Mark the jobs that have recovered."""
-        self.ledger.update_recovery(self.recovered_task_count, self.wall())
+        self.ledger.update_recovery(self.recovered_task_count, self.time_of_day())
         for job_id, running_before in list(self.relocating.items()):
             running = self.recovered_task_count(job_id)
             if running is None or running >= running_before:
--- a/hookwall/drains/drain_transitions.py
+++ b/hookwall/drains/drain_transitions.py
@@ -36,15 +36,15 @@
         fleet: Fleet,
         disruptions: DisruptionRecorder,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        time_of_day: Callable[[], float],
     ) -> None:
-        """Change `table` through `writer`; `clock` is monotonic, `wall` the time of day, both in seconds."""
+        """Change `table` through `writer`; `clock` is monotonic; it and `time_of_day` are in seconds."""
         self.table = table
         self.writer = writer
         self.fleet = fleet
         self.disruptions = disruptions
         self.clock = clock
-        self.wall = wall
+        self.time_of_day = time_of_day
         self.progressed_at: dict[str, float] = {}
         self.reason_stored_at: dict[str, float] = {}
 
@@ -58,7 +58,7 @@
     async def transition_to(self, name: str, phase: DrainPhase, reason: str) -> None:
         """The one function for every change of a drain's phase or reason."""
         record = self.table.drains[name].record
-        now = self.wall()
+        now = self.time_of_day()
         if phase is not record.phase:
             log.info(
                 "drain phase changed: drain=%s from=%s to=%s reason=%s", name, record.phase.value, phase.value, reason
@@ -84,7 +84,7 @@
 
     async def cordon(self, name: str, machine: str) -> None:
         """A machine gets no new work, and nothing stays reserved on it."""
-        now = self.wall()
+        now = self.time_of_day()
         step = StepRecord(drain=name, phase=StepPhase.CORDONED, cordoned_at=now, changed_at=now)
         await self._write_step(name, machine, step)
         known = self.fleet.machines.get(machine)
@@ -129,7 +129,7 @@
         self.fleet.on_change()
 
     def _changed(self, step: StepRecord, phase: StepPhase, **changes: int) -> StepRecord:
-        return msgspec.structs.replace(step, phase=phase, changed_at=self.wall(), **changes)
+        return msgspec.structs.replace(step, phase=phase, changed_at=self.time_of_day(), **changes)
 
     async def _write_step(self, name: str, machine: str, step: StepRecord) -> None:
         await self.writer.write_step(name, machine, step)
--- a/hookwall/drains/plan_builder.py
+++ b/hookwall/drains/plan_builder.py
@@ -24,14 +24,14 @@
         planning_view: PlanningView,
         scheduler: Scheduler,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        time_of_day: Callable[[], float],
     ) -> None:
-        """Plan from `table` and `planning_view`; `clock` is monotonic, `wall` the time of day, both in seconds."""
+        """Plan from `table` and `planning_view`; `clock` is monotonic; it and `time_of_day` are in seconds."""
         self.table = table
         self.planning_view = planning_view
         self.scheduler = scheduler
         self.clock = clock
-        self.wall = wall
+        self.time_of_day = time_of_day
         self._next_search_at: dict[str, float] = {}  # by drain; not before this moment again
         self._cursor: dict[str, int] = {}  # by drain, where the search goes on
 
@@ -49,12 +49,12 @@
         searches = len(steps) < record.batch_size and self._may_search(name, now)
         if searches:
             candidates += self._next_candidates(name, now)
-        skip_waits = record.deadline_policy is DeadlinePolicy.SKIP_WAITS and record.is_overdue(self.wall())
+        skip_waits = record.deadline_policy is DeadlinePolicy.SKIP_WAITS and record.is_overdue(self.time_of_day())
         terms = DrainTerms(record.batch_size, record.finish_grace_s, record.allow_unbudgeted, skip_waits)
         free_capacities = self.planning_view.free_capacities(now) if steps else []
         until = self.clock() + self.scheduler.budget_s
         budgets = self.planning_view.team_budgets()
-        plan = plan_drain(terms, candidates, budgets, free_capacities, self.wall(), lambda: self.clock() < until)
+        plan = plan_drain(terms, candidates, budgets, free_capacities, self.time_of_day(), lambda: self.clock() < until)
         if searches and not plan.cordon:
             self._next_search_at[name] = now + SEARCH_INTERVAL_S
         return plan
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -9,7 +9,6 @@
 from harness.drain_simulation import TEAMS, Operator, cordoned, drain_phases, operations
 from harness.play import play
 from harness.simulation import Simulation
-from pytest import CaptureFixture
 from test_drains import BLUE, LONG_S, RED, WHOLE, drained, machine_of, running_jobs
 
 from hookwall.config.operations import Operations, validate_operations
@@ -37,7 +36,7 @@
         (["--share", "1.5"], "--share: must be a number above 0 and up to 1"),
     ],
 )
-def test_invalid_input_is_named_and_changes_nothing(words, message, capsys: CaptureFixture):
+def test_invalid_input_is_named_and_changes_nothing(words, message, capsys: pytest.CaptureFixture[str]):
     async def scenario(w: Simulation, operator):
         for action in (["plan"], ["start", "kernel"]):
             code, value = await operator(*action, *words)
@@ -48,7 +47,7 @@
     drained(scenario)
 
 
-def test_invalid_names_and_options_that_are_no_numbers_are_refused(capsys: CaptureFixture):
+def test_invalid_names_and_options_that_are_no_numbers_are_refused(capsys: pytest.CaptureFixture[str]):
     async def scenario(w: Simulation, operator):
         for name in ("Kernel", "a/b", "x" * 65, ""):
             assert (await operator("start", name, "--zone", "east"))[0] == ExitCode.BAD_INPUT
@@ -61,7 +60,7 @@
     drained(scenario)
 
 
-def test_teams_without_a_budget_are_only_disrupted_with_unbudgeted(capsys: CaptureFixture):
+def test_teams_without_a_budget_are_only_disrupted_with_unbudgeted(capsys: pytest.CaptureFixture[str]):
     async def scenario(w: Simulation, operator):
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.BAD_INPUT
         assert "no disruption budget for blue" in capsys.readouterr().err
@@ -73,7 +72,7 @@
     drained(scenario, budgets={"red": 1})
 
 
-def test_a_repeated_request_prints_the_drain_s_state_and_other_terms_are_refused(capsys: CaptureFixture):
+def test_a_repeated_request_prints_the_drain_s_state_and_other_terms_are_refused(capsys: pytest.CaptureFixture[str]):
     async def scenario(w: Simulation, operator):
         await running_jobs(w, RED, **WHOLE)
         await operator.start("kernel", "--zone", "east")
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
+import pytest
 from harness import drain_simulation
 from harness.drain_simulation import TEAMS, BudgetOracle, cordoned, operations
 from harness.loopback import LoopbackCluster, play_loopback
-from pytest import MonkeyPatch
 from test_drains import BLUE, RED, WHOLE, machine_of
 
 from hookwall.drains.command import ExitCode
@@ -16,7 +16,7 @@
 BUDGETS = {"red": 1, "blue": 1}
 
 
-def test_no_team_loses_more_running_jobs_than_its_budget_while_controllers_are_killed(monkeypatch: MonkeyPatch):
+def test_no_team_loses_more_running_jobs_than_its_budget_while_controllers_are_killed(monkeypatch: pytest.MonkeyPatch):
     """Half of the machines are replaced; the leader is killed while the first is emptied, and the next one later."""
     monkeypatch.setattr(drain_simulation, "PERIOD_S", 4.0)
 
