--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -15,7 +15,7 @@
 from hookwall.protocol import json_messages
 from hookwall.protocol.cloud_messages import Catalog, ListedMachine, MachineListPage, ProvisionedMachines
 from hookwall.protocol.errors import MalformedMessageError, NoResponseError
-from hookwall.protocol.http_client import request_json, open_session
+from hookwall.protocol.http_client import open_session, request_json
 from hookwall.protocol.json_messages import Message
 from hookwall.storage.rate_limit import TokenBucket
 
--- a/hookwall/protocol/http_client.py
+++ b/hookwall/protocol/http_client.py
@@ -9,7 +9,7 @@
 
 from hookwall.protocol.errors import NoResponseError
 
-__all__ = ["JSON_HEADERS", "HttpResult", "NoResponseError", "SendRequest", "call", "open_session"]
+__all__ = ["JSON_HEADERS", "HttpResult", "NoResponseError", "SendRequest", "open_session", "request_json"]
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 KEEPALIVE_S = 30
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -16,7 +16,7 @@
 
 from hookwall.config.platform import StoreLimits
 from hookwall.protocol.errors import NoResponseError
-from hookwall.protocol.http_client import SendRequest, request_json, open_session
+from hookwall.protocol.http_client import SendRequest, open_session, request_json
 from hookwall.storage import keys, wire_format
 from hookwall.storage.entries import (
     ChangeBatch,
