--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -86,9 +86,7 @@
         self.drains = self._build_drains((operations or Operations()).drain)
         self.key_dispatcher = self._build_key_dispatcher()
         self.watch = Watch(self.store, self.watch_progress, self.key_dispatcher, clock)
-        self.round_loop = RoundLoop(
-            self.leadership, self.fleet, self.scheduler, self.job_writer, clock, self.round_requested
-        )
+        self.round_loop = self._build_round_loop()
 
     # -- composition ---------------------------------------------------------------------------
     # A part that needs one which is made later gets a function that looks it up.
@@ -216,6 +214,9 @@
     def _build_drains(self, settings: DrainSettings) -> DrainSubsystem:
         return DrainSubsystem(settings.enabled, bool(settings.budgets), lambda: self.build_drain_controller(settings))
 
+    def _build_round_loop(self) -> RoundLoop:
+        return RoundLoop(self.leadership, self.fleet, self.scheduler, self.job_writer, self.clock, self.round_requested)
+
     def _build_key_dispatcher(self) -> KeyDispatcher:
         return KeyDispatcher(
             self.store,
