--- a/hookwall/drains/command_line.py
+++ b/hookwall/drains/command_line.py
@@ -7,8 +7,6 @@
 import asyncio
 import sys
 import time
-from collections.abc import Coroutine
-from typing import Any
 
 from hookwall.autoscaling.cloud_client import CloudClient
 from hookwall.config.operations import load_operations
@@ -33,7 +31,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry out one action against the real services; gives the exit code."""
+    """Carry out one action against the real store and cloud; gives the exit code."""
     try:
         return int(asyncio.run(_run(args)))
     except InvalidSettingsError as error:
@@ -59,7 +57,7 @@
 async def execute(command: DrainCommand, args: argparse.Namespace) -> ExitCode:
     """Carry out one action; failures become an exit code and a line on standard error."""
     try:
-        return await _action(command, args)
+        return await _run_action(command, args)
     except InvalidDrainRequestError as error:
         return _failed(ExitCode.BAD_INPUT, str(error))
     except SolverMissingError as error:
@@ -80,17 +78,21 @@
         return _failed(ExitCode.UNAVAILABLE, str(error))
 
 
-def _action(command: DrainCommand, args: argparse.Namespace) -> Coroutine[Any, Any, ExitCode]:
-    """The action that the arguments name; Any: what a coroutine yields and is sent is the event loop's."""
-    if args.action == "plan":
-        return command.plan(requested_drain(args), args.fewest)
-    if args.action == "start":
-        return command.start(args.name, requested_drain(args))
-    if args.action == "status":
-        return command.status(args.name, args.wait)
-    if args.action == "release":
-        return command.release(args.name, args.machines)
-    return command.abort(args.name) if args.action == "abort" else command.resume(args.name)
+async def _run_action(command: DrainCommand, args: argparse.Namespace) -> ExitCode:
+    """Carry out the action that the arguments name."""
+    match args.action:
+        case "plan":
+            return await command.plan(requested_drain(args), args.fewest)
+        case "start":
+            return await command.start(args.name, requested_drain(args))
+        case "status":
+            return await command.status(args.name, args.wait)
+        case "release":
+            return await command.release(args.name, args.machines)
+        case "abort":
+            return await command.abort(args.name)
+        case _:
+            return await command.resume(args.name)
 
 
 def requested_drain(args: argparse.Namespace) -> DrainRequest:
--- a/tests/drains/test_drains.py
+++ b/tests/drains/test_drains.py
@@ -139,7 +139,7 @@
     drained(scenario)
 
 
-def test_a_task_that_never_stops_is_named_and_only_ended_by_the_deadline_policy():
+def test_a_task_that_never_ends_is_named_and_only_ended_by_the_deadline_policy():
     async def scenario(w: Simulation, operator):
         (ref,) = await running_jobs(w, RED, **WHOLE)
         w.jobs[ref].save_s = 10_000.0
@@ -262,7 +262,7 @@
     drained(scenario)
 
 
-def test_an_outage_of_the_store_evicts_no_job_whose_disruption_is_not_stored():
+def test_an_outage_of_the_state_service_evicts_no_job_whose_disruption_is_not_stored():
     async def scenario(w: Simulation, operator):
         w.cloud.room = 4
         refs = await running_jobs(w, RED, BLUE, **WHOLE)
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("step", range(1, 9))
-def test_a_leader_that_crashes_at_any_write_loses_neither_budget_nor_drain(step, late):
+def test_a_leader_that_ends_at_any_step_loses_neither_budget_nor_drain(step, late):
     """The leader ends just after its n-th write for the drain was carried out, or while that is still on its way."""
 
     async def scenario(w: Simulation, operator):
