--- a/tests/cluster/test_histories.py
+++ b/tests/cluster/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories, the same in each run: `histories.py` and those beside it say what is checked."""
+"""Random histories, the same in each run: `histories.py` and those beside it describe what is checked."""
 
 import drain_histories
 import pipeline_histories
--- a/tests/cluster/test_upgrade.py
+++ b/tests/cluster/test_upgrade.py
@@ -25,145 +25,148 @@
 any_old = pytest.mark.parametrize("old", [1, 2])
 
 
-async def all_new(w: Simulation, within_s: float = 10.0) -> None:
-    await w.until(
-        lambda: all(n.storage_version.supported_by_all(CURRENT_VERSION) for n in w.nodes.values()),
+async def wait_all_upgraded(simulation: Simulation, within_s: float = 10.0) -> None:
+    """Wait until every node knows that all run the current program."""
+    await simulation.until(
+        lambda: all(n.storage_version.supported_by_all(CURRENT_VERSION) for n in simulation.nodes.values()),
         within_s,
         "not all nodes know all are new",
     )
 
 
-async def accepted(w: Simulation, ref: str, within_s: float = 60.0) -> None:
+async def submit_until_accepted(simulation: Simulation, job_id: str, within_s: float = 60.0) -> None:
     """Submit at any node that is up until one accepts."""
-    end = w.now() + within_s
-    while not w.nodes or await w.submit(w.random.choice(list(w.nodes)), ref) not in (200, 201):
-        assert w.now() < end, f"{ref} is not accepted"
+    end = simulation.now() + within_s
+    while not simulation.nodes or await simulation.submit(simulation.random_node(), job_id) not in (200, 201):
+        assert simulation.now() < end, f"{job_id} is not accepted"
         await asyncio.sleep(1.0)
 
 
-async def users(w: Simulation, first: int, n: int, every_s: float = 1.0) -> list[str]:
+async def submit_and_cancel(simulation: Simulation, first: int, n: int, every_s: float = 1.0) -> list[str]:
     """Users submit jobs at any node and cancel a third of them."""
-    refs = []
+    job_ids = []
     for i in range(first, first + n):
-        ref = w.job(i, run_s=4.0, cards=0.0, cores=1.0)
-        refs.append(ref)
-        await accepted(w, ref)
+        job_id = simulation.job(i, run_s=4.0, cards=0.0, cores=1.0)
+        job_ids.append(job_id)
+        await submit_until_accepted(simulation, job_id)
         await asyncio.sleep(every_s)
-        if i % 3 == 0 and w.nodes:
-            await w.cancel(w.random.choice(list(w.nodes)), ref)
-    return refs
+        if i % 3 == 0 and simulation.nodes:
+            await simulation.cancel(simulation.random_node(), job_id)
+    return job_ids
 
 
-async def ended(w: Simulation, refs: list[str], within_s: float = 40.0) -> None:
-    """All of them are said to be over, by every node."""
+async def wait_all_over(simulation: Simulation, job_ids: list[str], within_s: float = 40.0) -> None:
+    """Wait until every node answers that all of these jobs are over."""
 
-    async def over(ref: str) -> bool:
-        answers = [await w.poll(node, ref) for node in list(w.nodes)]
+    async def over(job_id: str) -> bool:
+        answers = [await simulation.poll(node, job_id) for node in list(simulation.nodes)]
         return all(status == 200 and phase in ("done", "withdrawn") for status, phase in answers)
 
-    end = w.now() + within_s
-    for ref in refs:
-        while not await over(ref):
-            assert w.now() < end, f"{ref} does not end"
+    end = simulation.now() + within_s
+    for job_id in job_ids:
+        while not await over(job_id):
+            assert simulation.now() < end, f"{job_id} does not end"
             await asyncio.sleep(1.0)
 
 
-async def pipeline(w: Simulation, first: int) -> list[str]:
+async def submit_pipeline(simulation: Simulation, first: int) -> list[str]:
     """Three jobs one after the other, each needing the one before."""
-    refs: list[str] = []
+    job_ids: list[str] = []
     for n in range(first, first + 3):
-        refs.append(w.job(n, run_s=3.0, awaits=refs[-1:] or None, rank="urgent" if n == first + 2 else "low"))
-        await accepted(w, refs[-1])
-    return refs
+        job_ids.append(
+            simulation.job(n, run_s=3.0, awaits=job_ids[-1:] or None, rank="urgent" if n == first + 2 else "low")
+        )
+        await submit_until_accepted(simulation, job_ids[-1])
+    return job_ids
 
 
 @pytest.mark.parametrize("order", permutations(NAMES))
 @any_old
-def test_nodes_are_replaced_one_by_one_in_any_order_while_users_go_on(order, old):
-    async def scenario(w: Simulation) -> None:
-        traffic = w.go(users(w, 1, 25))
+def test_jobs_end_while_nodes_are_replaced_one_by_one_in_any_order(order, old):
+    async def scenario(simulation: Simulation) -> None:
+        traffic = simulation.go(submit_and_cancel(simulation, 1, 25))
         for name in order:
             await asyncio.sleep(4.0)
-            await w.upgrade(name)
-        await w.led()
-        await all_new(w)
-        refs = await pipeline(w, 100)
-        await ended(w, [*await traffic, *refs])
-        assert all(w.jobs[ref].final == "done" for ref in refs)
+            await simulation.upgrade(name)
+        await simulation.led()
+        await wait_all_upgraded(simulation)
+        job_ids = await submit_pipeline(simulation, 100)
+        await wait_all_over(simulation, [*await traffic, *job_ids])
+        assert all(simulation.jobs[job_id].final == "done" for job_id in job_ids)
 
     play(scenario, old=old)
 
 
 @pytest.mark.parametrize("leader_first", [True, False])
 @any_old
-def test_two_nodes_are_replaced_at_once(leader_first, old):
-    async def scenario(w: Simulation) -> None:
-        traffic = w.go(users(w, 1, 25))
-        lead, others = w.leader().settings.node_name, w.followers()
+def test_jobs_end_when_two_nodes_are_replaced_at_once(leader_first, old):
+    async def scenario(simulation: Simulation) -> None:
+        traffic = simulation.go(submit_and_cancel(simulation, 1, 25))
+        lead, others = simulation.current_leader_name(), simulation.followers()
         both = (lead, others[0]) if leader_first else tuple(others)
-        await w.upgrade(*both)
+        await simulation.upgrade(*both)
         await asyncio.sleep(5.0)
-        await w.upgrade(*(set(NAMES) - set(both)))
-        await all_new(w, 20.0)
-        await ended(w, [*await traffic, *await pipeline(w, 100)])
+        await simulation.upgrade(*(set(NAMES) - set(both)))
+        await wait_all_upgraded(simulation, 20.0)
+        await wait_all_over(simulation, [*await traffic, *await submit_pipeline(simulation, 100)])
 
     play(scenario, old=old)
 
 
-def test_a_dependent_job_is_not_taken_while_an_old_program_may_come_back():
-    async def scenario(w: Simulation) -> None:
-        first = w.job(1, run_s=3.0)
-        await w.accepted(first, "n0")
-        second = w.job(2, awaits=[first])
-        await w.upgrade("n0", "n1")
-        await w.led()
+def test_a_dependent_job_is_not_accepted_while_an_older_program_may_come_back():
+    async def scenario(simulation: Simulation) -> None:
+        first = simulation.job(1, run_s=3.0)
+        await simulation.accepted(first, "n0")
+        second = simulation.job(2, awaits=[first])
+        await simulation.upgrade("n0", "n1")
+        await simulation.led()
         await asyncio.sleep(5.0)
         # The last one ends before its turn and comes back old; neither then nor while it is away is it known to be new.
-        w.crash("n2")
-        assert await w.submit("n0", second) == 503
+        simulation.crash("n2")
+        assert await simulation.submit("n0", second) == 503
         await asyncio.sleep(3.0)
-        w.start("n2", old=1)
+        simulation.start("n2", old=1)
         await asyncio.sleep(6.0)
-        assert await w.submit("n1", second) == 503
-        await w.upgrade("n2")
-        await all_new(w)
-        assert await w.submit("n1", second) == 201
-        await ended(w, [first, second])
+        assert await simulation.submit("n1", second) == 503
+        await simulation.upgrade("n2")
+        await wait_all_upgraded(simulation)
+        assert await simulation.submit("n1", second) == 201
+        await wait_all_over(simulation, [first, second])
 
     play(scenario, old=1)
 
 
 @any_old
-def test_a_node_that_the_state_service_refuses_is_vouched_for_by_its_peers(old):
+def test_a_node_that_the_store_refuses_gets_its_version_marker_from_its_peers(old):
     """It can't store its marker: submissions would be answered 503 for as long as it is refused."""
 
-    async def scenario(w: Simulation) -> None:
-        w.service.refused.add("n2")
-        await w.upgrade("n0", "n1")
-        await w.upgrade("n2")
-        await w.until(
-            lambda: w.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
+    async def scenario(simulation: Simulation) -> None:
+        simulation.service.refused.add("n2")
+        await simulation.upgrade("n0", "n1")
+        await simulation.upgrade("n2")
+        await simulation.until(
+            lambda: simulation.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
             15.0,
             "no marker for the node that is refused",
         )
-        first = w.job(1, run_s=3.0)
-        await w.accepted(first, "n0")
-        await w.accepted(w.job(2, run_s=3.0, awaits=[first]), "n1", within_s=2.0)
+        first = simulation.job(1, run_s=3.0)
+        await simulation.accepted(first, "n0")
+        await simulation.accepted(simulation.job(2, run_s=3.0, awaits=[first]), "n1", within_s=2.0)
 
     play(scenario, old=old)
 
 
 @any_old
-def test_a_node_that_is_marked_and_away_does_not_hold_up_new_formats(old):
-    async def scenario(w: Simulation) -> None:
-        await w.upgrade("n2")
+def test_a_marked_node_that_is_down_does_not_delay_the_new_storage_version(old):
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.upgrade("n2")
         await asyncio.sleep(3.0)
-        await w.upgrade("n1")
+        await simulation.upgrade("n1")
         await asyncio.sleep(3.0)
-        w.crash("n2")
-        await w.upgrade("n0")
-        await w.until(
-            lambda: w.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
+        simulation.crash("n2")
+        await simulation.upgrade("n0")
+        await simulation.until(
+            lambda: simulation.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
             10.0,
             "waits for a node that is marked",
         )
@@ -173,31 +176,31 @@
 
 @pytest.mark.parametrize("trouble", ["outage", "cut", "late writes", "crash"])
 @any_old
-def test_troubles_in_the_midst_of_an_upgrade(trouble, old):
-    async def scenario(w: Simulation) -> None:
-        traffic = w.go(users(w, 1, 30))
-        await w.upgrade(w.followers()[0])
-        lead = w.leader() or await w.led()
+def test_jobs_end_when_a_failure_meets_an_upgrade(trouble, old):
+    async def scenario(simulation: Simulation) -> None:
+        traffic = simulation.go(submit_and_cancel(simulation, 1, 30))
+        await simulation.upgrade(simulation.followers()[0])
+        lead = simulation.leader() or await simulation.led()
         if trouble == "outage":
-            w.service.outage(True)
-            w.loop.call_later(14.0, w.service.outage, False)
+            simulation.service.outage(True)
+            simulation.loop.call_later(14.0, simulation.service.outage, False)
         elif trouble == "cut":
-            w.apart |= w.links_of("n0")
-            w.loop.call_later(14.0, w.apart.clear)
+            simulation.partitions |= simulation.links_of("n0")
+            simulation.loop.call_later(14.0, simulation.partitions.clear)
         elif trouble == "late writes":
-            w.service.late = lambda node, body: w.random.uniform(2.0, 12.0) if w.random.random() < 0.2 else None
+            simulation.service.delay_writes(0.2)
         else:
             name = lead.settings.node_name
-            w.crash(name)
-            w.start(name, old=old if name != w.followers()[0] else 0)
+            simulation.crash(name)
+            simulation.start(name, old=old if name != simulation.followers()[0] else 0)
         await asyncio.sleep(3.0)
-        for name in [n for n, node in w.nodes.items() if type(node).__name__ != "Node"]:
-            await w.upgrade(name)
+        for name in [n for n, node in simulation.nodes.items() if type(node).__name__ != "Node"]:
+            await simulation.upgrade(name)
             await asyncio.sleep(2.0)
         await asyncio.sleep(12.0)
-        w.service.late = lambda node, body: None
-        await all_new(w, 30.0)
-        await ended(w, [*await traffic, *await pipeline(w, 100)], 60.0)
+        simulation.service.write_at_once()
+        await wait_all_upgraded(simulation, 30.0)
+        await wait_all_over(simulation, [*await traffic, *await submit_pipeline(simulation, 100)], 60.0)
 
     play(scenario, old=old)
 
@@ -206,27 +209,29 @@
 def test_nothing_new_is_written_before_all_are_new_and_then_all_fits_both_limits(old):
     """Large records of production stay alterable after the switch, in the midst of writes."""
 
-    async def scenario(w: Simulation) -> None:
-        refs = []
+    async def scenario(simulation: Simulation) -> None:
+        job_ids = []
         for n in range(1, 4):
             ends = {task: 3.0 + (task * 7) % 23 for task in range(300)}
-            refs.append(w.job(n, pieces=300, cards=0.0, cores=0.5, memGb=0.5, ends=ends))
-            await w.accepted(refs[-1])
-        await w.until(lambda: all(w.on_machines(ref) > 20 for ref in refs), 20.0, "the arrays do not run")
+            job_ids.append(simulation.job(n, pieces=300, cards=0.0, cores=0.5, memGb=0.5, ends=ends))
+            await simulation.accepted(job_ids[-1])
+        await simulation.until(
+            lambda: all(simulation.on_machines(job_id) > 20 for job_id in job_ids), 20.0, "the arrays do not run"
+        )
         for name in NAMES:
-            await w.upgrade(name)
+            await simulation.upgrade(name)
             await asyncio.sleep(2.0)
-        await all_new(w)
-        values = [v for k, (v, _, _) in w.service.keys.items() if k.startswith(keys.JOB_PREFIX)]
+        await wait_all_upgraded(simulation)
+        values = [v for k, (v, _, _) in simulation.service.keys.items() if k.startswith(keys.JOB_PREFIX)]
         assert any(job_records.json_bytes(v) > 1500 for v in values)
-        w.service.lower()
-        await w.cancel(w.followers()[0], refs[0])
-        first = w.job(10, run_s=3.0)
-        await w.accepted(first)
-        refs += [first, w.job(11, run_s=3.0, awaits=[first])]
-        await w.accepted(refs[-1])
-        await ended(w, refs, 120.0)
-        assert w.service.refusals[400] <= 3 and w.service.largest <= 2048
+        simulation.service.lower_limits()
+        await simulation.cancel(simulation.followers()[0], job_ids[0])
+        first = simulation.job(10, run_s=3.0)
+        await simulation.accepted(first)
+        job_ids += [first, simulation.job(11, run_s=3.0, awaits=[first])]
+        await simulation.accepted(job_ids[-1])
+        await wait_all_over(simulation, job_ids, 120.0)
+        assert simulation.service.refusals[400] <= 3 and simulation.service.largest <= 2048
 
     play(scenario, machines=8, old=old, state=LIMITS)
 
@@ -235,36 +240,36 @@
 def test_a_write_of_production_that_is_carried_out_late_does_not_undo_a_newer_one(old):
     """The old leader's last transaction is carried out once all nodes are new and have written the same job."""
 
-    async def scenario(w: Simulation) -> None:
-        ref = w.job(1, pieces=4, ends={0: 4.0, 1: 30.0, 2: 34.0, 3: 40.0})
-        await w.accepted(ref)
-        await w.runs(ref)
-        lead = w.leader().settings.node_name
-        w.service.late = lambda node, body: 30.0 if node == lead and body.get("apply") else None
+    async def scenario(simulation: Simulation) -> None:
+        job_id = simulation.job(1, pieces=4, ends={0: 4.0, 1: 30.0, 2: 34.0, 3: 40.0})
+        await simulation.accepted(job_id)
+        await simulation.runs(job_id)
+        lead = simulation.current_leader_name()
+        simulation.service.late = lambda node, body: 30.0 if node == lead and body.get("apply") else None
         await asyncio.sleep(5.0)
-        w.crash(lead)
-        w.service.late = lambda node, body: None
-        w.start(lead)
+        simulation.crash(lead)
+        simulation.service.write_at_once()
+        simulation.start(lead)
         for name in [n for n in NAMES if n != lead]:
-            await w.upgrade(name, down_s=1.0)
-        await all_new(w)
-        second = w.job(2, run_s=3.0, awaits=[ref])
-        await w.accepted(second)
-        await ended(w, [ref, second], 60.0)
+            await simulation.upgrade(name, down_s=1.0)
+        await wait_all_upgraded(simulation)
+        second = simulation.job(2, run_s=3.0, awaits=[job_id])
+        await simulation.accepted(second)
+        await wait_all_over(simulation, [job_id, second], 60.0)
 
     play(scenario, old=old)
 
 
 @any_old
 def test_markers_are_ignored_by_production_and_stay(old):
-    async def scenario(w: Simulation) -> None:
-        await w.upgrade("n0")
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.upgrade("n0")
         await asyncio.sleep(4.0)
-        assert w.service.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
-        ref = w.job(1, run_s=3.0)
-        await w.accepted(ref, "n1")
-        await ended(w, [ref])
-        assert w.service.keys.get(keys.STORAGE_VERSION_PREFIX + "n1", (None,))[0] == (
+        assert simulation.service.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
+        job_id = simulation.job(1, run_s=3.0)
+        await simulation.accepted(job_id, "n1")
+        await wait_all_over(simulation, [job_id])
+        assert simulation.service.keys.get(keys.STORAGE_VERSION_PREFIX + "n1", (None,))[0] == (
             None if old == 1 else {"format": 2}
         )
 
--- a/tests/harness/cloud.py
+++ b/tests/harness/cloud.py
@@ -7,38 +7,65 @@
 if TYPE_CHECKING:
     from harness.simulation import Simulation
 
+LATENCY_S = 0.05
+PROVISIONED_BOOT_S = 10.0
+
 
 class FakeCloud:
-    """Machine list, rentals and deletions."""
+    """Lists, provisions and deletes the simulation's machines; `down` makes it answer 503."""
 
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
         self.down = False
-        self.room = 0  # machines that can still be rented
+        self.room = 0  # machines that can still be provisioned
         self.deleted: list[str] = []
 
-    async def call(self, node: str, method: str, path: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        await asyncio.sleep(0.05)
+    async def call(
+        self,
+        node: str,
+        method: str,
+        path: str,
+        body: Any,
+        timeout: float,
+    ) -> tuple[int, bytes]:
+        """Status and body of the response to a node's request."""
+        await asyncio.sleep(LATENCY_S)
         if self.down:
             return 503, b'{"error":"trouble"}'
-        w = self.simulation
         if path == "/catalog":
-            return 200, w.catalog
+            return 200, self.simulation.catalog
         if path == "/hosts/delete":
-            for name in body["hosts"]:
-                if name in w.workers:
-                    self.deleted.append(name)
-                    w.workers.pop(name).gone()
-            return 200, b"{}"
+            return self._delete(body["hosts"])
         if method == "POST":
-            n = min(body["count"], self.room)
-            self.room -= n
-            if not n:
-                return 503, b'{"error":"no capacity"}'
-            names = [w.machine(body["yard"], body["loaners"], 10.0).name for _ in range(n)]
-            return 200, json.dumps({"hosts": names}).encode()
+            return self._provision(body)
+        return self._list()
+
+    def _delete(self, names: list[str]) -> tuple[int, bytes]:
+        workers = self.simulation.workers
+        for name in names:
+            if name in workers:
+                self.deleted.append(name)
+                workers.pop(name).gone()
+        return 200, b"{}"
+
+    def _provision(self, body: dict[str, Any]) -> tuple[int, bytes]:
+        count = min(body["count"], self.room)
+        self.room -= count
+        if not count:
+            return 503, b'{"error":"no capacity"}'
+        machines = [self.simulation.machine(body["yard"], body["loaners"], PROVISIONED_BOOT_S) for _ in range(count)]
+        return 200, json.dumps({"hosts": [machine.name for machine in machines]}).encode()
+
+    def _list(self) -> tuple[int, bytes]:
         listed = [
-            {"ref": m.name, "hull": "g4", "yard": m.zone, "loaners": m.spot, "phase": m.listed(), "heldS": 60.0}
-            for m in w.workers.values()
+            {
+                "ref": worker.name,
+                "hull": "g4",
+                "yard": worker.zone,
+                "loaners": worker.spot,
+                "phase": worker.listed_phase(),
+                "heldS": 60.0,
+            }
+            for worker in self.simulation.workers.values()
         ]
         return 200, json.dumps({"hosts": listed, "more": False}).encode()
--- a/tests/harness/loopback.py
+++ b/tests/harness/loopback.py
@@ -5,6 +5,7 @@
 """
 
 import asyncio
+import contextlib
 import json
 import os
 import socket
@@ -26,19 +27,17 @@
 
 ROOT = Path(__file__).parents[2]
 OPERATOR = "operator"
-ANSWER_S = 4.0  # a worker waits so long
+RESPONSE_TIMEOUT_S = 4.0  # a worker waits so long
 REQUEST_S = 70.0  # longer than any watch
 
 
 def free_ports(count: int) -> list[int]:
     """Ports of loopback that nobody uses now."""
-    sockets = [socket.socket() for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    ports = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
-    return ports
+    with contextlib.ExitStack() as stack:
+        sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
+        for each in sockets:
+            each.bind(("127.0.0.1", 0))
+        return [each.getsockname()[1] for each in sockets]
 
 
 class LoopbackCluster(Simulation):
@@ -75,7 +74,7 @@
             body = await request.read()
             try:
                 status, raw = await call(
-                    name, request.method, request.path_qs, json.loads(body) if body else None, 70.0
+                    name, request.method, request.path_qs, json.loads(body) if body else None, REQUEST_S
                 )
             except NoResponseError:
                 status, raw = 504, b"{}"
@@ -85,13 +84,14 @@
 
     def _settings(self, name: str) -> str:
         """A process's settings file. TOML of JSON values: tables on one line each."""
-        p, params = self.ports[name], msgspec.to_builtins(self.params)
+        ports = self.ports[name]
+        params = msgspec.to_builtins(self.params)
         seeds = [n for n in self.names if n != name]
-        lines = [f'node_name = "{name}"', f'public_addr = "127.0.0.1:{p["public"]}"',
-                 f'peer_listen = "127.0.0.1:{p["peer"]}"']  # fmt: skip
+        lines = [f'node_name = "{name}"', f'public_addr = "127.0.0.1:{ports["public"]}"',
+                 f'peer_listen = "127.0.0.1:{ports["peer"]}"']  # fmt: skip
         for seed in seeds:
             lines += ["[[seeds]]", f'node_name = "{seed}"', f'peer_addr = "127.0.0.1:{self.ports[seed]["peer"]}"']
-        lines += ["[external]", f'cloud = "127.0.0.1:{p["cloud"]}"', f'state = "127.0.0.1:{p["state"]}"']
+        lines += ["[external]", f'cloud = "127.0.0.1:{ports["cloud"]}"', f'state = "127.0.0.1:{ports["state"]}"']
         lines += ["[settings]", f"size = {params['size']}", f"zones = {json.dumps(params['zones'])}"]
         for team in params["teams"]:
             lines += ["[[settings.teams]]", *(f"{k} = {json.dumps(v)}" for k, v in team.items())]
@@ -117,12 +117,13 @@
     def start(self, name: str, old: int = 0) -> None:  # type: ignore[override]
         """Start a controller's process."""
         env = {**os.environ, "LOG_LEVEL": "info", "PYTHONPATH": str(ROOT)}
-        log = (self.folder / f"{name}.log").open("ab")
-        self.processes[name] = subprocess.Popen(
-            self.command("serve", who=name), cwd=self.folder, env=env, stderr=log, stdin=subprocess.DEVNULL
-        )
+        with (self.folder / f"{name}.log").open("ab") as log:
+            self.processes[name] = subprocess.Popen(
+                self.command("serve", who=name), cwd=self.folder, env=env, stderr=log, stdin=subprocess.DEVNULL
+            )
 
     def crash(self, name: str) -> None:
+        """Kill a controller's process."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
@@ -145,15 +146,17 @@
     async def _post(self, name: str, path: str, body: bytes) -> tuple[int, bytes] | None:
         url = f"http://127.0.0.1:{self.ports[name]['public']}{path}"
         try:
-            async with asyncio.timeout(ANSWER_S), self.session.post(url, data=body) as answer:
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S), self.session.post(url, data=body) as answer:
                 return answer.status, await answer.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
 
-    async def beat(self, name: str, body: bytes) -> tuple[int, bytes] | None:
+    async def deliver_heartbeat(self, name: str, body: bytes) -> tuple[int, bytes] | None:
+        """Send a worker's heartbeat over HTTP: status and body, None without a response."""
         return await self._post(name, "/agent/beat", body)
 
-    async def ask(self, node: str, spec: dict) -> int:
+    async def submit_spec(self, node: str, spec: dict) -> int:
+        """Submit any description over HTTP: the status, 0 without a response."""
         answer = await self._post(node, "/v1/jobs", json.dumps(spec).encode())
         if answer is None:
             return 0
@@ -161,13 +164,14 @@
         return answer[0]
 
     async def close(self) -> None:
+        """End processes, workers, tasks and servers."""
         for name in list(self.processes):
             self.crash(name)
         for worker in self.workers.values():
             worker.off = True
-        for task in list(self.beside):
+        for task in list(self.background_tasks):
             task.cancel()
-        await asyncio.gather(*self.beside, return_exceptions=True)
+        await asyncio.gather(*self.background_tasks, return_exceptions=True)
         await self.session.close()
         for runner in self.runners:
             await runner.cleanup()
--- a/tests/harness/peer_link.py
+++ b/tests/harness/peer_link.py
@@ -14,19 +14,22 @@
 class PeerLink:
     """One node's messages to another."""
 
-    def __init__(self, simulation: "Simulation", me: str, name: str) -> None:
-        self.simulation, self.me, self.name = simulation, me, name
+    def __init__(self, simulation: "Simulation", sender: str, name: str) -> None:
+        self.simulation = simulation
+        self.sender = sender
+        self.name = name
         self.delay_s = WIRE_S
 
     async def call(self, message: dict, timeout: float = 1.0) -> dict | None:
-        if frozenset((self.me, self.name)) in self.simulation.apart:
+        """The receiver's answer; None where none comes within `timeout` seconds."""
+        if frozenset((self.sender, self.name)) in self.simulation.partitions:
             await asyncio.sleep(timeout)
             return None
         sent = cbor2.dumps(message)
         await asyncio.sleep(self.delay_s)
         try:
             async with asyncio.timeout(timeout):
-                await self.simulation.moving(self.name)
+                await self.simulation.wait_while_frozen(self.name)
         except TimeoutError:
             # What was sent is read once the process goes on, and nobody waits for the answer.
             self.simulation.go(self._read_later(sent))
@@ -39,7 +42,7 @@
         return cbor2.loads(answer)
 
     async def _read_later(self, sent: bytes) -> None:
-        await self.simulation.moving(self.name)
+        await self.simulation.wait_while_frozen(self.name)
         node = self.simulation.nodes.get(self.name)
         if node is not None:
             node.leadership.handle_peer_message(cbor2.loads(sent))
--- a/tests/harness/pipelines.py
+++ b/tests/harness/pipelines.py
@@ -1,34 +1,40 @@
-"""What tests of dependent jobs share: pipelines, and waiting for what users are told of them."""
+"""What tests of dependent jobs share: pipelines, and waiting for what users are answered about them."""
 
 import asyncio
+from typing import Any
 
 from harness.simulation import Simulation
 
 
-async def chain(w: Simulation, first: int, length: int, run_s: float = 3.0, **changes) -> list[str]:
+async def submit_chain(
+    simulation: Simulation, first: int, length: int, run_s: float = 3.0, **changes: Any
+) -> list[str]:
     """Jobs one after the other, each needing the one before."""
-    refs: list[str] = []
+    job_ids: list[str] = []
     for n in range(first, first + length):
-        refs.append(w.job(n, run_s=run_s, awaits=refs[-1:] or None, **changes))
-        await w.accepted(refs[-1])
-    return refs
+        job_ids.append(simulation.job(n, run_s=run_s, awaits=job_ids[-1:] or None, **changes))
+        await simulation.accepted(job_ids[-1])
+    return job_ids
 
 
-async def all_withdrawn(w: Simulation, refs: list[str], node: str | None = None) -> bool:
-    answers = [await w.poll(node or w.random.choice(list(w.nodes)), ref) for ref in refs]
+async def all_cancelled(simulation: Simulation, job_ids: list[str], node: str | None = None) -> bool:
+    """Whether all jobs are answered as cancelled, by one node or by random ones."""
+    answers = [await simulation.poll(node or simulation.random_node(), job_id) for job_id in job_ids]
     return all(status == 200 and phase == "withdrawn" for status, phase in answers)
 
 
-async def becomes_withdrawn(w: Simulation, refs: list[str], within_s: float) -> None:
-    end = w.now() + within_s
-    while not await all_withdrawn(w, refs):
-        assert w.now() < end, "not all are told as cancelled"
+async def all_become_cancelled(simulation: Simulation, job_ids: list[str], within_s: float) -> None:
+    """Wait until all jobs are answered as cancelled."""
+    end = simulation.now() + within_s
+    while not await all_cancelled(simulation, job_ids):
+        assert simulation.now() < end, "not all are answered as cancelled"
         await asyncio.sleep(1.0)
 
 
-async def becomes_done(w: Simulation, refs: list[str], within_s: float) -> None:
-    end = w.now() + within_s
-    for ref in refs:
-        while (await w.poll(w.random.choice(list(w.nodes)), ref))[1] != "done":
-            assert w.now() < end, f"{ref} is not done"
+async def all_become_done(simulation: Simulation, job_ids: list[str], within_s: float) -> None:
+    """Wait until all jobs are answered as done."""
+    end = simulation.now() + within_s
+    for job_id in job_ids:
+        while (await simulation.poll(simulation.random_node(), job_id))[1] != "done":
+            assert simulation.now() < end, f"{job_id} is not done"
             await asyncio.sleep(1.0)
--- a/tests/harness/play.py
+++ b/tests/harness/play.py
@@ -17,11 +17,11 @@
     """
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
-    worlds: list[Simulation] = []
+    simulations: list[Simulation] = []
 
     async def main() -> Simulation:
         simulation = Simulation(**limits)
-        worlds.append(simulation)
+        simulations.append(simulation)
         for i in range(machines):
             simulation.machine("east" if i % 2 == 0 else "west")
         for name in simulation.names:
@@ -34,10 +34,10 @@
     try:
         simulation = loop.run_until_complete(main())
     finally:
-        for event in [e for w in worlds for e in w.frozen.values()]:
+        for event in [event for each in simulations for event in each.frozen.values()]:
             event.set()
-        for w in worlds:
-            w.frozen.clear()
+        for each in simulations:
+            each.frozen.clear()
         left = asyncio.all_tasks(loop)
         for task in left:
             task.cancel()
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -1,7 +1,7 @@
 """A simulated deployment on one fake clock: nodes, key-value store, cloud, workers and users, after PROTOCOL.
 
 Scenarios bring about meetings of troubles and assert the platform's rules themselves: what is on which machine
-when, and what users were told. Nothing here waits: the event loop's time is the fake clock.
+when, and what users were answered. Nothing here waits: the event loop's time is the fake clock.
 """
 
 import asyncio
@@ -64,14 +64,15 @@
         self.names = [f"n{i}" for i in range(nodes)]
         self.nodes: dict[str, Node] = {}
         self.running: dict[str, asyncio.Task] = {}
-        self.service, self.cloud = FakeKeyValueStore(self), FakeCloud(self)
+        self.service = FakeKeyValueStore(self)
+        self.cloud = FakeCloud(self)
         self.workers: dict[str, FakeWorker] = {}
         self.jobs: dict[str, JobFacts] = {}
         self.broken: list[str] = []
         self.rules = RuleChecker(self)
-        self.apart: set[frozenset[str]] = set()  # pairs of nodes that don't reach each other
+        self.partitions: set[frozenset[str]] = set()  # pairs of nodes that don't reach each other
         self.serial = 0
-        self.beside: set[asyncio.Task] = set()
+        self.background_tasks: set[asyncio.Task] = set()
         self.frozen: dict[str, asyncio.Event] = {}  # nodes that stand still, until their event is set
         self.on_step: list[Callable[[], None]] = []
         self.on_launch: list[Callable[[FakeWorker, str, int], None]] = []  # a worker executes a launch
@@ -82,19 +83,21 @@
         self.go(self._steps())
 
     def now(self) -> float:
+        """The fake clock, in seconds."""
         return self.loop.time()
 
     def go(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
+        """Run something beside the scenario."""
         task = self.loop.create_task(work)
-        self.beside.add(task)
-        task.add_done_callback(self.beside.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
         return task
 
     async def _steps(self) -> None:
         while True:
             await asyncio.sleep(STEP_S)
             now = self.now()
-            self.service.tick(now)
+            self.service.expire_session_leases(now)
             for worker in list(self.workers.values()):
                 worker.step(now)
             self.rules.check_cancelled(now)
@@ -112,10 +115,12 @@
             node = OLD_NODES[old](settings, self.now, self.now, self.broken)
         else:
             node = Node(settings, self.now, self.now, self.operations)
-        node.store.send_request = lambda session, method, url, body, t: self.service.call(
-            name, method, path(url), body, t
+        node.store.send_request = lambda _session, method, url, body, timeout: self.service.call(
+            name, method, path(url), body, timeout
+        )
+        node.cloud_client.call = lambda _session, method, url, body, timeout: self.cloud.call(
+            name, method, path(url), body, timeout
         )
-        node.cloud_client.call = lambda session, method, url, body, t: self.cloud.call(name, method, path(url), body, t)
         node.leadership.peers[:] = [PeerLink(self, name, n) for n in self.names if n != name]
         self.nodes[name] = node
         self.running[name] = contextvars.Context().run(self._work, name, node)
@@ -145,7 +150,7 @@
         if event is not None:
             event.set()
 
-    async def moving(self, name: str) -> None:
+    async def wait_while_frozen(self, name: str) -> None:
         """Wait while a node stands still."""
         while name in self.frozen:
             await self.frozen[name].wait()
@@ -159,6 +164,7 @@
             self.start(name)
 
     def crash(self, name: str) -> None:
+        """End a node's process; what it was doing ends with it."""
         self.thaw(name)
         self.running.pop(name).cancel()
         node = self.nodes.pop(name)
@@ -166,9 +172,30 @@
             task.cancel()
 
     def leader(self) -> Node | None:
+        """The node that is a valid leader."""
         return next((n for n in self.nodes.values() if n.leadership.valid()), None)
 
+    def leader_name(self) -> str | None:
+        """The name of the node that is a valid leader."""
+        leader = self.leader()
+        return None if leader is None else leader.settings.node_name
+
+    def current_leader_name(self) -> str:
+        """The name of the valid leader; fails where nobody leads."""
+        name = self.leader_name()
+        assert name is not None, "nobody leads"
+        return name
+
+    def random_node(self) -> str:
+        """The name of a random node that is up."""
+        return self.random.choice(list(self.nodes))
+
+    async def led_by(self, within_s: float = 20.0) -> str:
+        """Wait for a valid leader: its name."""
+        return (await self.led(within_s)).settings.node_name
+
     async def led(self, within_s: float = 20.0) -> Node:
+        """Wait for a valid leader."""
         until = self.now() + within_s
         while self.leader() is None:
             assert self.now() < until, "nobody leads"
@@ -180,19 +207,22 @@
         return {frozenset((name, other)) for other in self.names if other != name}
 
     def followers(self) -> list[str]:
+        """The names of the nodes that are up and not a valid leader."""
         lead = self.leader()
         return [n for n, node in self.nodes.items() if node is not lead]
 
-    async def beat(self, name: str, body: bytes) -> tuple[int, bytes] | None:
-        await self.moving(name)
+    async def deliver_heartbeat(self, name: str, body: bytes) -> tuple[int, bytes] | None:
+        """A node's response to a heartbeat, once it is not frozen; None where it is down."""
+        await self.wait_while_frozen(name)
         node = self.nodes.get(name)
         answer = await node.respond_to_heartbeat(body) if node is not None else None
-        await self.moving(name)
+        await self.wait_while_frozen(name)
         return answer
 
     # -- machines --------------------------------------------------------------------------------
 
     def machine(self, zone: str = "east", spot: bool = False, boot_s: float = 0.0) -> FakeWorker:
+        """Add a machine, whose worker begins to send heartbeats once it has booted."""
         self.serial += 1
         worker = FakeWorker(self, f"vm-{self.serial:06d}", zone, spot, boot_s, node=self.serial % len(self.names))
         worker.lease_from = self.now() + boot_s
@@ -200,49 +230,51 @@
         self.go(worker.run())
         return worker
 
-    def progress(self, worker: FakeWorker, piece: str, task: Task, now: float) -> None:
-        ref, _, number = piece.rpartition("/")
-        job = self.jobs[ref]
+    def progress(self, worker: FakeWorker, task_id: str, task: Task, now: float) -> None:
+        """Move a task on: its image is there, its gang is complete, it is done or has saved."""
+        job_id, _, number = task_id.rpartition("/")
+        job = self.jobs[job_id]
         gang = job.spec["shape"] == "ensemble"
         if task.phase == "pulling" and now - task.since >= 1.0:
-            self.rules.check_start(worker, piece, task, job, now)
+            self.rules.check_start(worker, task_id, job, now)
             task.phase, task.since = ("waiting" if gang else "running"), now
             worker.changed = True
-        if task.phase == "waiting" and self._mates(ref, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
+        if task.phase == "waiting" and self._mates(job_id, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
             task.phase, task.since = "running", now
             worker.changed = True
         if task.phase == "waiting" and now - task.since > self.params.workers.gang_wait_s:
-            worker.exit(piece, task, "alone")
+            worker.exit(task_id, task, "alone")
         elif task.phase == "running" and now - task.since >= job.ends.get(int(number), job.run_s):
             job.done.update(range(job.spec["pieces"]) if gang else [int(number)])
-            worker.exit(piece, task, "done")
+            worker.exit(task_id, task, "done")
         elif task.phase == "saving" and now - task.since >= job.save_s:
-            worker.exit(piece, task, "halted")
+            worker.exit(task_id, task, "halted")
         elif task.phase == "running" and gang and len(job.done) < job.spec["pieces"]:
-            if self._mates(ref, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
+            if self._mates(job_id, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
                 task.stopped = None
             elif task.stopped is None:
                 task.stopped = now
             elif now - task.stopped > self.params.workers.gang_peer_s:
-                worker.exit(piece, task, "mates_gone")
+                worker.exit(task_id, task, "mates_gone")
 
-    def ends(self, worker: FakeWorker, piece: str, task: Task, cause: str) -> None:
+    def ends(self, worker: FakeWorker, task_id: str, task: Task, cause: str) -> None:
         """A task that ran is over, or begins to save."""
         if task.phase == "running":
             for check in self.on_end:
-                check(worker, piece, task, cause)
+                check(worker, task_id, task, cause)
 
-    def _mates(self, ref: str, attempt: int, phases: tuple[str, ...]) -> int:
+    def _mates(self, job_id: str, attempt: int, phases: tuple[str, ...]) -> int:
         return sum(
-            p.rpartition("/")[0] == ref and t.attempt == attempt and t.phase in phases
+            p.rpartition("/")[0] == job_id and t.attempt == attempt and t.phase in phases
             for w in self.workers.values() for p, t in w.tasks.items()
         )  # fmt: skip
 
     # -- rules -----------------------------------------------------------------------------------
 
-    def on_machines(self, ref: str) -> int:
+    def on_machines(self, job_id: str) -> int:
+        """How many tasks of a job are on machines and not over."""
         return sum(
-            p.rpartition("/")[0] == ref and t.phase != "exited"
+            p.rpartition("/")[0] == job_id and t.phase != "exited"
             for w in self.workers.values()
             for p, t in w.tasks.items()
         )
--- a/tests/harness/users.py
+++ b/tests/harness/users.py
@@ -25,69 +25,80 @@
         """The time of the fake clock, in seconds."""
         raise NotImplementedError
 
-    def job(self, n: int, run_s: float = 30.0, ends: dict[int, float] | None = None, **changes: Any) -> str:
-        spec = description(n, **changes)
+    def job(self, number: int, run_s: float = 30.0, ends: dict[int, float] | None = None, **changes: Any) -> str:
+        """A job whose tasks run for `run_s`, or as `ends` says of single ones; gives its id. Nothing is submitted."""
+        spec = description(number, **changes)
         self.jobs[spec["ref"]] = JobFacts(spec, run_s, ends=ends or {})
         return spec["ref"]
 
     @staticmethod
-    def job_ref(n: int) -> str:
-        return description(n)["ref"]
+    def job_id(number: int) -> str:
+        """The id of job `number`."""
+        return description(number)["ref"]
 
     @staticmethod
-    def description(n: int, **changes: Any) -> dict:
-        return description(n, **changes)
+    def description(number: int, **changes: Any) -> dict:
+        """The submission of job `number`, which the checks know nothing of."""
+        return description(number, **changes)
 
-    def put_record(self, ref: str, value: dict | None = None) -> None:
+    def put_record(self, job_id: str, value: dict | None = None) -> None:
         """A record that is there already, so that a scenario need not submit thousands of jobs."""
-        spec = {k: v for k, v in self.jobs[ref].spec.items() if v is not None}
+        spec = {k: v for k, v in self.jobs[job_id].spec.items() if v is not None}
         record = {"phase": "open", "n": spec["pieces"], "next": 1, "on": [], "spec": spec, "at": 1.0, "done": ""}
-        self.service.epoch += 1
-        key, value = "hookwall/job/" + ref, value or record
-        self.service.keys[key] = (value, self.service.epoch, None)
-        self.service.log.append((self.service.epoch, {"set": key, "value": value, "stamp": self.service.epoch}))
-        self.jobs[ref].accepted = True
-
-    async def ask(self, node: str, spec: dict) -> int:
+        self.service.revision += 1
+        key, value = "hookwall/job/" + job_id, value or record
+        self.service.keys[key] = (value, self.service.revision, None)
+        self.service.changes.append(
+            (self.service.revision, {"set": key, "value": value, "stamp": self.service.revision})
+        )
+        self.jobs[job_id].accepted = True
+
+    async def submit_spec(self, node: str, spec: dict) -> int:
         """Submit any description."""
         status, raw, _ = await self.nodes[node].job_service.submit(json.dumps(spec).encode())
         self.rules.check_response(spec["ref"], status, raw)
         return status
 
-    async def submit(self, node: str, ref: str) -> int:
-        return await self.ask(node, self.jobs[ref].spec)
+    async def submit(self, node: str, job_id: str) -> int:
+        """Submit a job at a node: the response's status."""
+        return await self.submit_spec(node, self.jobs[job_id].spec)
 
-    async def poll(self, node: str, ref: str) -> tuple[int, str]:
-        status, raw, _ = await self.nodes[node].job_service.get(ref)
-        self.rules.check_response(ref, status, raw)
+    async def poll(self, node: str, job_id: str) -> tuple[int, str]:
+        """Status and phase of a node's response to a query."""
+        status, raw, _ = await self.nodes[node].job_service.get(job_id)
+        self.rules.check_response(job_id, status, raw)
         return status, json.loads(raw).get("phase", "")
 
-    async def cancel(self, node: str, ref: str) -> tuple[int, str]:
-        if ref in self.jobs:
-            self.jobs[ref].asked_to_cancel = True
-        status, raw, _ = await self.nodes[node].job_service.cancel(ref)
-        self.rules.check_response(ref, status, raw)
+    async def cancel(self, node: str, job_id: str) -> tuple[int, str]:
+        """Status and phase of a node's response to a cancellation."""
+        if job_id in self.jobs:
+            self.jobs[job_id].asked_to_cancel = True
+        status, raw, _ = await self.nodes[node].job_service.cancel(job_id)
+        self.rules.check_response(job_id, status, raw)
         return status, json.loads(raw).get("phase", "")
 
-    async def accepted(self, ref: str, node: str | None = None, within_s: float = 20.0) -> None:
+    async def accepted(self, job_id: str, node: str | None = None, within_s: float = 20.0) -> None:
+        """Submit a job until it is accepted."""
         until = self.now() + within_s
-        while await self.submit(node or next(iter(self.nodes)), ref) not in (200, 201):
-            assert self.now() < until, f"{ref} was not accepted"
+        while await self.submit(node or next(iter(self.nodes)), job_id) not in (200, 201):
+            assert self.now() < until, f"{job_id} was not accepted"
             await asyncio.sleep(1.0)
 
     async def until(self, what: Callable[[], bool], within_s: float, why: str) -> None:
+        """Wait until something holds; fails with `why` after `within_s`."""
         end = self.now() + within_s
         while not what():
             assert self.now() < end, why
             await asyncio.sleep(STEP_S)
 
-    async def runs(self, ref: str, within_s: float = 30.0) -> None:
-        n = self.jobs[ref].spec["pieces"]
+    async def runs(self, job_id: str, within_s: float = 30.0) -> None:
+        """Wait until all tasks of a job run."""
+        task_count = self.jobs[job_id].spec["pieces"]
 
         def all_run() -> bool:
-            return n == sum(
-                p.rpartition("/")[0] == ref and t.phase == "running"
+            return task_count == sum(
+                p.rpartition("/")[0] == job_id and t.phase == "running"
                 for w in self.workers.values() for p, t in w.tasks.items()
             )  # fmt: skip
 
-        await self.until(all_run, within_s, f"{ref} does not run")
+        await self.until(all_run, within_s, f"{job_id} does not run")
--- a/tests/harness/worker.py
+++ b/tests/harness/worker.py
@@ -4,17 +4,22 @@
 import json
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
     from harness.simulation import Simulation
 
 STEP_S = 0.1
 WIRE_S = 0.002
+RESPONSE_TIMEOUT_S = 4.0
+SOON_S = 0.5  # from a change to the heartbeat that reports it
+RETRY_S = 1.0
 
 
 @dataclass
 class Task:
+    """A task on a machine: `phase` is the wire's, or `saving`, which the wire calls running."""
+
     attempt: int
     phase: str
     since: float
@@ -22,8 +27,8 @@
     stopped: float | None = None
     grace_s: float = 0.0  # the longest that a command to stop gave it
 
-    def there(self) -> bool:
-        """On its machine, as rules count it."""
+    def occupies_machine(self) -> bool:
+        """Whether it is on its machine, as rules count it."""
         return self.phase in ("waiting", "running", "saving")
 
 
@@ -36,139 +41,168 @@
     zone: str
     spot: bool
     boot_s: float = 0.0
-    tenure: int = 1
-    tick: int = 0
-    token: int = 0
-    node: int = 0
+    epoch: int = 1
+    sequence: int = 0
+    fencing_token: int = 0
+    node: int = 0  # the index of the node that it sends to
     tasks: dict[str, Task] = field(default_factory=dict)
     lease_from: float = 0.0
     hung: bool = False
     mute: bool = False  # reaches no node
-    deaf: bool = False  # its reports arrive, answers don't reach it
+    deaf: bool = False  # its heartbeats arrive, responses don't reach it
     off: bool = False
     changed: bool = False
-    to_forget: set[str] = field(default_factory=set)
-    sent: list[bytes] = field(default_factory=list)  # reports, for late copies
+    sent_heartbeats: list[bytes] = field(default_factory=list)  # for late duplicates
     reached: Callable[[str], bool] = lambda node: True
 
-    def listed(self) -> str:
+    def listed_phase(self) -> str:
+        """The machine's phase in the cloud's list."""
         return "booting" if self.simulation.now() < self.lease_from else "running"
 
     def gone(self) -> None:
+        """The machine is off, and its tasks with it."""
         self.off = True
-        self._end_all()
+        self._kill_tasks()
 
-    def _end_all(self) -> None:
-        """All tasks are over, and nobody hears how."""
-        for piece, task in self.tasks.items():
-            self.simulation.ends(self, piece, task, "killed")
+    def _kill_tasks(self) -> None:
+        """All tasks are over, and no heartbeat reports how."""
+        for task_id, task in self.tasks.items():
+            self.simulation.ends(self, task_id, task, "killed")
             task.phase = "exited"
         self.tasks.clear()
 
-    def report(self) -> bytes:
-        self.tick += 1
-        pieces = [
-            {"piece": p, "try": t.attempt, "phase": t.phase, **({"cause": t.cause} if t.cause else {})}
-            for p, t in self.tasks.items()
+    def next_heartbeat(self) -> bytes:
+        """The body of the next heartbeat, in the wire's fields."""
+        self.sequence += 1
+        statuses = [
+            {
+                "piece": task_id,
+                "try": task.attempt,
+                "phase": task.phase,
+                **({"cause": task.cause} if task.cause else {}),
+            }
+            for task_id, task in self.tasks.items()
         ]
         return json.dumps(
-            {"host": self.name, "hull": "g4", "yard": self.zone, "loaners": self.spot, "tenure": self.tenure,
-             "tick": self.tick, "mandate": self.token, "recallS": None, "pieces": pieces}
+            {"host": self.name, "hull": "g4", "yard": self.zone, "loaners": self.spot, "tenure": self.epoch,
+             "tick": self.sequence, "mandate": self.fencing_token, "recallS": None, "pieces": statuses}
         ).encode()  # fmt: skip
 
     async def run(self) -> None:
-        w = self.simulation
-        await asyncio.sleep(self.boot_s + w.random.random())
-        self.lease_from = w.now()
-        last = -1e9
+        """Boot, then send heartbeats until the machine is off."""
+        simulation = self.simulation
+        await asyncio.sleep(self.boot_s + simulation.random.random())
+        self.lease_from = simulation.now()
+        last: float | None = None
         while not self.off:
             await asyncio.sleep(STEP_S)
-            due = w.params.workers.report_s * w.random.uniform(0.75, 1.25)
-            if self.hung or w.now() - last < (0.5 if self.changed else due):
+            due_s = simulation.params.workers.report_s * simulation.random.uniform(0.75, 1.25)
+            interval_s = SOON_S if self.changed else due_s
+            if self.hung or (last is not None and simulation.now() - last < interval_s):
                 continue
-            last, self.changed = w.now(), False
-            # One that hung ends its tasks first: it reported them in the old session, had an answer, and ran on.
-            self.end_lease(w.now())
-            await self.ask()
-
-    async def ask(self) -> None:
-        """One report and its answer."""
-        w, sent, tenure = self.simulation, self.simulation.now(), self.tenure
-        body = self.report()
-        self.sent.append(body)
-        name = w.names[self.node]
-        answer = None
-        if self.mute or not self.reached(name):
-            await asyncio.sleep(4.0)
-        else:
-            await asyncio.sleep(WIRE_S)
-            answer = await w.beat(name, body)
-            await asyncio.sleep(WIRE_S)
-            if self.deaf:
-                await asyncio.sleep(4.0)
-                answer = None
+            last = simulation.now()
+            self.changed = False
+            # One that hung ends its tasks first: it reported them in the old epoch, had a response, and ran on.
+            self.end_lease(simulation.now())
+            await self.send_heartbeat()
+
+    async def send_heartbeat(self) -> None:
+        """Send one heartbeat and process its response."""
+        simulation = self.simulation
+        sent_at = simulation.now()
+        epoch = self.epoch
+        body = self.next_heartbeat()
+        self.sent_heartbeats.append(body)
+        name = simulation.names[self.node]
+        response = await self._exchange(name, body)
         while self.hung:
             await asyncio.sleep(STEP_S)
         if self.off:
             return
-        status, raw = answer if answer is not None and w.now() - sent < 4.0 else (0, b"{}")
-        got = json.loads(raw)
+        if response is None or simulation.now() - sent_at >= RESPONSE_TIMEOUT_S:
+            response = 0, b"{}"
+        status, raw = response
+        fields = json.loads(raw)
         if status == 200:
-            if got.get("mandate", -1) < self.token or tenure != self.tenure:
-                return
-            if got["mandate"] > self.token:
-                self.token, self.changed = got["mandate"], True
-            self.lease_from = sent
-            self.command(got["orders"])
-        elif status == 421 and got.get("overseer") in w.names and got["overseer"] != name:
-            self.node = w.names.index(got["overseer"])
+            if epoch == self.epoch and fields.get("mandate", -1) >= self.fencing_token:
+                self._renew_lease(sent_at, fields)
+        elif status == 421 and fields.get("overseer") in simulation.names and fields["overseer"] != name:
+            self.node = simulation.names.index(fields["overseer"])
             self.changed = True
         else:
-            await asyncio.sleep(1.0)
-            self.node = (self.node + 1) % len(w.names)
+            await asyncio.sleep(RETRY_S)
+            self.node = (self.node + 1) % len(simulation.names)
+            self.changed = True
+
+    async def _exchange(self, name: str, body: bytes) -> tuple[int, bytes] | None:
+        """The response of a node to a heartbeat; None where none reaches the worker in time."""
+        if self.mute or not self.reached(name):
+            await asyncio.sleep(RESPONSE_TIMEOUT_S)
+            return None
+        await asyncio.sleep(WIRE_S)
+        response = await self.simulation.deliver_heartbeat(name, body)
+        await asyncio.sleep(WIRE_S)
+        if self.deaf:
+            await asyncio.sleep(RESPONSE_TIMEOUT_S)
+            return None
+        return response
+
+    def _renew_lease(self, sent_at: float, fields: dict[str, Any]) -> None:
+        """A leader answered: the lease counts from when the heartbeat was sent."""
+        if fields["mandate"] > self.fencing_token:
+            self.fencing_token = fields["mandate"]
             self.changed = True
+        self.lease_from = sent_at
+        self.execute_commands(fields["orders"])
 
-    def command(self, orders: list[dict]) -> None:
-        w = self.simulation
-        for o in orders:
-            piece, task = o["piece"], self.tasks.get(o["piece"])
-            if o["verb"] == "launch":
-                if task is None:
-                    self.tasks[piece] = Task(o["try"], "pulling", w.now())
-                    for check in w.on_launch:
-                        check(self, piece, o["try"])
-                elif task.attempt != o["try"]:
-                    w.broken.append(f"in_use: {piece} try {o['try']} on {self.name}")
-            elif task is not None and task.attempt == o["try"]:
-                if o["verb"] == "forget" and task.phase == "exited":
-                    del self.tasks[piece]
-                elif o["verb"] == "stop" and task.phase != "exited":
-                    self.stop(piece, task, o["windDownS"])
+    def execute_commands(self, commands: list[dict[str, Any]]) -> None:
+        """Carry out the commands of a response, in the wire's fields."""
+        for command in commands:
+            self._execute(command["verb"], command["piece"], command["try"], command)
             self.changed = True
 
-    def stop(self, piece: str, task: Task, grace_s: float) -> None:
+    def _execute(self, action: str, task_id: str, attempt: int, command: dict[str, Any]) -> None:
+        task = self.tasks.get(task_id)
+        if action == "launch":
+            if task is None:
+                self._launch(task_id, attempt)
+            elif task.attempt != attempt:
+                self.simulation.broken.append(f"in_use: {task_id} try {attempt} on {self.name}")
+        elif task is not None and task.attempt == attempt:
+            if action == "forget" and task.phase == "exited":
+                del self.tasks[task_id]
+            elif action == "stop" and task.phase != "exited":
+                self.stop(task_id, task, command["windDownS"])
+
+    def _launch(self, task_id: str, attempt: int) -> None:
+        self.tasks[task_id] = Task(attempt, "pulling", self.simulation.now())
+        for check in self.simulation.on_launch:
+            check(self, task_id, attempt)
+
+    def stop(self, task_id: str, task: Task, grace_s: float) -> None:
         """A task that has checkpoints, and time to save, saves first; a second stop without time ends it."""
-        job = self.simulation.jobs[piece.rpartition("/")[0]]
+        job = self.simulation.jobs[task_id.rpartition("/")[0]]
         spec = job.spec
         task.grace_s = max(task.grace_s, grace_s)
         if grace_s and task.phase == "saving":
             return
         if task.phase == "running" and job.save_s and spec["pinEveryS"] > 0 and grace_s >= spec["pinCostS"]:
-            self.simulation.ends(self, piece, task, "halted")
+            self.simulation.ends(self, task_id, task, "halted")
             task.phase, task.since = "saving", self.simulation.now()
         else:
-            self.exit(piece, task, "halted")
+            self.exit(task_id, task, "halted")
 
-    def exit(self, piece: str, task: Task, cause: str) -> None:
-        self.simulation.ends(self, piece, task, cause)
+    def exit(self, task_id: str, task: Task, cause: str) -> None:
+        """A task is over; heartbeats report its cause until it is forgotten."""
+        self.simulation.ends(self, task_id, task, cause)
         task.phase, task.cause = "exited", cause
         self.changed = True
 
     def end_lease(self, now: float) -> None:
-        """Begin the next session if the lease is over."""
+        """Begin the next epoch if the lease is over."""
         if now > self.lease_from + self.simulation.params.workers.lease_s:
-            self._end_all()
-            self.tenure += 1
+            self._kill_tasks()
+            self.epoch += 1
             self.lease_from = now
             self.changed = True
 
@@ -177,5 +211,5 @@
         if self.hung or self.lease_from == 0.0 or now < self.lease_from:
             return
         self.end_lease(now)
-        for piece, task in self.tasks.items():
-            self.simulation.progress(self, piece, task, now)
+        for task_id, task in self.tasks.items():
+            self.simulation.progress(self, task_id, task, now)
--- a/tests/history_digests.py
+++ b/tests/history_digests.py
@@ -42,14 +42,15 @@
         self.counts = dict.fromkeys(self.digests, 0)
 
     def add(self, name: str, *event: Any) -> None:
-        """Take an event into a digest."""
+        """Add an event to a digest."""
         self.digests[name].update(json.dumps(event, sort_keys=True).encode() + b"\n")
         self.counts[name] += 1
 
     def attach(self) -> None:
-        """Listen at the stand-ins."""
-        store_call, cloud_call = FakeKeyValueStore.call, FakeCloud.call
-        command = FakeWorker.command
+        """Record every later call of the stand-ins, in this process."""
+        store_call = FakeKeyValueStore.call
+        cloud_call = FakeCloud.call
+        execute_commands = FakeWorker.execute_commands
 
         async def on_store(service: Any, node: str, method: str, path: str, body: Any, timeout: float) -> Any:
             if method != "GET":
@@ -60,12 +61,14 @@
             self.add("cloud", round(cloud.simulation.now(), 3), node, method, path, body)
             return await cloud_call(cloud, node, method, path, body, timeout)
 
-        def on_command(worker: Any, orders: list[dict[str, Any]]) -> None:
-            if orders:
-                self.add("commands", round(worker.simulation.now(), 3), worker.name, orders)
-            command(worker, orders)
+        def on_commands(worker: Any, commands: list[dict[str, Any]]) -> None:
+            if commands:
+                self.add("commands", round(worker.simulation.now(), 3), worker.name, commands)
+            execute_commands(worker, commands)
 
-        FakeKeyValueStore.call, FakeCloud.call, FakeWorker.command = on_store, on_cloud, on_command
+        FakeKeyValueStore.call = on_store
+        FakeCloud.call = on_cloud
+        FakeWorker.execute_commands = on_commands
 
 
 def digest(kind: str, seed: int) -> str:
--- a/tests/pipeline_histories.py
+++ b/tests/pipeline_histories.py
@@ -11,7 +11,9 @@
 
 import asyncio
 import sys
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 sys.path.insert(0, str(Path(__file__).parent))
 sys.path.insert(0, str(Path(__file__).parent.parent))
@@ -48,7 +50,7 @@
         super().__init__(simulation, seed)
         self.old = drawn_format(seed)
         self.current: set[str] = set() if self.old else set(simulation.names)
-        self.refs: list[str] = []
+        self.job_ids: list[str] = []
 
     # -- nodes that may run an older program -----------------------------------------------------------
 
@@ -78,34 +80,36 @@
             await asyncio.sleep(0.5)
         await asyncio.sleep(self.span(0.0, 30.0))
         self.note("limits are lowered")
-        self.simulation.service.lower()
+        self.simulation.service.lower_limits()
 
     async def watch_stands_long(self) -> None:
         """For longer than a cancellation has."""
-        await self._member(self.simulation.service.no_watch, self.node(), "its watch is not answered", 38.0, 70.0)
+        await self._member(self.simulation.service.watch_blocked, self.node(), "its watch is not answered", 38.0, 70.0)
 
-    def kinds(self):
+    def kinds(self) -> list[Callable[[], Any]]:
         return [*super().kinds(), self.watch_stands_long, self.watch_stands_long, self.watch_stands_long]
 
     # -- users -------------------------------------------------------------------------------------------
 
     def any_node(self) -> str | None:
+        """A random node that is up."""
         return self.random.choice(list(self.simulation.nodes)) if self.simulation.nodes else None
 
-    async def submit(self, ref: str) -> None:
+    async def submit(self, job_id: str) -> None:
         """A user tries again, at any node, until one accepts."""
-        while not self.simulation.jobs[ref].accepted:
+        while not self.simulation.jobs[job_id].accepted:
             node = self.any_node()
             if node is not None:
-                await self.simulation.submit(node, ref)
+                await self.simulation.submit(node, job_id)
             await asyncio.sleep(self.span(0.1, 1.5))
 
-    async def cancel(self, ref: str) -> None:
-        self.note(f"{ref} is cancelled")
-        while self.simulation.jobs[ref].final is None:
+    async def cancel(self, job_id: str) -> None:
+        """A user cancels a job, at any node, until its end is confirmed."""
+        self.note(f"{job_id} is cancelled")
+        while self.simulation.jobs[job_id].final is None:
             node = self.any_node()
             if node is not None:
-                await self.simulation.cancel(node, ref)
+                await self.simulation.cancel(node, job_id)
             await asyncio.sleep(self.span(0.1, 1.5))
 
     async def pipeline(self, first: int) -> None:
@@ -113,21 +117,21 @@
         while not all(name in self.current for name in self.simulation.names):
             await asyncio.sleep(0.5)  # nothing new is asked before all nodes are new
         await asyncio.sleep(self.random.choice([0.0, self.span(0.0, 60.0)]))
-        refs: list[str] = []
+        job_ids: list[str] = []
         for n in range(first, first + self.random.randint(2, 6)):
-            needs = self.random.sample(refs, min(len(refs), self.random.choice([0, 1, 1, 2, 3])))
+            needs = self.random.sample(job_ids, min(len(job_ids), self.random.choice([0, 1, 1, 2, 3])))
             pieces = self.random.choice([1, 1, 2, 30])
-            ref = self.simulation.job(
+            job_id = self.simulation.job(
                 n, run_s=self.span(1.0, 12.0), awaits=needs or None, pieces=pieces,
                 cards=0.0 if pieces > 2 else 1.0, cores=1.0, memGb=1.0, rank=self.random.choice(["low", "urgent"]),
                 hulls=["g4", *(f"type-{k * 7919 ** 3}" for k in range(60))] if self.random.random() < 0.2 else None,
             )  # fmt: skip
-            refs.append(ref)
-            self.refs.append(ref)
-            await self.submit(ref)
+            job_ids.append(job_id)
+            self.job_ids.append(job_id)
+            await self.submit(job_id)
             if self.random.random() < 0.2:
                 await asyncio.sleep(self.span(0.0, 3.0))
-                victim = self.random.choice(refs)
+                victim = self.random.choice(job_ids)
                 self.simulation.go(self.cancel(victim))
             if self.random.random() < 0.3:
                 await asyncio.sleep(self.random.choice([self.span(0.0, 15.0), self.span(30.0, 50.0)]))
@@ -135,37 +139,37 @@
     async def plain_jobs(self, first: int) -> None:
         """Jobs that need no others, also while older programs serve."""
         for n in range(first, first + 6):
-            ref = self.simulation.job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
-            self.refs.append(ref)
-            await self.submit(ref)
+            job_id = self.simulation.job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
+            self.job_ids.append(job_id)
+            await self.submit(job_id)
             if self.random.random() < 0.2:
-                self.simulation.go(self.cancel(ref))
+                self.simulation.go(self.cancel(job_id))
             await asyncio.sleep(self.span(0.0, 8.0))
 
-    async def ask(self) -> None:
+    async def poll_at_random(self) -> None:
         """Users ask about random jobs at random nodes; the simulation checks each answer."""
         while True:
             await asyncio.sleep(0.4)
             node = self.any_node()
-            if node is not None and self.refs:
-                self.simulation.go(self.simulation.poll(node, self.random.choice(self.refs)))
+            if node is not None and self.job_ids:
+                self.simulation.go(self.simulation.poll(node, self.random.choice(self.job_ids)))
 
     async def late_dependents(self) -> None:
         """Jobs that name others that were accepted at any time and may be in any state."""
         for n in range(5000, 5040):
             await asyncio.sleep(self.span(1.0, 3.0))
-            accepted = [ref for ref in self.refs if self.simulation.jobs[ref].accepted]
+            accepted = [job_id for job_id in self.job_ids if self.simulation.jobs[job_id].accepted]
             if len(self.current) < len(self.simulation.names) or not accepted:
                 continue
-            ref = self.simulation.job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
-            self.refs.append(ref)
-            await self.submit(ref)
+            job_id = self.simulation.job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
+            self.job_ids.append(job_id)
+            await self.submit(job_id)
 
     # -- one history -------------------------------------------------------------------------------------
 
     async def play(self, simulation: Simulation) -> None:
         simulation.cloud.room = 200  # machines are returned when nothing needs them for long
-        asking = simulation.go(self.ask())
+        asking = simulation.go(self.poll_at_random())
         users = [simulation.go(self.plain_jobs(1)), *(simulation.go(self.pipeline(100 * k)) for k in range(1, 4))]
         users.append(simulation.go(self.late_dependents()))
         under_way = [simulation.go(self.lower())]
@@ -183,26 +187,26 @@
             if not node.storage_version.supported_by_all(StorageVersion.NUMBERED_MACHINES):
                 simulation.broken.append("a node does not know that all are new")
 
-    async def _begin(self, trouble) -> None:
+    async def _begin(self, trouble: Callable[[], Any]) -> None:
         await asyncio.sleep(self.span(0.0, TRAFFIC_S))
         await trouble()
 
     async def _all_end(self, simulation: Simulation) -> None:
         """Every accepted job is over at every node: cancelled exactly if it or a need was, and not done before."""
         end = simulation.now() + ENDS_WITHIN_S
-        left = {(node, ref) for node in simulation.names for ref in self.refs}
+        left = {(node, job_id) for node in simulation.names for job_id in self.job_ids}
         while left and simulation.now() < end:
-            for node, ref in sorted(left):
-                if (await simulation.poll(node, ref))[1] in ("done", "withdrawn"):
-                    left.discard((node, ref))
+            for node, job_id in sorted(left):
+                if (await simulation.poll(node, job_id))[1] in ("done", "withdrawn"):
+                    left.discard((node, job_id))
             await asyncio.sleep(1.0)
-        simulation.broken.extend(f"forgotten: {ref} is not over at {node}" for node, ref in sorted(left))
-        for ref in self.refs:
-            needs = [simulation.jobs[need].final for need in simulation.jobs[ref].needs()]
-            if simulation.jobs[ref].final == "done" and any(final != "done" for final in needs):
-                simulation.broken.append(f"too_early: {ref} is done, its needs are {needs}")
-            if simulation.jobs[ref].final != "withdrawn" and "withdrawn" in needs:
-                simulation.broken.append(f"orphaned: {ref} is {simulation.jobs[ref].final}")
+        simulation.broken.extend(f"forgotten: {job_id} is not over at {node}" for node, job_id in sorted(left))
+        for job_id in self.job_ids:
+            needs = [simulation.jobs[need].final for need in simulation.jobs[job_id].needs()]
+            if simulation.jobs[job_id].final == "done" and any(final != "done" for final in needs):
+                simulation.broken.append(f"too_early: {job_id} is done, its needs are {needs}")
+            if simulation.jobs[job_id].final != "withdrawn" and "withdrawn" in needs:
+                simulation.broken.append(f"orphaned: {job_id} is {simulation.jobs[job_id].final}")
 
 
 def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
