--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -1,6 +1,7 @@
-"""How a node becomes leader: votes, the write of the leader key, and what follows if that has no response.
+"""How a node becomes leader: it collects votes, writes the leader key, and handles a write that gets no response.
 
-Invariant: the leader key is replaced only as it was read before the votes, and only if no voter has restarted since.
+Invariant: a candidate replaces the leader key only if the key still has the version that was read before the votes were
+requested, and only if no voter has restarted since.
 """
 
 import asyncio
@@ -25,30 +26,30 @@
 
 log = logging.getLogger(__name__)
 
-VOTE_TIMEOUT_S = 0.7  # for the response of one peer
+VOTE_TIMEOUT_S = 0.7  # for each peer's response
 REVOCATION_RETRY_S = 0.5
-LEAD_WITHOUT_QUORUM_AFTER_S = 2.0  # so long without a leader key, a node leads without a majority
-PAUSE_S = 0.3  # before the next election
-PAUSE_PER_RANK_S = 0.3
-PAUSE_JITTER_S = 0.4
+LEAD_WITHOUT_QUORUM_AFTER_S = 2.0  # time without a leader key after which a node may lead without a majority
+ELECTION_BACKOFF_S = 0.3  # between a lost election and the next one
+ELECTION_BACKOFF_PER_RANK_S = 0.3
+ELECTION_BACKOFF_JITTER_S = 0.4
 
 
 class VoteCount(NamedTuple):
-    """The result of asking for votes."""
+    """The result of requesting the votes of all peers."""
 
-    votes: int  # this node's own included
+    votes: int  # includes this node's own vote
     peer_responded: bool
 
 
 class PeerVote(NamedTuple):
-    """A peer's response to the request for its vote; None for none."""
+    """A peer's response to a vote request; None if the peer did not respond."""
 
     voter: str
     response: PeerResponse | None
 
 
 class Election:
-    """One node's attempts to lead, one at a time."""
+    """Runs the elections in which this node is the candidate, one at a time."""
 
     def __init__(
         self,
@@ -67,14 +68,15 @@
         self._heartbeat = heartbeat
         self._rebuild_state = rebuild_state
         self._rank = rank
-        self._election_id = 0  # of the election under way, unlike that of any other
-        self._replaced_version = 0  # of the key whose leader the voters grant no lease any more; 0: none
-        self._voter_preconditions: list[Precondition] = []  # the fence keys of those who have voted
-        self._unresolved_version = 0  # of the key that a write of this process, without a response, may yet replace
-        self._unresolved_leases: set[int] = set()  # of such writes: once those have ended they can't happen any more
+        self._election_id = 0  # random ID of the current election, which no other election has
+        self._replaced_version = 0  # of the key whose leader gets no more leases from the voters; 0: none
+        self._voter_preconditions: list[Precondition] = []  # on the fence keys of the nodes that have voted
+        self._unresolved_version = 0  # of the key that a write of this process, without a response, may still replace
+        # The session leases of such writes; a write can't be executed any more once its lease has ended.
+        self._unresolved_leases: set[int] = set()
 
     def may_start(self) -> bool:
-        """Whether nobody leads, as far as this node can know, and it may ask for votes."""
+        """Whether no node leads, as far as this node can know, and this node may request votes."""
         state = self._state
         if state.clock() < state.next_election_at or not state.leader_key.known or not self._store.healthy():
             return False
@@ -82,29 +84,36 @@
             return False
         if state.leader_key.shows_no_other_leader(state.node_name):
             return True
-        return state.leader_key.lease_mode is LeaseMode.QUORUM_LEASE and not state.vote_grant.in_restart_guard()
+        return state.leader_key.lease_mode is LeaseMode.QUORUM_LEASE and not state.vote_grant.in_restart_grace_period()
 
     async def run_once(self) -> None:
-        """One election, up to the rebuilt state or to the pause before the next."""
+        """Runs one election, until the state is rebuilt or the election is lost and the backoff is set."""
         self._state.start_election()
         self._election_id = random_id()
         self._replaced_version = 0
         won = False
         try:
-            won = await self._try_to_win()
+            won = await self._try_to_become_leader()
         except PreconditionFailedError:
             log.debug("election lost: another node was faster, or a voter has restarted")
         except (RequestRejectedError, OutcomeUnknownError) as error:
             log.debug("election lost: error=%s", error)
         finally:
             if self._replaced_version:
-                self._announce_abandoned()
+                self._announce_abandoned_election()
             if not won:
-                pause_s = PAUSE_S + PAUSE_PER_RANK_S * self._rank + random.random() * PAUSE_JITTER_S
-                self._state.lose_election(pause_s)
+                backoff_s = (
+                    ELECTION_BACKOFF_S
+                    + ELECTION_BACKOFF_PER_RANK_S * self._rank
+                    + random.random() * ELECTION_BACKOFF_JITTER_S
+                )
+                self._state.lose_election(backoff_s)
 
-    async def _try_to_win(self) -> bool:
-        """Read the leader key, ask for votes, replace the key and rebuild the state. Whether this node leads."""
+    async def _try_to_become_leader(self) -> bool:
+        """Reads the leader key, requests votes, replaces the key and rebuilds the state.
+
+        Returns whether this node leads.
+        """
         state = self._state
         stored = await self._store.read(keys.LEADER_KEY)
         state.observe_leader_key(stored.value, stored.version, stored.revision)
@@ -113,10 +122,10 @@
         if not state.vote_grant.grant_vote(state.node_name, stored.version, election_id=self._election_id):
             return False
         self._replaced_version = stored.version
-        mode = await self._ask_for_lease_mode(stored)
+        mode = await self._select_lease_mode(stored)
         if mode is None:
             return False
-        await self._write_key(stored.version, mode)
+        await self._write_leader_key(stored.version, mode)
         self._replaced_version = 0
         await self._rebuild_state()
         if state.role is not Role.LOADING:
@@ -127,23 +136,25 @@
     # -- votes -------------------------------------------------------------------------------------
 
     def _proves_leader_gone(self, stored: VersionedValue) -> bool:
-        """Whether a key that names this node proves that nobody leads with the key before.
+        """Whether a key that names this node proves that no leader relies on the previous key any more.
 
-        It does if it is that of an earlier process, or of a leadership that this one gave up. It may also be from a
-        write of this process that was carried out late, when the former leader had its quorum leases again.
+        The key proves this if an earlier process of this node wrote it, or if it belongs to a leadership that this
+        process gave up. Otherwise the key may come from a write of this process that was executed late, after the
+        former leader had regained its quorum leases.
         """
         incarnation = LeaderRecord.decode(stored.value).incarnation
         return incarnation != self._state.incarnation or stored.version == self._state.fencing_token
 
-    async def _ask_for_lease_mode(self, stored: VersionedValue) -> LeaseMode | None:
-        """Ask for votes: the mode in which this node may lead, or None."""
+    async def _select_lease_mode(self, stored: VersionedValue) -> LeaseMode | None:
+        """Requests votes; returns the mode in which this node may lead, or None if it may not lead."""
         state = self._state
-        gone = stored.version == 0 or self._proves_leader_gone(stored)
-        count = await self._ask_for_votes(stored.version, gone)
+        leader_gone = stored.version == 0 or self._proves_leader_gone(stored)
+        count = await self._request_votes(stored.version, leader_gone)
         if count.votes >= state.quorum:
             return LeaseMode.QUORUM_LEASE
-        # A peer that responds could form a majority with this node or another, so it decides.
-        no_other_leader = gone and state.leader_key.shows_no_other_leader(state.node_name)
+        # A peer that responds could form a majority with this node or with another one, so this node does not lead
+        # without the votes of a majority.
+        no_other_leader = leader_gone and state.leader_key.shows_no_other_leader(state.node_name)
         absent_since = state.leader_key.absent_since if stored.version == 0 else state.vote_grant.started_at
         absent_s = state.clock() - absent_since
         if count.peer_responded or not no_other_leader or absent_s < LEAD_WITHOUT_QUORUM_AFTER_S:
@@ -151,11 +162,11 @@
             return None
         return LeaseMode.SESSION_LEASE
 
-    async def _ask_for_votes(self, replaces_version: int, proves_leader_gone: bool) -> VoteCount:
-        """Ask all peers to vote, until a majority has.
+    async def _request_votes(self, replaces_version: int, proves_leader_gone: bool) -> VoteCount:
+        """Requests the votes of all peers, and stops waiting once a majority has voted for this node.
 
-        That is enough: a leader that stands still or is cut off responds nothing, and waiting for its vote, and then
-        for its quorum lease, took over two seconds of each failover from it.
+        Waiting for more votes would delay the failover: a former leader that is stalled or partitioned does not
+        respond, and waiting for its vote, and then for its quorum lease, took over two seconds of each failover.
         """
         state = self._state
         message = PeerMessage(
@@ -169,7 +180,7 @@
         self._voter_preconditions = state.vote_fence.preconditions() if state.vote_fence is not None else []
         votes = 1
         peer_responded = False
-        requests = [self._peers.spawn(self._ask_for_vote(peer, message)) for peer in self._peers]
+        requests = [self._peers.spawn(self._request_vote(peer, message)) for peer in self._peers]
         for next_response in asyncio.as_completed(requests):
             voter, response = await next_response
             peer_responded = peer_responded or response is not None
@@ -180,22 +191,25 @@
                 break
         return VoteCount(votes, peer_responded)
 
-    async def _ask_for_vote(self, peer: Peer, message: PeerMessage) -> PeerVote:
-        """One peer's name and response, None for none."""
+    async def _request_vote(self, peer: Peer, message: PeerMessage) -> PeerVote:
+        """Requests one peer's vote and records what its response reports."""
         response = await self._peers.call(peer, message, timeout_s=VOTE_TIMEOUT_S)
         if response is not None:
             self._observations.record_response(peer.name, response)
         return PeerVote(peer.name, response)
 
     def _add_voter_precondition(self, voter: str, version: int | None) -> None:
-        """A voter names its fence key's version; programs before format 3, and nodes without the store, don't."""
+        """Makes the write of the leader key conditional on the voter's fence key.
+
+        Programs before format 3, and nodes that can't reach the store, report no version of a fence key.
+        """
         if version is not None and version > 0:
             self._voter_preconditions.append(Precondition(keys.VOTE_FENCE_PREFIX + voter, version))
 
     # -- the leader key ----------------------------------------------------------------------------
 
-    async def _write_key(self, replaced_version: int, mode: LeaseMode) -> None:
-        """Replace the leader key that has this version, and begin the term."""
+    async def _write_leader_key(self, replaced_version: int, mode: LeaseMode) -> None:
+        """Replaces the leader key that has this version, and begins the term."""
         state = self._state
         requested_at = state.clock()
         session_lease = await self._store.grant_session_lease(session_lease_s(mode))
@@ -223,7 +237,7 @@
         self._heartbeat.send_to_all()
 
     async def _revoke_unresolved_leases(self) -> None:
-        """End the session leases of writes without a response: then those writes can't be carried out any more."""
+        """Revokes the session leases of writes without a response, so that those writes can't be executed any more."""
         while self._unresolved_leases:
             lease = next(iter(self._unresolved_leases))
             if await revoke_session_lease(self._store, lease):
@@ -231,8 +245,11 @@
             else:
                 await asyncio.sleep(REVOCATION_RETRY_S)
 
-    def _announce_abandoned(self) -> None:
-        """This candidate has not replaced the key, so its leader may get quorum leases again; unless it may have."""
+    def _announce_abandoned_election(self) -> None:
+        """Announces that this candidate has not replaced the key, so that the key's leader may get quorum leases again.
+
+        Does nothing if a write without a response may still replace that key.
+        """
         if self._replaced_version == self._unresolved_version:
             return
         state = self._state
--- a/hookwall/leadership/instants.py
+++ b/hookwall/leadership/instants.py
@@ -1,6 +1,6 @@
-"""Two instants outside every clock, so that deadlines compare without a special case."""
+"""Two instants outside the range of every clock, so that comparisons of deadlines need no special case."""
 
 import math
 
-NEVER = -math.inf  # has not happened; a deadline that has passed
-FOREVER = math.inf
+DISTANT_PAST = -math.inf  # the time of an event that has not happened, or a deadline that has passed
+DISTANT_FUTURE = math.inf
--- a/hookwall/leadership/leader_key.py
+++ b/hookwall/leadership/leader_key.py
@@ -1,9 +1,9 @@
-"""What one node knows of the leader key in the key-value store.
+"""One node's view of the leader key in the key-value store.
 
-The key names the node that leads and the mode in which it is valid; its version is the leader's fencing token. Reads,
-the watch and full scans show it, and their responses may come late or in any order. Invariant: what is known here never
-goes back to an older revision of the store. A value counts from its version, an absence from the revision at which it
-was observed.
+The key names the node that leads and the mode in which that node is valid; the version of the key is the leader's
+fencing token. Reads, the watch and full scans return the key, and their responses may arrive late or in any order.
+Invariant: this view never goes back to an older revision of the store. The revision of a value is its version; the
+revision of an absence is the revision at which the absence was observed.
 """
 
 from collections.abc import Callable
@@ -23,22 +23,22 @@
     """The value of the leader key."""
 
     leader: str
-    incarnation: object  # of the leader's process; None where it is not stored
+    incarnation: object  # of the leader's process; None if it is not stored
     lease_mode: LeaseMode
 
     @classmethod
     def decode(cls, value: object) -> Self:
-        """Read a stored value; whatever is missing or malformed counts as not stored."""
+        """Decodes a stored value; a missing or malformed field counts as not stored."""
         fields = value if isinstance(value, dict) else {}
-        by_session = fields.get(LEASE_MODE_FIELD) == LeaseMode.SESSION_LEASE.value
+        is_session_lease = fields.get(LEASE_MODE_FIELD) == LeaseMode.SESSION_LEASE.value
         return cls(
             leader=str(fields.get(LEADER_FIELD, "")),
             incarnation=fields.get(INCARNATION_FIELD),
-            lease_mode=LeaseMode.SESSION_LEASE if by_session else LeaseMode.QUORUM_LEASE,
+            lease_mode=LeaseMode.SESSION_LEASE if is_session_lease else LeaseMode.QUORUM_LEASE,
         )
 
     def encode(self) -> dict[str, object]:
-        """The value as it is stored."""
+        """Returns the value as it is stored."""
         return {
             LEADER_FIELD: self.leader,
             INCARNATION_FIELD: self.incarnation,
@@ -52,22 +52,22 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self.leader = ""
-        self.version = 0  # 0: there is no key
+        self.version = 0  # 0: the key is absent
         self.lease_mode = LeaseMode.QUORUM_LEASE
         self.known = False
         self.revision = 0
-        self.absent_since = clock()  # since when there has been no key, as far as this node knows
+        self.absent_since = clock()  # since when the key has been absent, as far as this node knows
 
     def observe(self, value: object, version: int, revision: int | None = None) -> bool:
-        """Record the key as it was at a revision; version 0: absent. False if something newer is known.
+        """Records the key as it was at a revision; version 0: absent. Returns False if a newer state is already known.
 
-        Without a revision an absence is taken to be the newest state.
+        An absence without a revision counts as the newest state.
         """
-        observed_at = version or revision
-        if observed_at is not None:
-            if observed_at < self.revision:
+        observed_revision = version or revision
+        if observed_revision is not None:
+            if observed_revision < self.revision:
                 return False
-            self.revision = observed_at
+            self.revision = observed_revision
         if not version and (self.version or not self.known):
             self.absent_since = self._clock()
         record = LeaderRecord.decode(value)
@@ -80,6 +80,7 @@
     def shows_no_other_leader(self, node_name: str) -> bool:
         """Whether the key shows that no node but this one can be valid.
 
-        It is gone, or it names an earlier process of this node, or a leadership that this node gave up.
+        The key is absent, or it names an earlier process of this node, or it belongs to a leadership that this node
+        gave up.
         """
         return self.known and (self.version == 0 or self.leader == node_name)
--- a/hookwall/leadership/leadership_state.py
+++ b/hookwall/leadership/leadership_state.py
@@ -1,19 +1,19 @@
-"""Who may command: the state machine of one node's part in leading, and what bounds a leader's validity.
-
-The leader is named by a key attached to a session lease in the key-value store. The version of that key is the fencing
-token, so tokens only rise, and each write of the leader depends on it. Invariant: at most one node is valid at any
-time. Without the key nobody is valid: a leader counts its session lease from *sending* the last renewal that succeeded,
-less drift.
-
-The key says in which of two modes its leader is valid:
-
-- By quorum lease: while a majority of nodes has granted its lease, counted from sending the request, and the long
-  session lease can't have ended. A node that granted one grants none to another node for QUORUM_LEASE_S, so such a
-  leader may be replaced, key or no key, once a majority is available; and an outage of the store, which nobody can use
-  for a failover, does not end its leadership.
-- By session lease: while its short session lease can't have ended, whatever peers respond. This is for nodes that do
-  not reach each other (a packet filter between them leaves all else working). Nobody replaces such a leader before its
-  key is gone.
+"""The state machine of one node's leadership, and the rules that bound a leader's validity.
+
+The leader is named by a key in the key-value store that is attached to a session lease. The version of that key is the
+fencing token, so tokens only increase, and each write of the leader is conditional on it. Invariant: at most one node
+is valid at any time. No node is valid without the key: a leader counts its session lease from *sending* the last
+renewal that succeeded, less the clock drift.
+
+The key states in which of two modes its leader is valid:
+
+- Quorum lease: the leader is valid while a majority of nodes has granted it quorum leases, counted from sending the
+  requests, and its long session lease can't have ended. A node that granted a quorum lease grants none to another node
+  for QUORUM_LEASE_S. Such a leader may therefore be replaced once a majority is available, whether or not its key still
+  exists. An outage of the store does not end its leadership, as no other node could take over during the outage.
+- Session lease: the leader is valid while its short session lease can't have ended, regardless of peers' responses.
+  This mode is for nodes that do not reach each other, for example because a packet filter blocks only the traffic
+  between them. No node replaces such a leader before its key is gone.
 """
 
 import logging
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from hookwall.config.clock_bounds import MAX_CLOCK_DRIFT, TIMER_SLACK_S
-from hookwall.leadership.instants import FOREVER, NEVER
+from hookwall.leadership.instants import DISTANT_FUTURE, DISTANT_PAST
 from hookwall.leadership.leader_key import LeaderKey, LeaderRecord
 from hookwall.leadership.random_ids import random_id
 from hookwall.leadership.roles import LeaseMode, Role
@@ -32,11 +32,11 @@
 
 log = logging.getLogger(__name__)
 
-STEP_DOWN_PAUSE_S = 1.0  # before the next election of a node that stepped down
+STEP_DOWN_BACKOFF_S = 1.0  # until a node that stepped down starts its next election
 
 
 class Term(NamedTuple):
-    """A leadership that begins: what the write of the leader key has given."""
+    """A new term of leadership, as it results from the write of the leader key."""
 
     record: LeaderRecord
     fencing_token: int
@@ -47,7 +47,7 @@
 
 
 class LeadershipState:
-    """Role, fencing token and leases of one node, its validity as a leader, and the transitions between roles."""
+    """One node's role, fencing token and leases, its validity as a leader, and the transitions between roles."""
 
     def __init__(
         self,
@@ -67,58 +67,59 @@
         self._on_validity_lapse = on_validity_lapse
 
         self.role = Role.FOLLOWER
-        self.leader_since = NEVER
+        self.leader_since = DISTANT_PAST
         self.next_election_at = 0.0
-        self.leader_contact_at = clock()  # when the leader that the key names last requested a quorum lease here
+        self.leader_contact_at = clock()  # when a leader last obtained a quorum lease from this node
         self.leader_key = LeaderKey(clock)
         self.vote_grant = VoteGrant(node_name, clock)
         self.vote_fence = VoteFence(node_name, store, self.observe_fenced_leader_key) if fence_votes else None
 
         self.fencing_token = 0
         self.lease_mode = LeaseMode.QUORUM_LEASE
-        self.key_was_absent = False  # when this term began: nobody had led for a session lease's time
+        self.key_was_absent = False  # when this term began: no node had led for the time of a session lease
         self.session_lease: int | None = None
-        self.session_lease_until = NEVER
-        self.session_lease_renewed_at = NEVER
-        self.quorum_acks: dict[str, float] = {}  # by peer, when the last request was sent that it granted
-        self.quorum_since: float | None = None  # by session lease: since when a majority has granted its lease again
+        self.session_lease_until = DISTANT_PAST
+        self.session_lease_renewed_at = DISTANT_PAST
+        self.quorum_acks: dict[str, float] = {}  # by peer: when the last request that it granted was sent
+        self.quorum_since: float | None = None  # in session lease mode: since when a majority grants leases again
 
-        self.worker_heartbeats_seen = 0  # that reached this node lately, whoever leads
-        self.last_worker_heartbeat_at = NEVER
+        self.worker_heartbeats_seen = 0  # that have reached this node, whichever node leads
+        self.last_worker_heartbeat_at = DISTANT_PAST
 
     # -- validity ----------------------------------------------------------------------------
 
     def valid(self) -> bool:
-        """Whether this node may command at this moment."""
+        """Whether this node may act as leader at this moment."""
         return self.role is Role.LEADER and self.clock() < self.valid_until()
 
     def valid_until(self) -> float:
-        """Until when this leader may command if no lease of it is renewed."""
+        """Returns until when this leader stays valid if none of its leases is renewed."""
         if self.lease_mode is LeaseMode.SESSION_LEASE:
             return self.session_lease_until - TIMER_SLACK_S
         return min(self.quorum_lease_until(), self.session_lease_until) - TIMER_SLACK_S
 
     def quorum_lease_until(self) -> float:
-        """Until when a majority, this node included, is bound by the quorum leases that it granted."""
+        """Returns until when a majority, including this node, is bound by the quorum leases that it granted."""
         if self.vote_grant.holder != self.node_name:
-            return NEVER
+            return DISTANT_PAST
         peers_until = self.quorum_reached_at(self.quorum_acks) + QUORUM_LEASE_S * (1 - MAX_CLOCK_DRIFT)
         return min(self.vote_grant.expires_at, peers_until)
 
     def quorum_reached_at(self, sent_at: dict[str, float]) -> float:
-        """The latest time since which a majority was sent a request and has responded.
+        """Returns the latest time since which a majority has been sent a request and has responded to it.
 
-        `sent_at` has, by peer, when the last request was sent that it responded to; this node needs none.
+        `sent_at` gives for each peer when the last request that it responded to was sent. This node counts towards the
+        majority without an entry.
         """
         needed = self.quorum - 1
         if needed == 0:
-            return FOREVER
-        if needed == 1:  # of three nodes; this is on the path of each worker heartbeat
-            return max(sent_at.values(), default=NEVER)
-        return sorted(sent_at.values(), reverse=True)[needed - 1] if len(sent_at) >= needed else NEVER
+            return DISTANT_FUTURE
+        if needed == 1:  # three nodes; avoids sorting, since this runs for each worker heartbeat
+            return max(sent_at.values(), default=DISTANT_PAST)
+        return sorted(sent_at.values(), reverse=True)[needed - 1] if len(sent_at) >= needed else DISTANT_PAST
 
     def leader_name(self) -> str | None:
-        """Which node leads, as far as this one knows; None if it knows of none."""
+        """Returns the node that leads, as far as this node knows; None if it knows of none."""
         if self.valid():
             return self.node_name
         grant = self.vote_grant
@@ -130,11 +131,14 @@
         return None
 
     def may_grant(self) -> bool:
-        """Whether no vote that an earlier process of this node gave can bind any more, as far as can be known."""
+        """Whether no vote by an earlier process of this node can still be binding, as far as this node can know."""
         return self.vote_fence is None or self.vote_fence.may_grant()
 
     def report_validity_lapse(self) -> None:
-        """Before validity is extended: if it has ended, another node may have been valid meanwhile."""
+        """Reports that the leader's validity has ended, if it has; called before validity is extended.
+
+        Another node may have been valid in the meantime.
+        """
         if self.role is Role.LEADER and not self.valid():
             self._on_validity_lapse()
 
@@ -145,7 +149,7 @@
         self._transition_to(Role.CANDIDATE, "no valid leader is known")
 
     def begin_term(self, term: Term) -> None:
-        """CANDIDATE → LOADING: the leader key was written for this node."""
+        """CANDIDATE → LOADING: this node has written the leader key."""
         self.key_was_absent = term.key_was_absent
         self.fencing_token = term.fencing_token
         self.lease_mode = term.record.lease_mode
@@ -159,13 +163,13 @@
         self._transition_to(Role.LOADING, f"elected, lease mode {self.lease_mode.value}")
 
     def complete_loading(self) -> None:
-        """LOADING → LEADER: the state is rebuilt from the records."""
+        """LOADING → LEADER: the state has been rebuilt from the records."""
         self.leader_since = self.clock()
         self._transition_to(Role.LEADER, "the state is rebuilt")
 
-    def lose_election(self, pause_s: float) -> None:
-        """CANDIDATE → FOLLOWER, or from LOADING, by stepping down, if the state could not be rebuilt."""
-        self.next_election_at = self.clock() + pause_s
+    def lose_election(self, backoff_s: float) -> None:
+        """CANDIDATE → FOLLOWER, or LOADING → FOLLOWER by stepping down if the state could not be rebuilt."""
+        self.next_election_at = self.clock() + backoff_s
         if self.role is Role.CANDIDATE:
             self._release_own_grant()
             self._transition_to(Role.FOLLOWER, "the election failed")
@@ -173,22 +177,22 @@
             self.step_down("the state could not be rebuilt")
 
     def step_down(self, reason: str) -> None:
-        """Any role → FOLLOWER: stop commanding.
+        """Any role → FOLLOWER: stops acting as leader.
 
-        The session lease is left alone: the version of the key fences the writes that are in flight.
+        The session lease is not revoked: the version of the key fences the writes that are in flight.
         """
         if self.role is Role.FOLLOWER:
             return
         self.quorum_acks.clear()
         self._release_own_grant()
-        self.next_election_at = self.clock() + STEP_DOWN_PAUSE_S
+        self.next_election_at = self.clock() + STEP_DOWN_BACKOFF_S
         self._transition_to(Role.FOLLOWER, reason)
 
     def _release_own_grant(self) -> None:
         self.vote_grant.release(self.node_name, self.vote_grant.fencing_token)
 
     def _transition_to(self, role: Role, reason: str) -> None:
-        """The one place where the role changes."""
+        """Changes the role; no other method does."""
         if role is self.role:
             return
         log.info(
@@ -201,9 +205,9 @@
     # -- the leader key ----------------------------------------------------------------------
 
     def observe_leader_key(self, value: object, version: int, revision: int | None = None) -> None:
-        """The leader key as the store had it at a revision (from a read or the watch); version 0: none.
+        """Records the leader key as the store had it at a revision (from a read or the watch); version 0: absent.
 
-        A leader whose key was replaced or is gone steps down.
+        A leader steps down if its key was replaced or is gone.
         """
         if not self.leader_key.observe(value, version, revision):
             return
@@ -214,9 +218,9 @@
             self.step_down("the leader key has changed")
 
     def observe_fenced_leader_key(self, stored: VersionedValue) -> None:
-        """The leader key as it is now that no write can happen that relies on a vote of an earlier process.
+        """Records the leader key as read once the vote fence blocks all writes that rely on votes of earlier processes.
 
-        Such a write may have replaced a key before, and its own key may be gone again.
+        Such a write may have replaced a key before that, and the key that it wrote may be gone again.
         """
         self.observe_leader_key(stored.value, stored.version, stored.revision)
         if not stored.version:
--- a/hookwall/leadership/peer_exchange.py
+++ b/hookwall/leadership/peer_exchange.py
@@ -1,8 +1,8 @@
-"""What other subsystems exchange with other nodes in the messages of leadership.
+"""The data that other subsystems exchange in leadership's messages between nodes.
 
-Heartbeats between nodes carry more than quorum leases: cancellations, lent request rates, hints to the next leader and
-what each node's program knows. Invariant: leadership transports these and gives them no meaning; each reads what it
-receives as input that may be malformed.
+Heartbeats between nodes carry more than quorum leases: cancellations, lent request rates, hints for the next leader and
+what each node's program supports. Invariant: leadership transports this data without interpreting it; each subsystem
+treats the data that it receives as input that may be malformed.
 """
 
 from typing import Protocol
@@ -11,81 +11,87 @@
 
 
 class PeerExchange(Protocol):
-    """What a node adds to its messages, and who receives what peers add."""
+    """Supplies the data that a node adds to its messages, and receives the data that peers add."""
 
     def local_status(self) -> PeerStatus:
-        """What this node reports of itself in every message."""
+        """Returns what this node reports about itself in every message."""
 
     def on_peer_status(self, peer: str, status: PeerStatus, /) -> None:
-        """A peer has reported of itself."""
+        """Handles what a peer reports about itself."""
 
     def rate_demand(self) -> object:
-        """Requests and changes a second that this node needs of the key-value store."""
+        """Returns the requests and changes per second that this node needs from the key-value store."""
 
     def lend_rate(self, peer: str, demand: object, /) -> object:
-        """Requests and changes a second that this leader lends a peer of its share; `demand`: None if unknown."""
+        """Returns the requests and changes per second that this leader lends a peer from its share.
+
+        `demand`: what the peer needs; None if unknown.
+        """
 
     def on_rate_lent(self, lent: object, /) -> None:
-        """The leader lends this follower some of its share, in requests and changes a second."""
+        """Handles the part of the leader's share that it lends this follower, in requests and changes per second."""
 
     def records_revision(self) -> int | None:
-        """The store's revision up to which this leader has read the records; None if it is not valid."""
+        """Returns the store's revision up to which this leader has read the records; None if it is not valid."""
 
     def known_cancellations(self, revision: int | None, /) -> KnownCancellations:
-        """What a node adds to a quorum lease: cancellations that the leader, by its revision, may not know."""
+        """Returns what a node adds to a quorum lease: cancellations that the leader, by its revision, may not know."""
 
     def on_known_cancellations(self, peer: str, sent_at: float, known: KnownCancellations, /) -> None:
-        """A peer has granted a quorum lease that was requested at `sent_at`, and added these cancellations."""
+        """Handles the cancellations that a peer added when it granted a quorum lease requested at `sent_at`."""
 
     def on_cancellations_announced(self, cancellations: object, /) -> bool:
-        """A peer announces cancellations before it confirms them to a user. Whether this node is a valid leader."""
+        """Handles cancellations that a peer announces before it confirms them to a user.
+
+        Returns whether this node is a valid leader.
+        """
 
     def successor_hints(self) -> object:
-        """What the next leader would want to know."""
+        """Returns the hints for the next leader that this leader sends to its peers."""
 
     def on_successor_hints(self, hints: object, /) -> None:
-        """The leader has sent what the next one would want to know."""
+        """Handles the hints for the next leader that the leader has sent."""
 
 
 class NoPeerExchange:
-    """For a node without other subsystems: adds nothing to messages and drops what peers add."""
+    """The exchange of a node without other subsystems: adds nothing to messages and ignores what peers add."""
 
     def local_status(self) -> PeerStatus:
-        """Report nothing, as programs that know no storage version do."""
+        """Returns an empty status, as programs that know no storage version do."""
         return PeerStatus()
 
     def on_peer_status(self, _peer: str, _status: PeerStatus, /) -> None:
-        """Drop it."""
+        """Ignores the status."""
 
     def rate_demand(self) -> object:
-        """Report none."""
+        """Returns None: no demand."""
         return None
 
     def lend_rate(self, _peer: str, _demand: object, /) -> object:
-        """Give nothing."""
+        """Returns None: nothing is lent."""
         return None
 
     def on_rate_lent(self, _lent: object, /) -> None:
-        """Drop it."""
+        """Ignores the lent rates."""
 
     def records_revision(self) -> int | None:
-        """Report none."""
+        """Returns None: no revision."""
         return None
 
     def known_cancellations(self, _revision: int | None, /) -> KnownCancellations:
-        """Report none, and that there may be some."""
+        """Returns no cancellations, and that the list may be incomplete."""
         return KnownCancellations((), False)
 
     def on_known_cancellations(self, _peer: str, _sent_at: float, _known: KnownCancellations, /) -> None:
-        """Drop it."""
+        """Ignores the cancellations."""
 
     def on_cancellations_announced(self, _cancellations: object, /) -> bool:
-        """Report that this node does not lead."""
+        """Returns False: this node does not lead."""
         return False
 
     def successor_hints(self) -> object:
-        """Give nothing."""
+        """Returns None: no hints."""
         return None
 
     def on_successor_hints(self, _hints: object, /) -> None:
-        """Drop it."""
+        """Ignores the hints."""
--- a/hookwall/leadership/peer_group.py
+++ b/hookwall/leadership/peer_group.py
@@ -1,6 +1,6 @@
-"""The other nodes as one node reaches them, and the tasks that send to them.
+"""A node's connections to its peers, and the background tasks that send messages to them.
 
-Invariant: each message gets one response or none; a peer that doesn't respond holds up nobody else's.
+Invariant: each message gets one response or none; a peer that doesn't respond does not delay the responses of others.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 CALL_TIMEOUT_S = 1.0
 
-WireMessage = dict[str, Any]  # a message between nodes as CBOR has it
+WireMessage = dict[str, Any]  # a message between nodes, as encoded in CBOR
 
 Result = TypeVar("Result")
 
@@ -23,7 +23,7 @@
     name: str
 
     async def call(self, message: WireMessage, timeout: float = CALL_TIMEOUT_S) -> WireMessage | None:
-        """The peer's response within so many seconds, or None."""
+        """Returns the peer's response, or None if there is none within `timeout` seconds."""
 
 
 class PeerGroup:
@@ -34,26 +34,26 @@
         self.background_tasks: set[asyncio.Task[Any]] = set()
 
     def __iter__(self) -> Iterator[Peer]:
-        """Each peer."""
+        """Iterates over the peers."""
         return iter(self.peers)
 
     def spawn(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Run a coroutine in the background; the group keeps it until it ends."""
+        """Runs a coroutine as a background task; the group holds a reference to the task until it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
         return task
 
     async def call(self, peer: Peer, message: PeerMessage, timeout_s: float = CALL_TIMEOUT_S) -> PeerResponse | None:
-        """A peer's response within so many seconds, or None."""
+        """Returns a peer's response, or None if there is none within `timeout_s` seconds."""
         response = await peer.call(peer_messages.encode_message(message), timeout=timeout_s)
         return None if response is None else peer_messages.decode_response(response)
 
     def call_all(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
-        """Send a message to all peers; their responses as they come, None for none."""
+        """Sends a message to all peers; returns one task for each, whose result is the response or None."""
         return [self.spawn(self.call(peer, message, timeout_s)) for peer in self.peers]
 
     def broadcast(self, message: PeerMessage) -> None:
-        """Send a message to all peers, whatever they respond."""
+        """Sends a message to all peers and ignores their responses."""
         for peer in self.peers:
             self.spawn(self.call(peer, message))
--- a/hookwall/leadership/peer_handler.py
+++ b/hookwall/leadership/peer_handler.py
@@ -1,6 +1,6 @@
-"""How a node responds to its peers: votes and quorum leases, and what goes with them.
+"""How a node responds to its peers: votes, quorum leases and the data that accompanies them.
 
-Invariant: every message gets a response, a malformed one too; nothing is granted before the vote fence permits it.
+Invariant: every message gets a response, even a malformed one; nothing is granted before the vote fence permits it.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 from hookwall.protocol.peer_messages import MessageKind, PeerMessage, PeerResponse
 from hookwall.storage.client import KeyValueClient
 
-RECENT_HEARTBEAT_S = 3.0  # worker heartbeats that came longer ago don't show that workers reach this node
+RECENT_WORKER_HEARTBEAT_S = 3.0  # older worker heartbeats don't show that workers reach this node
 
 
 class PeerMessageHandler:
-    """One method for each kind of message."""
+    """Responds to messages from peers, with one method for each kind of message."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         }
 
     def handle(self, encoded: WireMessage) -> WireMessage:
-        """The response to a peer's message, both as they go over the wire."""
+        """Returns the response to a peer's message, both in wire format."""
         message = peer_messages.decode_message(encoded)
         if message is None or message.sender == self._state.node_name:
             return peer_messages.encode_message(PeerResponse())
@@ -56,9 +56,9 @@
         return peer_messages.encode_message(response)
 
     def _add_local_status(self, response: PeerResponse) -> None:
-        """Add what every response reports of this node."""
+        """Adds what every response reports about this node."""
         state = self._state
-        workers_reach_this_node = state.clock() - state.last_worker_heartbeat_at < RECENT_HEARTBEAT_S
+        workers_reach_this_node = state.clock() - state.last_worker_heartbeat_at < RECENT_WORKER_HEARTBEAT_S
         response.store_reachable = self._store.has_recent_response()
         response.highest_token = state.vote_grant.fencing_token
         response.heartbeat_count = state.worker_heartbeats_seen if workers_reach_this_node else 0
@@ -68,13 +68,13 @@
         response.limits_lowered = status.limits_lowered
 
     def _on_heartbeat(self, message: PeerMessage) -> PeerResponse:
-        """A leader requests a quorum lease; a follower shows that it is there."""
+        """Responds to a leader's request for a quorum lease, or to a follower that shows that it is alive."""
         state = self._state
         fencing_token = message.fencing_token or 0
         if fencing_token <= 0:
             return PeerResponse()
         if not state.may_grant() or not state.vote_grant.renew_lease(message.sender, fencing_token):
-            return PeerResponse(voted_to_replace=state.vote_grant.may_be_replaced(fencing_token))
+            return PeerResponse(voted_to_replace=state.vote_grant.may_have_been_replaced(fencing_token))
         state.leader_contact_at = state.clock()
         if message.successor_hint is not None:
             self._exchange.on_successor_hints(message.successor_hint)
@@ -86,7 +86,7 @@
         return PeerResponse(granted=True, cancellations=known.cancellations, cancellations_complete=known.complete)
 
     def _on_vote(self, message: PeerMessage) -> PeerResponse:
-        """A candidate requests a vote."""
+        """Responds to a candidate's vote request."""
         state = self._state
         if state.role.holds_leader_key() or not state.may_grant():
             return PeerResponse()
@@ -100,7 +100,7 @@
         return PeerResponse(granted=granted, fence_version=fence_version)
 
     def _on_release(self, message: PeerMessage) -> PeerResponse:
-        """A leader or candidate gives its grant back; a leader may name who is to lead next."""
+        """Releases the grant of a leader or candidate; a leader may name its successor."""
         state = self._state
         if message.fencing_token is not None:
             state.vote_grant.release(message.sender, message.fencing_token)
@@ -111,13 +111,13 @@
         return PeerResponse(granted=True)
 
     def _on_store_contact(self, _message: PeerMessage) -> PeerResponse:
-        """A leader asks whether the key-value store responds to this node; the store is asked at once."""
+        """Reports to a leader whether the key-value store responds to this node, and triggers an immediate probe."""
         self._probe_requested.set()
         if not self._store.healthy():
             return PeerResponse(store_contact_age_s=None)
         return PeerResponse(store_contact_age_s=self._state.clock() - self._store.last_response_at)
 
     def _on_cancellations(self, message: PeerMessage) -> PeerResponse:
-        """A node announces cancellations before it confirms them to a user."""
+        """Applies cancellations that a node announces before it confirms them to a user."""
         is_leader = self._exchange.on_cancellations_announced(message.cancellations)
         return PeerResponse(granted=True, cancellations_applied=True, is_leader=is_leader)
--- a/hookwall/leadership/peer_heartbeat.py
+++ b/hookwall/leadership/peer_heartbeat.py
@@ -1,11 +1,11 @@
-"""Heartbeats between nodes: a leader requests quorum leases with them, a follower shows that it is there.
+"""Heartbeats between nodes: a leader requests quorum leases with them, a follower shows that it is alive.
 
-Invariant: a quorum lease counts from when its request was sent, and only after what came with it is applied.
+Invariant: a quorum lease counts from when its request was sent, and only after the data that came with it is applied.
 """
 
 import asyncio
 
-from hookwall.leadership.instants import NEVER
+from hookwall.leadership.instants import DISTANT_PAST
 from hookwall.leadership.leadership_state import LeadershipState
 from hookwall.leadership.peer_exchange import PeerExchange
 from hookwall.leadership.peer_group import Peer, PeerGroup
@@ -16,8 +16,8 @@
 
 HEARTBEAT_INTERVAL_S = 1.0
 RESPONSE_TIMEOUT_S = 1.5
-DEMAND_VALID_S = 2.0 * HEARTBEAT_INTERVAL_S  # a peer's older demand is not lent to
-HINT_PERIOD = 5  # heartbeats
+RECENT_DEMAND_S = 2.0 * HEARTBEAT_INTERVAL_S  # nothing is lent for an older demand of a peer
+HEARTBEATS_PER_HINT = 5
 
 
 class PeerHeartbeat:
@@ -38,26 +38,27 @@
         self._exchange = exchange
 
     async def run(self) -> None:
-        """Send a heartbeat to each peer every second, and renew the quorum lease that a leader grants itself."""
+        """Sends a heartbeat to each peer every second, and renews the quorum lease that a leader grants itself."""
         state = self._state
-        turn = 0
+        heartbeat_number = 0
         while True:
             leading = state.role.holds_leader_key()
-            # The hint grows with the fleet, so it is sent now and then, and put together once for all peers.
-            hint = self._exchange.successor_hints() if leading and turn % HINT_PERIOD == 0 else None
-            turn += 1
+            # The size of the hint grows with the fleet, so only some heartbeats carry it, and it is built once for all
+            # peers.
+            hint = self._exchange.successor_hints() if leading and heartbeat_number % HEARTBEATS_PER_HINT == 0 else None
+            heartbeat_number += 1
             self.send_to_all(hint)
             if leading:
                 self._renew_own_lease()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def send_to_all(self, hint: object = None) -> None:
-        """Send one heartbeat to each peer, in the background."""
+        """Sends one heartbeat to each peer, in the background."""
         for peer in self._peers:
             self._peers.spawn(self.send(peer, hint))
 
     async def send(self, peer: Peer, hint: object = None) -> None:
-        """Send one heartbeat to a peer and apply its response."""
+        """Sends one heartbeat to a peer and applies its response."""
         state = self._state
         fencing_token = state.fencing_token if state.role.holds_leader_key() else 0
         sent_at = state.clock()
@@ -70,7 +71,7 @@
             self._apply_lease_response(peer, fencing_token, sent_at, response)
 
     def _message(self, peer: Peer, fencing_token: int, sent_at: float, hint: object) -> PeerMessage:
-        """The heartbeat to a peer; a leader's has what the other subsystems send with it."""
+        """Returns the heartbeat for a peer; a leader's heartbeat includes the data of other subsystems."""
         status = self._exchange.local_status()
         message = PeerMessage(
             kind=MessageKind.HEARTBEAT,
@@ -87,30 +88,31 @@
         return message
 
     def _recent_demand(self, peer: Peer, now: float) -> object:
-        """What a peer last reported to need of the store; None if that was too long ago."""
+        """Returns the rates that a peer last reported to need from the store; None if the report is too old."""
         last = self._observations.rate_demand.get(peer.name)
-        return last.demand if last is not None and now - last.received_at < DEMAND_VALID_S else None
+        return last.demand if last is not None and now - last.received_at < RECENT_DEMAND_S else None
 
     def _apply_lease_response(self, peer: Peer, fencing_token: int, sent_at: float, response: PeerResponse) -> None:
-        """Apply whether the peer granted its quorum lease."""
+        """Applies a peer's response to the request for its quorum lease."""
         state = self._state
         if response.granted:
-            # The cancellations that come with the lease are applied before it counts.
+            # The cancellations that come with the lease are applied before the lease counts.
             known = KnownCancellations(response.cancellations, response.cancellations_complete is True)
             self._exchange.on_known_cancellations(peer.name, sent_at, known)
             state.report_validity_lapse()
-            state.quorum_acks[peer.name] = max(sent_at, state.quorum_acks.get(peer.name, NEVER))
+            state.quorum_acks[peer.name] = max(sent_at, state.quorum_acks.get(peer.name, DISTANT_PAST))
         elif response.highest_token is not None and response.highest_token > fencing_token:
             state.step_down(f"{peer.name} knows a newer fencing token")
         elif response.voted_to_replace is True:
-            # It never grants this token a lease again, so a new one is needed, if the key was not replaced after all.
+            # The peer never grants a lease for this fencing token again, so this node needs a new token if the key was
+            # not replaced after all.
             state.step_down(f"{peer.name} has voted to replace this leader key")
             state.next_election_at = state.clock()
 
     def _renew_own_lease(self) -> None:
-        """A leader's own quorum lease; one that granted it to another node steps down."""
+        """Renews the quorum lease that a leader grants itself; steps down if another node holds this node's grant."""
         state = self._state
         state.report_validity_lapse()
         granted = state.vote_grant.renew_lease(state.node_name, state.fencing_token)
         if not granted and state.lease_mode is LeaseMode.QUORUM_LEASE:
-            state.step_down("the own quorum lease is granted to another node")
+            state.step_down("this node's quorum lease is granted to another node")
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -1,6 +1,6 @@
-"""Messages between our own nodes: length-prefixed CBOR over one connection to each peer.
+"""Messages between controller nodes: length-prefixed CBOR over one connection to each peer.
 
-Invariant: a response belongs to the request that carries its serial number, however late or out of order it comes.
+Invariant: a response is matched to its request by the request ID, even if it arrives late or out of order.
 """
 
 import asyncio
@@ -18,66 +18,67 @@
 
 MAX_FRAME_BYTES = 256 * 1024
 FRAME_LENGTH = struct.Struct(">I")
-SERIAL_FIELD = "s"
-NO_SERIAL = -1
+REQUEST_ID_FIELD = "s"
+NO_REQUEST_ID = -1
 
 
 class MalformedFrameError(HookwallError):
-    """What came over a connection is not a message, or is too large."""
+    """A received frame is not a message, or is too large."""
 
 
 async def read_frame(reader: asyncio.StreamReader) -> WireMessage:
-    """The next message of a connection.
+    """Reads the next message from a connection.
 
-    Raises MalformedFrameError, and IncompleteReadError at the end of the connection.
+    Raises MalformedFrameError if the frame is too large or not a message, and IncompleteReadError at the end of the
+    connection.
     """
     (size,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
     if size > MAX_FRAME_BYTES:
         raise MalformedFrameError(f"frame too large: {size} bytes")
     value = cbor2.loads(await reader.readexactly(size))
     if not isinstance(value, dict):
-        raise MalformedFrameError("not a message")
+        raise MalformedFrameError("frame is not a CBOR map")
     return value
 
 
 def encode_frame(message: WireMessage) -> bytes:
-    """A message as it goes over a connection."""
+    """Returns a message as a length-prefixed frame."""
     data = cbor2.dumps(message)
     return FRAME_LENGTH.pack(len(data)) + data
 
 
 class PeerConnection:
-    """The connection to one other node. Each call gets its own response or none; a silent connection is replaced."""
+    """The connection to one peer. Each call gets its own response or none; an unresponsive connection is replaced."""
 
     def __init__(self, seed: PeerSeed) -> None:
         self.name = seed.node_name
         self.host, self.port = parse_address(seed.peer_addr, "seeds.peer_addr")
         self._writer: asyncio.StreamWriter | None = None
         self._pending: dict[int, asyncio.Future[WireMessage]] = {}
-        self._last_serial = 0
+        self._last_request_id = 0
         self._connecting = asyncio.Lock()
 
     async def call(self, message: WireMessage, timeout: float = CALL_TIMEOUT_S) -> WireMessage | None:
-        """The peer's response within so many seconds, or None."""
-        self._last_serial += 1
-        serial = self._last_serial
+        """Returns the peer's response, or None if there is none within `timeout` seconds."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
         response: asyncio.Future[WireMessage] = asyncio.get_running_loop().create_future()
-        self._pending[serial] = response
+        self._pending[request_id] = response
         try:
             async with asyncio.timeout(timeout):
                 if self._writer is None:
                     await self._connect()
                 if self._writer is None:
                     return None
-                self._writer.write(encode_frame({**message, SERIAL_FIELD: serial}))
+                self._writer.write(encode_frame({**message, REQUEST_ID_FIELD: request_id}))
                 return await response
         except (TimeoutError, OSError):
-            # Behind a network partition a connection stays open without an error; a new one will work sooner.
+            # In a network partition a connection stays open without an error; a new connection will work sooner.
             if self._writer is not None:
                 self._close(self._writer)
             return None
         finally:
-            self._pending.pop(serial, None)
+            self._pending.pop(request_id, None)
 
     async def _connect(self) -> None:
         async with self._connecting:
@@ -91,10 +92,10 @@
         try:
             while True:
                 message = await read_frame(reader)
-                response = self._pending.pop(message.get(SERIAL_FIELD, NO_SERIAL), None)
+                response = self._pending.pop(message.get(REQUEST_ID_FIELD, NO_REQUEST_ID), None)
                 if response is not None and not response.done():
                     response.set_result(message)
-        except Exception as error:  # noqa: BLE001 - whatever a peer sends must not end this node
+        except Exception as error:  # noqa: BLE001 - no input from a peer may end this process
             log.debug("peer connection ended: peer=%s error=%s", self.name, type(error).__name__)
         finally:
             self._close(writer)
@@ -106,18 +107,18 @@
 
 
 async def serve_peers(listen_address: str, handle: Callable[[WireMessage], WireMessage]) -> asyncio.Server:
-    """Respond to peers' messages with `handle`, on `host:port`."""
+    """Listens on `host:port` and responds to peers' messages with `handle`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 message = await read_frame(reader)
                 response = handle(message)
-                writer.write(encode_frame({**response, SERIAL_FIELD: message.get(SERIAL_FIELD, NO_SERIAL)}))
+                writer.write(encode_frame({**response, REQUEST_ID_FIELD: message.get(REQUEST_ID_FIELD, NO_REQUEST_ID)}))
                 await writer.drain()
         except (asyncio.IncompleteReadError, OSError):
             pass
-        except Exception as error:  # noqa: BLE001 - whatever a peer sends must not end this node
+        except Exception as error:  # noqa: BLE001 - no input from a peer may end this process
             log.info("peer connection dropped: error=%s: %s", type(error).__name__, error)
         finally:
             writer.close()
--- a/hookwall/leadership/roles.py
+++ b/hookwall/leadership/roles.py
@@ -1,26 +1,26 @@
-"""What a node is at present, and what makes a leader valid.
+"""The roles of a node, and the lease modes that make a leader valid.
 
-The values of `LeaseMode` stand in the stored leader key, so they never change.
+The values of `LeaseMode` are stored in the leader key, so they must never change.
 """
 
 from enum import Enum
 
 
 class Role(Enum):
-    """A node's part in leading; `leadership_state` has the transitions."""
+    """A node's role in the leadership state machine; `leadership_state` defines the transitions."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
-    LOADING = "loading"  # the leader key names this node, which rebuilds its state from the records
+    LOADING = "loading"  # the leader key names this node, which is rebuilding its state from the records
     LEADER = "leader"
 
     def holds_leader_key(self) -> bool:
-        """Whether the leader key was written for this role."""
+        """Whether a node in this role has written the leader key to become the leader."""
         return self in (Role.LOADING, Role.LEADER)
 
 
 class LeaseMode(Enum):
-    """What bounds a leader's validity: the quorum's leases, or its session lease alone."""
+    """What bounds a leader's validity: the leases granted by a quorum, or its session lease alone."""
 
     QUORUM_LEASE = "promise"
     SESSION_LEASE = "hold"
--- a/hookwall/leadership/session_lease.py
+++ b/hookwall/leadership/session_lease.py
@@ -1,7 +1,7 @@
-"""The session lease of the store to which the leader key is attached, and its renewal.
+"""The session lease in the key-value store to which the leader key is attached, and its renewal.
 
-Invariant: the lease as a leader counts it ends before the lease in the store, since it counts from sending the last
-renewal that succeeded, less the drift of clocks.
+Invariant: by the leader's own count the lease ends before it does in the store, since the leader counts it from sending
+the last renewal that succeeded, less the clock drift.
 """
 
 import logging
@@ -21,17 +21,17 @@
 
 
 def session_lease_s(mode: LeaseMode) -> float:
-    """How long the leader key outlives its leader's last renewal, in seconds."""
+    """Returns how long the leader key outlives its leader's last renewal, in seconds."""
     return LONG_SESSION_LEASE_S if mode is LeaseMode.QUORUM_LEASE else SHORT_SESSION_LEASE_S
 
 
 def session_lease_end(requested_at: float, mode: LeaseMode) -> float:
-    """Until when a leader may count on a session lease that it requested, or renewed, at this time."""
+    """Returns until when a leader may rely on a session lease that it requested or renewed at `requested_at`."""
     return requested_at + session_lease_s(mode) * (1 - MAX_CLOCK_DRIFT)
 
 
 async def revoke_session_lease(store: KeyValueClient, lease: int) -> bool:
-    """End a session lease, and with it its keys; False if that is not known to have happened."""
+    """Revokes a session lease, which deletes its keys; returns False if it may not have been revoked."""
     try:
         await store.revoke_session_lease(lease)
     except (RequestRejectedError, OutcomeUnknownError) as error:
@@ -41,14 +41,14 @@
 
 
 class SessionLeaseRenewal:
-    """Renews the leader's session lease in time for its mode."""
+    """Renews the leader's session lease at the period of its lease mode."""
 
     def __init__(self, state: LeadershipState, store: KeyValueClient) -> None:
         self._state = state
         self._store = store
 
     async def renew_if_due(self, now: float) -> None:
-        """Renew the lease if its period has passed; step down if it has ended."""
+        """Renews the lease if the renewal period has passed; steps down if the lease has ended."""
         state = self._state
         period_s = RENEWAL_PERIOD_S[state.lease_mode]
         if now - state.session_lease_renewed_at < period_s or state.session_lease is None:
--- a/hookwall/leadership/state_machine.py
+++ b/hookwall/leadership/state_machine.py
@@ -1,7 +1,7 @@
-"""One node's part in leading: the state machine (`leadership_state`) with the loops and messages that drive it.
+"""One node's leadership: the state machine (`leadership_state`) with the loops and messages that drive it.
 
-Invariant: every change of role, fencing token or lease is a method of `LeadershipState`; what stands here only decides
-when such a method is called.
+Invariant: every change of role, fencing token or lease is made by a method of `LeadershipState`; the parts combined
+here only decide when such a method is called.
 """
 
 import asyncio
@@ -21,20 +21,20 @@
 from hookwall.protocol.peer_messages import PeerMessage, PeerResponse
 from hookwall.storage.client import KeyValueClient
 
-STEP_S = 0.2  # between two checks of what is due
+CHECK_INTERVAL_S = 0.2  # between two checks for due elections, renewals and transfers
 START_DELAY_PER_RANK_S = 0.2
 
 
 def _ignore_lapse() -> None:
-    """Nothing depends on an uninterrupted validity."""
+    """Does nothing, for a node where nothing depends on uninterrupted validity."""
 
 
 class Leadership(LeadershipState):
-    """The state machine of one node, and the parts that drive it.
+    """The leadership state machine of one node, and the parts that drive it.
 
-    `rebuild_state` is awaited by a new leader before it commands; `on_role_change` gets each new role;
-    `on_validity_lapse` is called where validity is extended after it had ended. `fence_votes`: whether this node has a
-    vote fence, whose loop (`vote_fence.establish`) must run then.
+    `rebuild_state` is awaited by a new leader before it acts as leader; `on_role_change` is called with each new role;
+    `on_validity_lapse` is called before validity is extended after it has ended. `fence_votes`: whether this node has
+    a vote fence; if it has one, the fence's loop (`vote_fence.establish`) must run.
     """
 
     def __init__(
@@ -69,30 +69,30 @@
         self.leadership_transfer = LeadershipTransfer(self, self.peer_group, self.peer_observations, store)
 
     def handle_peer_message(self, encoded: WireMessage) -> WireMessage:
-        """The response to a peer's message, both as they go over the wire."""
+        """Returns the response to a peer's message, both in wire format."""
         return self.peer_handler.handle(encoded)
 
     def call_all_peers(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
-        """Send a message to all peers; their responses as they come, None for none."""
+        """Sends a message to all peers; returns one task for each, whose result is the response or None."""
         return self.peer_group.call_all(message, timeout_s)
 
     def record_peer_answer(self, peer: Peer, response: PeerResponse) -> None:
-        """Record what any response of a peer reports."""
+        """Records what every response of a peer reports."""
         self.peer_observations.record_response(peer.name, response)
 
     @property
     def peer_rate_demand(self) -> dict[str, RateDemand]:
-        """What each peer last reported to need of the key-value store."""
+        """The rates that each peer last reported to need from the key-value store."""
         return self.peer_observations.rate_demand
 
-    async def run(self, machines_expected: Callable[[], bool]) -> None:
-        """Hold an election when nobody leads; while leading, renew the session lease and check the own fitness."""
+    async def run(self, heartbeats_expected: Callable[[], bool]) -> None:
+        """Runs elections while no node leads; as leader, renews the session lease and checks this node's fitness."""
         await asyncio.sleep(START_DELAY_PER_RANK_S * self.rank)
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self.role is Role.FOLLOWER and self.election.may_start():
                 await self.election.run_once()
             if self.role is Role.LEADER:
                 await self.session_lease_renewal.renew_if_due(self.clock())
             if self.role is Role.LEADER:
-                await self.leadership_transfer.check_fitness(self.clock(), machines_expected())
+                await self.leadership_transfer.check_fitness(self.clock(), heartbeats_expected())
--- a/hookwall/leadership/store_probe.py
+++ b/hookwall/leadership/store_probe.py
@@ -1,7 +1,8 @@
-"""Whether the key-value store responds to this node, and whom the leader key names.
+"""Probes whether the key-value store responds to this node, and which node the leader key names.
 
-An open watch says nothing in an outage, and a peer that believed the store to be well made a leader transfer its
-leadership to it for nothing. Invariant: what is known of the store is never older than about a second.
+An open watch reports nothing during an outage: a peer that still believed the store to be healthy made a leader
+transfer its leadership to that peer in vain. Invariant: a node's view of the store's health is never older than about a
+second.
 """
 
 import asyncio
@@ -13,25 +14,25 @@
 from hookwall.storage.errors import OutcomeUnknownError, RequestRejectedError
 
 PROBE_PERIOD_S = 0.5
-RESPONSE_AGE_S = 0.8  # a response that is no older makes a probe unnecessary
+RECENT_RESPONSE_S = 0.8  # no probe is needed while the last response is newer than this
 
 
 class StoreProbe:
-    """Reads the leader key where nothing else has shown lately that the store responds."""
+    """Reads the leader key if no other request has recently shown that the store responds."""
 
     def __init__(self, state: LeadershipState, store: KeyValueClient) -> None:
         self._state = state
         self._store = store
-        self.requested = asyncio.Event()  # a peer asks, so the store is asked at once
+        self.requested = asyncio.Event()  # set when a peer asks about the store; triggers an immediate probe
 
     async def run(self) -> None:
-        """Probe the store whenever that is due or requested."""
+        """Probes the store whenever a probe is due or requested."""
         while True:
             try:
                 async with asyncio.timeout(PROBE_PERIOD_S):
                     await self.requested.wait()
             except TimeoutError:
-                if self._state.clock() - self._store.last_response_at < RESPONSE_AGE_S:
+                if self._state.clock() - self._store.last_response_at < RECENT_RESPONSE_S:
                     continue
             self.requested.clear()
             await self._read_leader_key()
--- a/hookwall/leadership/vote_fence.py
+++ b/hookwall/leadership/vote_fence.py
@@ -1,13 +1,14 @@
-"""Fences the votes that earlier processes of a node gave and that a new process has forgotten.
+"""Fences the votes of a node's earlier processes, which the node's new process has forgotten.
 
 A voter never again grants a quorum lease to the leader whose key its candidate may replace, since the candidate's write
-may be carried out late. A process that has just begun does not know of such votes. So each node has a key that each of
-its processes writes once, before it grants anything, and a candidate's write of the leader key has the keys of those
-who voted for it as preconditions. Invariant: once a voter's new process has written its key, no write that relies on a
-forgotten vote happens. What such writes did before shows in the leader key, which is read after that.
+may be executed late. A process that has just started does not know of such votes. Therefore each node has a fence key
+that each of its processes writes once, before it grants anything, and a candidate's write of the leader key has the
+fence keys of its voters as preconditions. Invariant: once a voter's new process has written its fence key, no write
+that relies on a forgotten vote is executed. The effect of such writes before that shows in the leader key, which is
+read after the fence key is written.
 
-A node whose requests the store rejects can't write its key. It grants without the fence meanwhile, as programs before
-format 3 always do: otherwise nobody could lead when nodes restart in an outage.
+A node whose requests the store rejects can't write its fence key. Meanwhile it grants without the fence, as programs
+before format 3 always do: otherwise no node could lead when nodes restart during an outage.
 """
 
 import asyncio
@@ -26,28 +27,28 @@
 
 
 class VoteFence:
-    """The key of this node's votes. `on_leader_key` gets the leader key as it is once the fence holds."""
+    """This node's fence key. `on_leader_key` is called with the leader key as read after the fence key was written."""
 
     def __init__(self, node_name: str, store: KeyValueClient, on_leader_key: Callable[[VersionedValue], None]) -> None:
         self.key = keys.VOTE_FENCE_PREFIX + node_name
         self._store = store
         self._on_leader_key = on_leader_key
         self.incarnation = random_id()
-        self.version = 0  # of the key as this process has written it; 0: the fence does not hold yet
+        self.version = 0  # of the fence key as this process wrote it; 0: the fence is not established yet
 
     def may_grant(self) -> bool:
         """Whether this node may vote or grant quorum leases, as far as forgotten votes are concerned."""
         return self.version > 0 or not self._store.healthy()
 
     def preconditions(self) -> list[Precondition]:
-        """What a write of the leader key depends on if it counts this node's own vote."""
+        """Returns the preconditions of a write of the leader key that counts this node's own vote."""
         return [Precondition(self.key, self.version)] if self.version else []
 
     async def establish(self) -> None:
-        """Put up the fence, once; then wait for the end of the process."""
+        """Establishes the fence once, then waits until the process ends."""
         while not self.version:
             try:
-                version = await self.write_key()
+                version = await self.write_fence_key()
                 self._on_leader_key(await self._store.read(keys.LEADER_KEY))
                 self.version = version
             except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError) as error:
@@ -55,13 +56,13 @@
                 await asyncio.sleep(RETRY_S)
         await asyncio.Event().wait()
 
-    async def write_key(self) -> int:
-        """Write the key if it is still as it was read, so that of two such writes one at most happens.
+    async def write_fence_key(self) -> int:
+        """Writes the fence key if it is unchanged since it was read: at most one of two concurrent writes is executed.
 
-        Returns its version. Raises what the store's client raises.
+        Returns the version of the key. Raises the errors of the store's client.
         """
         stored = await self._store.read(self.key)
         value = {"process": self.incarnation}
         if stored.version and stored.value == value:
-            return stored.version  # written before, without a response
+            return stored.version  # written by an earlier request that got no response
         return await self._store.commit([Precondition(self.key, stored.version)], [Put(self.key, value)])
--- a/tests/leadership/scripted_leadership.py
+++ b/tests/leadership/scripted_leadership.py
@@ -1,4 +1,4 @@
-"""A node's leadership among peers that respond as a test says."""
+"""The leadership of one node whose peers give the responses that a test prescribes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class ScriptedPeer:
-    """Responds as a function says, and records what it was sent."""
+    """A peer that responds with the result of a function and records the messages that it receives."""
 
     def __init__(self, name: str, response: Callable[[Message], Message | None]) -> None:
         self.name = name
@@ -20,7 +20,7 @@
         self.calls: list[Message] = []
 
     async def call(self, message: Message, timeout: float = 1.0) -> Message | None:
-        """The response, at once."""
+        """Returns the prescribed response without delay."""
         self.calls.append(message)
         return self.response(message)
 
@@ -28,27 +28,27 @@
 def make_leadership(
     state: FakeState, clock: Clock, responses: list[Callable[[Message], Message | None]], **options: Any
 ) -> Leadership:
-    """The leadership of a node whose process began long ago; it knows that there is no leader key."""
+    """Returns the leadership of a node that started long ago and has observed that there is no leader key."""
 
     async def rebuild_state() -> None:
         return None
 
     peers = [ScriptedPeer(f"n{number}", response) for number, response in enumerate(responses, 1)]
-    lead = Leadership("n0", 3, peers, state, clock, rebuild_state, lambda role: None, **options)
+    leadership = Leadership("n0", 3, peers, state, clock, rebuild_state, lambda role: None, **options)
     clock.tick(QUORUM_LEASE_S * 2)
-    lead.observe_leader_key({}, 0)
-    return lead
+    leadership.observe_leader_key({}, 0)
+    return leadership
 
 
 def grants(message: Message) -> Message:
-    """A peer that grants every vote and lease."""
+    """Responds as a peer that grants every vote and lease."""
     return {"ok": True, "sok": True, "top": 0}
 
 
 def refuses(message: Message) -> Message:
-    """A peer that grants nothing."""
+    """Responds as a peer that grants nothing."""
     return {"ok": False, "sok": True, "top": 0}
 
 
 def silent(message: Message) -> None:
-    """A peer that does not respond."""
+    """Stands for a peer that does not respond."""
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -17,150 +17,150 @@
 
 
 def test_a_candidate_needs_a_majority(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [refuses, silent])
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.FOLLOWER and keys.LEADER_KEY not in state.keys
+    leadership = make_leadership(state, clock, [refuses, silent])
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.FOLLOWER and keys.LEADER_KEY not in state.keys
 
 
 def test_the_fencing_token_is_the_version_of_the_leader_key(state: FakeState, clock: Clock):
     state.epoch = 40
-    lead = make_leadership(state, clock, [grants, silent])
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.LEADER and lead.valid()
-    assert lead.fencing_token == state.keys[keys.LEADER_KEY][1] == 41
+    leadership = make_leadership(state, clock, [grants, silent])
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.LEADER and leadership.valid()
+    assert leadership.fencing_token == state.keys[keys.LEADER_KEY][1] == 41
 
 
-def test_a_peer_that_stands_still_does_not_delay_a_failover(state: FakeState, clock: Clock):
-    # The former leader itself: its vote and its quorum lease were waited for, 0.7 and 1.5 s.
-    class StandsStill(ScriptedPeer):
+def test_an_unresponsive_peer_does_not_delay_a_failover(state: FakeState, clock: Clock):
+    # The former leader is unresponsive. The candidate used to wait for its vote (0.7 s) and its quorum lease (1.5 s).
+    class UnresponsivePeer(ScriptedPeer):
         async def call(self, message, timeout=1.0):
             await asyncio.sleep(timeout)
 
     async def fail_over() -> Leadership:
-        lead = make_leadership(state, clock, [grants])
-        lead.peers.insert(0, StandsStill("n2", None))
+        leadership = make_leadership(state, clock, [grants])
+        leadership.peers.insert(0, UnresponsivePeer("n2", None))
         async with asyncio.timeout(0.5):
-            await lead.election.run_once()
+            await leadership.election.run_once()
         await asyncio.sleep(0)
-        return lead
+        return leadership
 
-    lead = asyncio.run(fail_over())
-    assert lead.role is Role.LEADER and lead.valid()
+    leadership = asyncio.run(fail_over())
+    assert leadership.role is Role.LEADER and leadership.valid()
 
 
 def test_a_leader_without_a_majority_is_invalid_before_its_quorum_leases_expire(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [grants, silent])
-    asyncio.run(lead.election.run_once())
+    leadership = make_leadership(state, clock, [grants, silent])
+    asyncio.run(leadership.election.run_once())
     clock.tick(QUORUM_LEASE_S * 0.98)
-    assert lead.valid()
+    assert leadership.valid()
     clock.tick(QUORUM_LEASE_S * 0.02)
-    assert not lead.valid()
+    assert not leadership.valid()
 
 
-def test_validity_counts_from_sending(state: FakeState, clock: Clock):
-    def slow(message):
+def test_a_quorum_lease_counts_from_sending_its_request(state: FakeState, clock: Clock):
+    def grant_after_2_s(message):
         clock.tick(2.0)
         return grants(message)
 
-    lead = make_leadership(state, clock, [grants, silent])
-    asyncio.run(lead.election.run_once())
+    leadership = make_leadership(state, clock, [grants, silent])
+    asyncio.run(leadership.election.run_once())
     before = clock()
-    lead.peers[0].response = slow
-    asyncio.run(lead.peer_heartbeat.send(lead.peers[0]))
-    assert lead.quorum_acks["n1"] == before
+    leadership.peers[0].response = grant_after_2_s
+    asyncio.run(leadership.peer_heartbeat.send(leadership.peers[0]))
+    assert leadership.quorum_acks["n1"] == before
 
 
 def test_a_leader_whose_key_was_replaced_steps_down(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [grants, grants])
-    asyncio.run(lead.election.run_once())
-    lead.observe_leader_key({"node": "n2"}, lead.fencing_token + 5)
-    assert lead.role is Role.FOLLOWER and not lead.valid()
+    leadership = make_leadership(state, clock, [grants, grants])
+    asyncio.run(leadership.election.run_once())
+    leadership.observe_leader_key({"node": "n2"}, leadership.fencing_token + 5)
+    assert leadership.role is Role.FOLLOWER and not leadership.valid()
 
 
 def test_a_candidate_that_loses_the_race_for_the_key_does_not_lead(state: FakeState, clock: Clock):
-    def racer(message):
+    def write_key_during_vote(message):
         if message["t"] == "vote":
             state.epoch += 1
             state.keys[keys.LEADER_KEY] = ({"node": "n2"}, state.epoch)
         return grants(message)
 
-    lead = make_leadership(state, clock, [racer, grants])
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.FOLLOWER
+    leadership = make_leadership(state, clock, [write_key_during_vote, grants])
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.FOLLOWER
 
 
-def test_a_restarted_node_replaces_its_earlier_self_at_once(state: FakeState, clock: Clock):
+def test_a_restarted_node_may_replace_the_key_of_its_earlier_process_at_once(state: FakeState, clock: Clock):
     state.epoch = 3
     state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 3)
-    lead = make_leadership(state, clock, [grants, grants])
-    lead.vote_grant.started_at = clock()
-    lead.observe_leader_key({"node": "n0"}, 3)
-    assert lead.election.may_start()
-    lead.observe_leader_key({"node": "n1"}, 4)
-    assert not lead.election.may_start()
-
-
-def test_nodes_that_do_not_reach_each_other_are_led_by_session_lease(state: FakeState, clock: Clock):
-    """A packet filter between the nodes left everything else working, and nobody led for a whole day."""
-    lead = make_leadership(state, clock, [silent, silent])
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.FOLLOWER, "those who may reach each other come first"
+    leadership = make_leadership(state, clock, [grants, grants])
+    leadership.vote_grant.started_at = clock()
+    leadership.observe_leader_key({"node": "n0"}, 3)
+    assert leadership.election.may_start()
+    leadership.observe_leader_key({"node": "n1"}, 4)
+    assert not leadership.election.may_start()
+
+
+def test_a_node_that_reaches_no_peer_leads_by_session_lease(state: FakeState, clock: Clock):
+    """When a packet filter blocked only the traffic between the nodes, no node led for a whole day."""
+    leadership = make_leadership(state, clock, [silent, silent])
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.FOLLOWER, "those who may reach each other come first"
     clock.tick(LEAD_WITHOUT_QUORUM_AFTER_S + 1)
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.LEADER and lead.lease_mode is LeaseMode.SESSION_LEASE and lead.valid()
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.LEADER and leadership.lease_mode is LeaseMode.SESSION_LEASE and leadership.valid()
     clock.tick(SHORT_SESSION_LEASE_S)
-    assert not lead.valid()
+    assert not leadership.valid()
 
 
 def test_a_peer_that_responds_prevents_leading_by_session_lease(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [refuses, silent])
+    leadership = make_leadership(state, clock, [refuses, silent])
     clock.tick(60.0)
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.FOLLOWER
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.FOLLOWER
 
 
 def test_a_leader_by_session_lease_is_not_replaced_before_its_key_is_gone(state: FakeState, clock: Clock):
     state.epoch = 9
     state.keys[keys.LEADER_KEY] = ({"node": "n2", "mode": "hold"}, 9)
-    lead = make_leadership(state, clock, [grants, grants])
-    lead.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    leadership = make_leadership(state, clock, [grants, grants])
+    leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
     clock.tick(60.0)
-    assert not lead.election.may_start()
-    # Also when this node had only known of an older key.
-    lead.observe_leader_key({"node": "n2"}, 9)
-    asyncio.run(lead.election.run_once())
-    assert lead.role is Role.FOLLOWER and state.keys[keys.LEADER_KEY][1] == 9
+    assert not leadership.election.may_start()
+    # The same holds when this node knows only an older state of the key.
+    leadership.observe_leader_key({"node": "n2"}, 9)
+    asyncio.run(leadership.election.run_once())
+    assert leadership.role is Role.FOLLOWER and state.keys[keys.LEADER_KEY][1] == 9
 
 
 def test_a_leader_without_majority_removes_its_key(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [grants, silent])
-    asyncio.run(lead.election.run_once())
+    leadership = make_leadership(state, clock, [grants, silent])
+    asyncio.run(leadership.election.run_once())
     clock.tick(NO_QUORUM_STEP_DOWN_S + 0.5)
-    asyncio.run(lead.leadership_transfer.check_fitness(clock(), True))
-    assert lead.role is Role.FOLLOWER and keys.LEADER_KEY not in state.keys
+    asyncio.run(leadership.leadership_transfer.check_fitness(clock(), True))
+    assert leadership.role is Role.FOLLOWER and keys.LEADER_KEY not in state.keys
 
 
 def test_in_a_shared_store_outage_no_leadership_is_transferred(state: FakeState, clock: Clock):
-    def deaf(message):
+    def store_unreachable(message):
         return {"ok": True, "sok": False, "top": 0}
 
-    lead = make_leadership(state, clock, [grants, grants])
-    asyncio.run(lead.election.run_once())
-    for p in lead.peers:
-        p.response = deaf
+    leadership = make_leadership(state, clock, [grants, grants])
+    asyncio.run(leadership.election.run_once())
+    for p in leadership.peers:
+        p.response = store_unreachable
     state.mode, state.failing_since = "down", clock()
     for _ in range(4):
         clock.tick(1.0)
-        asyncio.run(lead.peer_heartbeat.send(lead.peers[0]))
-        asyncio.run(lead.peer_heartbeat.send(lead.peers[1]))
-        asyncio.run(lead.leadership_transfer.check_fitness(clock(), False))
-    assert lead.valid()
+        asyncio.run(leadership.peer_heartbeat.send(leadership.peers[0]))
+        asyncio.run(leadership.peer_heartbeat.send(leadership.peers[1]))
+        asyncio.run(leadership.leadership_transfer.check_fitness(clock(), False))
+    assert leadership.valid()
 
 
 def test_a_leader_does_not_vote(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [grants, grants])
-    asyncio.run(lead.election.run_once())
-    assert not lead.handle_peer_message({"t": "vote", "n": "n1"})["ok"]
+    leadership = make_leadership(state, clock, [grants, grants])
+    asyncio.run(leadership.election.run_once())
+    assert not leadership.handle_peer_message({"t": "vote", "n": "n1"})["ok"]
 
 
 @pytest.mark.parametrize("message", [{}, {"t": "ping"}, {"t": "ping", "n": 3}, {"t": "release", "n": "n1", "tok": "x"}])
@@ -168,72 +168,72 @@
     assert "ok" in make_leadership(state, clock, [grants, grants]).handle_peer_message(message)
 
 
-def test_a_late_answer_that_the_key_is_absent_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
-    """A read from before the key was written is answered after the watch has shown the key."""
-    lead = make_leadership(state, clock, [grants, grants])
-    lead.observe_leader_key({"node": "n1"}, 12)
-    lead.observe_leader_key({}, 0, 11)
-    assert lead.leader_key.version == 12 and not lead.leader_key.shows_no_other_leader(lead.node_name)
-    lead.observe_leader_key({}, 0, 13)
-    assert lead.leader_key.version == 0 and lead.leader_key.shows_no_other_leader(lead.node_name)
-    lead.observe_leader_key({"node": "n0"}, 12)
-    assert lead.leader_key.version == 0, "nor does a late response undo that the key is gone"
+def test_a_late_response_that_the_key_is_absent_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
+    """A response to a read that preceded the write of the key arrives after the watch has shown the key."""
+    leadership = make_leadership(state, clock, [grants, grants])
+    leadership.observe_leader_key({"node": "n1"}, 12)
+    leadership.observe_leader_key({}, 0, 11)
+    assert leadership.leader_key.version == 12 and not leadership.leader_key.shows_no_other_leader(leadership.node_name)
+    leadership.observe_leader_key({}, 0, 13)
+    assert leadership.leader_key.version == 0 and leadership.leader_key.shows_no_other_leader(leadership.node_name)
+    leadership.observe_leader_key({"node": "n0"}, 12)
+    assert leadership.leader_key.version == 0, "nor does a late response undo that the key is gone"
 
 
-def test_a_probe_that_is_answered_late_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
-    lead = make_leadership(state, clock, [grants, grants])
+def test_a_late_probe_response_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
+    leadership = make_leadership(state, clock, [grants, grants])
     state.epoch = 11
 
     async def read(key):
-        lead.observe_leader_key({"node": "n1"}, 12)
-        lead.store_probe.requested.clear()
+        leadership.observe_leader_key({"node": "n1"}, 12)
+        leadership.store_probe.requested.clear()
         state.last_response_at = clock()
         return VersionedValue(None, 0, 11)
 
     async def probe():
         state.read = read
-        lead.store_probe.requested.set()
+        leadership.store_probe.requested.set()
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
-                await lead.store_probe.run()
+                await leadership.store_probe.run()
 
     asyncio.run(probe())
-    assert lead.leader_key.version == 12
+    assert leadership.leader_key.version == 12
 
 
 def test_a_validity_lapse_is_reported_before_a_quorum_lease_extends_validity(state: FakeState, clock: Clock):
-    """Another node may have renewed workers' leases meanwhile, so those count from when it is valid again."""
+    """Another node may have renewed workers' leases in the lapse, so they count from when this node is valid again."""
     lapses = []
-    lead = make_leadership(state, clock, [grants, silent], on_validity_lapse=lambda: lapses.append(clock()))
-    asyncio.run(lead.election.run_once())
-    lapses.clear()  # a new leader reports one before its first quorum lease
+    leadership = make_leadership(state, clock, [grants, silent], on_validity_lapse=lambda: lapses.append(clock()))
+    asyncio.run(leadership.election.run_once())
+    lapses.clear()  # a new leader reports a lapse before its first quorum lease
     clock.tick(QUORUM_LEASE_S * 0.9)
-    lead.vote_grant.renew_lease("n0", lead.fencing_token)
-    asyncio.run(lead.peer_heartbeat.send(lead.peers[0]))
-    assert lead.valid() and lapses == []
+    leadership.vote_grant.renew_lease("n0", leadership.fencing_token)
+    asyncio.run(leadership.peer_heartbeat.send(leadership.peers[0]))
+    assert leadership.valid() and lapses == []
     clock.tick(QUORUM_LEASE_S)
-    lead.vote_grant.renew_lease("n0", lead.fencing_token)
-    asyncio.run(lead.peer_heartbeat.send(lead.peers[0]))
-    assert lead.valid() and lapses == [clock()]
+    leadership.vote_grant.renew_lease("n0", leadership.fencing_token)
+    asyncio.run(leadership.peer_heartbeat.send(leadership.peers[0]))
+    assert leadership.valid() and lapses == [clock()]
 
 
 def test_a_validity_lapse_is_reported_before_a_session_or_own_lease_extends_validity(state: FakeState, clock: Clock):
     lapses = []
-    lead = make_leadership(state, clock, [grants, silent], on_validity_lapse=lambda: lapses.append(clock()))
-    asyncio.run(lead.election.run_once())
-    lapses.clear()  # a new leader reports one before its first quorum lease
-    lead.session_lease_until = clock()
+    leadership = make_leadership(state, clock, [grants, silent], on_validity_lapse=lambda: lapses.append(clock()))
+    asyncio.run(leadership.election.run_once())
+    lapses.clear()  # a new leader reports a lapse before its first quorum lease
+    leadership.session_lease_until = clock()
     clock.tick(10.0)
-    lead.quorum_acks["n1"] = clock()
-    lead.vote_grant.expires_at = clock() + QUORUM_LEASE_S
-    asyncio.run(lead.session_lease_renewal.renew_if_due(clock()))
-    assert lapses == [clock()] and lead.valid()
-    lead.vote_grant.expires_at = clock()
+    leadership.quorum_acks["n1"] = clock()
+    leadership.vote_grant.expires_at = clock() + QUORUM_LEASE_S
+    asyncio.run(leadership.session_lease_renewal.renew_if_due(clock()))
+    assert lapses == [clock()] and leadership.valid()
+    leadership.vote_grant.expires_at = clock()
 
-    async def one_turn():
+    async def one_heartbeat_round():
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.01):
-                await lead.peer_heartbeat.run()
+                await leadership.peer_heartbeat.run()
 
-    asyncio.run(one_turn())
-    assert lapses == [clock(), clock()] and lead.valid()
+    asyncio.run(one_heartbeat_round())
+    assert lapses == [clock(), clock()] and leadership.valid()
--- a/tests/leadership/test_vote_fence.py
+++ b/tests/leadership/test_vote_fence.py
@@ -1,4 +1,4 @@
-"""A node's new process grants nothing before votes of its earlier processes are void."""
+"""Vote fence: a node's new process grants nothing before the votes of its earlier processes are void."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 from hookwall.storage import keys
 from hookwall.storage.errors import OutcomeUnknownError
 
-MY_KEY = keys.VOTE_FENCE_PREFIX + "n0"
+FENCE_KEY = keys.VOTE_FENCE_PREFIX + "n0"
 
 
 class Peer:
-    """Grants every vote and lease, and adds what is given."""
+    """Grants every vote and lease, and adds the given fields to its responses."""
 
     def __init__(self, name, **fields) -> None:
         self.name, self.fields, self.before_response = name, fields, lambda: None
@@ -26,102 +26,104 @@
 
 
 @pytest.fixture
-def lead(state: FakeState, clock: Clock) -> Leadership:
-    """A node whose process began long ago, and has not written its key."""
+def leadership(state: FakeState, clock: Clock) -> Leadership:
+    """The leadership of a node that started long ago and has not written its fence key."""
 
-    async def load():
+    async def rebuild_state():
         return None
 
     peers = [Peer("n1", fence=3), Peer("n2")]
-    lead = Leadership("n0", 3, peers, state, clock, load, lambda role: None, fence_votes=True)
+    leadership = Leadership("n0", 3, peers, state, clock, rebuild_state, lambda role: None, fence_votes=True)
     state.epoch = 3
     state.keys[keys.VOTE_FENCE_PREFIX + "n1"] = ({"process": 1}, 3)
     clock.tick(QUORUM_LEASE_S * 2)
-    lead.observe_leader_key({}, 0, 3)
-    return lead
+    leadership.observe_leader_key({}, 0, 3)
+    return leadership
 
 
-async def establish(fence, for_s=0.05):
-    """Let the fence's loop run until the fence holds, or for a while."""
+async def establish(fence, timeout_s=0.05):
+    """Runs the fence's loop until the fence is established, or for `timeout_s` seconds."""
     running = asyncio.get_running_loop().create_task(fence.establish())
     async with asyncio.timeout(2.0):
-        while not fence.version and for_s > 0:
+        while not fence.version and timeout_s > 0:
             await asyncio.sleep(0.01)
-            for_s -= 0.01
+            timeout_s -= 0.01
     running.cancel()
 
 
-def test_nothing_is_granted_before_the_fence_key_is_written(lead: Leadership):
+def test_nothing_is_granted_before_the_fence_key_is_written(leadership: Leadership):
     vote, heartbeat = {"t": "vote", "n": "n1", "campaign": 1}, {"t": "ping", "n": "n1", "tok": 4}
     assert (
-        not lead.handle_peer_message(vote)["ok"]
-        and not lead.handle_peer_message(heartbeat)["ok"]
-        and not lead.election.may_start()
+        not leadership.handle_peer_message(vote)["ok"]
+        and not leadership.handle_peer_message(heartbeat)["ok"]
+        and not leadership.election.may_start()
     )
-    asyncio.run(establish(lead.vote_fence))
-    assert lead.election.may_start() and lead.handle_peer_message(vote)["ok"]
+    asyncio.run(establish(leadership.vote_fence))
+    assert leadership.election.may_start() and leadership.handle_peer_message(vote)["ok"]
 
 
-def test_a_node_without_the_store_grants_without_its_fence(lead: Leadership, state: FakeState):
-    """Nobody could lead if nodes restarted in an outage."""
+def test_a_node_that_can_not_reach_the_store_grants_without_its_fence(leadership: Leadership, state: FakeState):
+    """Otherwise no node could lead if nodes restarted during an outage."""
     state.mode = "down"
-    asyncio.run(establish(lead.vote_fence))
-    assert not lead.vote_fence.version
-    response = lead.handle_peer_message({"t": "vote", "n": "n1", "campaign": 1})
+    asyncio.run(establish(leadership.vote_fence))
+    assert not leadership.vote_fence.version
+    response = leadership.handle_peer_message({"t": "vote", "n": "n1", "campaign": 1})
     assert response["ok"] and response["fence"] == 0
-    assert lead.handle_peer_message({"t": "ping", "n": "n1", "tok": 4})["ok"]
+    assert leadership.handle_peer_message({"t": "ping", "n": "n1", "tok": 4})["ok"]
 
 
-def test_a_vote_names_the_version_of_the_voter_s_fence_key(lead: Leadership, state: FakeState):
-    asyncio.run(establish(lead.vote_fence))
-    response = lead.handle_peer_message({"t": "vote", "n": "n1", "campaign": 1})
-    assert response["ok"] and response["fence"] == state.keys[MY_KEY][1] > 0
+def test_a_vote_names_the_version_of_the_voter_s_fence_key(leadership: Leadership, state: FakeState):
+    asyncio.run(establish(leadership.vote_fence))
+    response = leadership.handle_peer_message({"t": "vote", "n": "n1", "campaign": 1})
+    assert response["ok"] and response["fence"] == state.keys[FENCE_KEY][1] > 0
 
 
 @pytest.mark.parametrize("restarted", [None, "n0", "n1", "n2"])
-def test_the_leader_key_is_written_only_if_no_voter_has_restarted(lead: Leadership, state: FakeState, restarted):
-    """n2 runs an older program and names no key; n1's and the candidate's own are conditions."""
+def test_the_leader_key_is_written_only_if_no_voter_has_restarted(leadership: Leadership, state: FakeState, restarted):
+    """n2 runs an older program and reports no fence key; those of n1 and of the candidate are preconditions."""
 
     async def hold_election():
-        await establish(lead.vote_fence)
+        await establish(leadership.vote_fence)
         if restarted is not None:
             state.epoch += 1
             state.keys[keys.VOTE_FENCE_PREFIX + restarted] = ({"process": 9}, state.epoch)
-        await lead.election.run_once()
+        await leadership.election.run_once()
 
     asyncio.run(hold_election())
-    assert (lead.role is Role.LEADER) == (restarted in (None, "n2"))
+    assert (leadership.role is Role.LEADER) == (restarted in (None, "n2"))
     assert (keys.LEADER_KEY in state.keys) == (restarted in (None, "n2"))
 
 
-def test_the_leader_key_is_read_after_the_fence_and_before_anything_is_granted(lead: Leadership, state: FakeState):
-    """A forgotten vote's write may have happened just before: its key is the one that counts."""
+def test_the_leader_key_is_read_after_the_fence_and_before_anything_is_granted(
+    leadership: Leadership, state: FakeState
+):
+    """A write that relies on a forgotten vote may be executed just before the fence; then its leader key is valid."""
     write = state.commit
 
     async def commit_after_a_late_write(when, put=(), **more):
-        if put[0][0] == MY_KEY:
+        if put[0][0] == FENCE_KEY:
             state.epoch += 1
             state.keys[keys.LEADER_KEY] = ({"node": "n2", "mode": "promise"}, state.epoch)
         return await write(when, put, **more)
 
     state.commit = commit_after_a_late_write
-    asyncio.run(establish(lead.vote_fence))
-    assert lead.leader_key.leader == "n2"
-    assert not lead.handle_peer_message({"t": "ping", "n": "n1", "tok": lead.leader_key.version - 1})["ok"]
-    assert lead.handle_peer_message({"t": "ping", "n": "n2", "tok": lead.leader_key.version})["ok"]
+    asyncio.run(establish(leadership.vote_fence))
+    assert leadership.leader_key.leader == "n2"
+    assert not leadership.handle_peer_message({"t": "ping", "n": "n1", "tok": leadership.leader_key.version - 1})["ok"]
+    assert leadership.handle_peer_message({"t": "ping", "n": "n2", "tok": leadership.leader_key.version})["ok"]
 
 
-def test_a_leader_whose_key_is_gone_when_the_fence_holds_gets_no_lease_again(lead: Leadership, state: FakeState):
-    """A forgotten vote's write may have replaced its key, and be gone again."""
+def test_a_leader_whose_key_is_gone_when_the_fence_holds_gets_no_lease_again(leadership: Leadership, state: FakeState):
+    """A write that relies on a forgotten vote may have replaced its key, and the new key may be gone again."""
     state.epoch = 40
-    asyncio.run(establish(lead.vote_fence))
-    assert not lead.handle_peer_message({"t": "ping", "n": "n1", "tok": 30})["ok"]
-    assert lead.handle_peer_message({"t": "ping", "n": "n1", "tok": 42})["ok"]
+    asyncio.run(establish(leadership.vote_fence))
+    assert not leadership.handle_peer_message({"t": "ping", "n": "n1", "tok": 30})["ok"]
+    assert leadership.handle_peer_message({"t": "ping", "n": "n1", "tok": 42})["ok"]
 
 
-def test_the_fence_key_is_written_only_over_the_version_that_was_read(lead: Leadership, state: FakeState):
-    """A write of an earlier process that is carried out late must not replace the key of this one, or the reverse."""
-    state.keys[MY_KEY] = ({"process": 7}, 2)
+def test_the_fence_key_is_written_only_over_the_version_that_was_read(leadership: Leadership, state: FakeState):
+    """A late write of an earlier process must not replace the key of this process, and vice versa."""
+    state.keys[FENCE_KEY] = ({"process": 7}, 2)
     seen: list[list] = []
     write = state.commit
 
@@ -130,17 +132,17 @@
         return await write(when, put, **more)
 
     state.commit = commit
-    asyncio.run(establish(lead.vote_fence))
-    assert seen == [[(MY_KEY, 2)]] and state.keys[MY_KEY][0] == {"process": lead.vote_fence.incarnation}
+    asyncio.run(establish(leadership.vote_fence))
+    assert seen == [[(FENCE_KEY, 2)]] and state.keys[FENCE_KEY][0] == {"process": leadership.vote_fence.incarnation}
 
 
-def test_a_write_without_a_response_is_recognized_by_its_incarnation(lead: Leadership, state: FakeState):
+def test_a_write_without_a_response_is_recognized_by_its_incarnation(leadership: Leadership, state: FakeState):
     async def scenario():
         state.mode = "ghost"
         with pytest.raises(OutcomeUnknownError):
-            await lead.vote_fence.write_key()
+            await leadership.vote_fence.write_fence_key()
         state.mode = "ok"
-        before = state.keys[MY_KEY]
-        assert await lead.vote_fence.write_key() == before[1] and state.keys[MY_KEY] == before
+        before = state.keys[FENCE_KEY]
+        assert await leadership.vote_fence.write_fence_key() == before[1] and state.keys[FENCE_KEY] == before
 
     asyncio.run(scenario())
--- a/tests/leadership/test_vote_grant.py
+++ b/tests/leadership/test_vote_grant.py
@@ -13,7 +13,7 @@
     return grant
 
 
-def test_a_grant_binds_until_it_expires(grant: VoteGrant, clock: Clock):
+def test_a_grant_excludes_other_nodes_until_it_expires(grant: VoteGrant, clock: Clock):
     assert grant.renew_lease("n1", 7)
     assert not grant.grant_vote("n2") and not grant.renew_lease("n2", 8)
     clock.tick(QUORUM_LEASE_S + 0.01)
@@ -28,7 +28,7 @@
     assert not grant.renew_lease("n1", 7)
 
 
-def test_a_restarted_node_grants_nothing_against_a_forgotten_grant(clock: Clock):
+def test_a_restarted_node_grants_nothing_that_conflicts_with_a_forgotten_grant(clock: Clock):
     grant = VoteGrant("n0", clock)
     grant.observed_key = ObservedLeaderKey("n1", 7)
     assert not grant.grant_vote("n2"), "it may have granted n1 a lease just before it restarted"
@@ -60,7 +60,7 @@
 
 
 def test_a_voter_for_a_replacement_never_grants_the_former_leader_a_lease_again(grant: VoteGrant, clock: Clock):
-    """The candidate's write may be carried out after any time; the vote itself expires after VOTE_GRANT_S."""
+    """The candidate's write may be executed at any later time; the vote itself expires after VOTE_GRANT_S."""
     grant.renew_lease("n1", 7)
     clock.tick(QUORUM_LEASE_S + 0.01)
     assert grant.grant_vote("n2", replaces_version=7)
@@ -82,8 +82,8 @@
     assert grant.renew_lease("n1", 7)
 
 
-def test_an_abandoned_election_says_nothing_of_a_later_one(grant: VoteGrant, clock: Clock):
-    """The first election certainly failed and says so late; the write of the second may still be carried out."""
+def test_an_abandoned_election_does_not_clear_a_later_one(grant: VoteGrant, clock: Clock):
+    """The late message says that the first election failed; the write of the second one may still be executed."""
     grant.grant_vote("n2", replaces_version=7, election_id=21)
     clock.tick(VOTE_GRANT_S + 0.01)
     grant.grant_vote("n2", replaces_version=7, election_id=22)
