--- a/hookwall/jobs/__init__.py
+++ b/hookwall/jobs/__init__.py
@@ -1,7 +1,7 @@
 """Jobs as they are stored and as the leader has changed them since.
 
-Owns the table of all jobs, the graph of dependencies between them, the writes of the leader's decisions, and the
-ledger of cancellations. The state machine is that of a job's phase: open, then done or cancelled, and final once
-stored. Asks of others: the key-value store's client and record encoding (`storage`), who leads and with which fencing
-token (`leadership`), and the keys of the lease delegates as preconditions of each write.
+Contains the table of all jobs, the graph of dependencies between them, the writer of the leader's decisions, and the
+ledger of cancellations. The phase of a job is a state machine: it is open, then done or cancelled, and final once
+stored. Depends on the key-value store's client and record encoding (`storage`), on the current leader and its fencing
+token (`leadership`), and on the keys of the lease delegates, which are preconditions of each write.
 """
--- a/hookwall/jobs/allocation.py
+++ b/hookwall/jobs/allocation.py
@@ -1,26 +1,26 @@
-"""The start of one task on one machine, as it is decided, stored, launched and ended.
+"""Allocations: each is the start of one task on one machine, which is decided, stored, launched and ended.
 
-Invariant: an allocation stands from the leader's decision until its task is shown to be gone from the machine, whatever
-happens to the worker or the leader meanwhile.
+Invariant: an allocation exists from the leader's decision until its task is proven to be gone from the machine, even if
+the worker or the leader fails in between.
 """
 
 from typing import NamedTuple
 
-NEVER = -1e9  # on the node's clock, in seconds: before anything that has happened
-NOT_RUNNING = -1.0  # `Allocation.running_since` until the worker has reported that the task runs
+NEVER = -1e9  # seconds on the node's clock; earlier than any event
+NOT_RUNNING = -1.0  # value of `Allocation.running_since` until the worker reports that the task runs
 
 
 class StoredStart(NamedTuple):
-    """A start of one task as the stored record names it."""
+    """The start of one task as the stored record lists it."""
 
     machine: str
     attempt: int
 
 
 class Allocation:
-    """One start of one task: from the decision until the task is shown to be gone.
+    """One start of one task, from the decision until the task is proven to be gone.
 
-    Times are readings of the node's clock in seconds.
+    Times are seconds on the node's clock.
     """
 
     __slots__ = (
@@ -37,14 +37,14 @@
     )
 
     def __init__(self, task: int, machine: str, epoch: int, attempt: int, now: float) -> None:
-        """Allocate the task to the incarnation `epoch` of the worker on `machine`."""
+        """Allocate the task to the worker on `machine` with the incarnation number `epoch`."""
         self.task = task
         self.machine = machine
         self.epoch = epoch
         self.attempt = attempt
-        self.reported_phase = ""  # as the worker last reported it; "" until it has
+        self.reported_phase = ""  # the phase in the worker's last report; "" before the first report
         self.created_at = now
         self.running_since = NOT_RUNNING
-        self.stop_grace_s: float | None = None  # None: the task is not to stop
+        self.stop_grace_s: float | None = None  # None: the task has not been told to stop
         self.stop_sent_at = NEVER
         self.finished = False
--- a/hookwall/jobs/chunked_commit.py
+++ b/hookwall/jobs/chunked_commit.py
@@ -1,7 +1,8 @@
-"""Storing records together with their chunks, or after them where one transaction does not take all.
+"""Writes records together with their chunks, or after them if they do not all fit in one transaction.
 
-Invariant: whoever can read a record can read the chunks that it names. So chunks are written in the transaction of
-their record or in earlier ones, and a record is written only on the condition that no earlier one has been removed.
+Invariant: a node that can read a record can also read the chunks that it names. So chunks are written in the
+transaction of their record or in earlier transactions, and a record is written only on the condition that none of the
+chunks written earlier has been removed.
 """
 
 from collections.abc import Callable
@@ -13,14 +14,14 @@
 
 
 class ChunkGuard(Enum):
-    """Which transactions are conditional on the chunks that earlier ones have written.
+    """Which transactions are conditional on the chunks that earlier transactions have written.
 
-    A leader removes chunks that no record names, but none of a job that has no record yet.
+    A leader removes chunks that no record names, except those of a job that has no record yet.
     """
 
-    NONE = "none"  # chunks of a new job
+    NONE = "none"  # no transaction; for the chunks of a new job
     RECORD = "record"  # the transaction that writes the record
-    ALL = "all"  # that one, and those that write further chunks
+    ALL = "all"  # the transaction that writes the record, and those that write further chunks
 
 
 async def commit_with_chunks(
@@ -32,11 +33,12 @@
     next_batch: Callable[[dict[str, str]], list[Put]],
     guard: ChunkGuard,
 ) -> int:
-    """Write chunks and the records that name them; gives the revision at which the records were written.
+    """Write chunks and the records that name them; returns the revision at which the records were written.
 
-    `next_batch` picks from the chunks that are left those to write next in a transaction of their own, or none once the
-    rest goes with the records. Chunks are known to the table as soon as they are written. Raises what `store.commit`
-    raises; chunks that were written by then stay, and are not written again next time.
+    `next_batch` selects from the remaining chunks those to write in the next transaction, without records. It returns
+    none once the remaining chunks fit in the transaction of the records. Chunks are added to the table as soon as they
+    are written. Raises what `store.commit` raises; chunks written before the error stay stored, and the next attempt
+    does not write them again.
     """
     remaining = dict(chunks)
     guarded: list[Precondition] = []
--- a/hookwall/jobs/dependency_graph.py
+++ b/hookwall/jobs/dependency_graph.py
@@ -1,10 +1,12 @@
-"""Which jobs depend on which: a graph free of I/O, on dense indices.
+"""The graph of dependencies between jobs. It does no I/O and stores nodes by dense indices.
 
-Invariant: a job is *ready* once every job that it depends on is stored as done, and *cancelled* with a job that it
-depends on, directly or through others. Both are final, as what they follow from is.
+Invariant: a job is *ready* once every job that it depends on is stored as done, and *cancelled* once a job that it
+depends on, directly or transitively, is cancelled. Both states are final, because the stored outcomes that cause them
+are final.
 
-Rank and latest start are propagated backwards: a job is as urgent as the most urgent job that depends on it. Each call
-costs what the edges cost that change. What follows from a call is collected until the owner drains it.
+Rank and latest start are propagated backwards: a job is as urgent as the most urgent job that depends on it. The cost
+of a call is proportional to the number of edges that it affects. The effects of calls are collected until the owner of
+the graph drains them.
 """
 
 import math
@@ -16,7 +18,7 @@
 
 
 class Outcome(Enum):
-    """How a job ended, by the stored word."""
+    """How a job ended. The values are the stored phases."""
 
     DONE = "done"
     CANCELLED = "withdrawn"
@@ -24,26 +26,26 @@
 
 @dataclass(slots=True)
 class JobNode:
-    """One job of the graph. Ranks are indices, 0 the highest; times are times of day in seconds."""
+    """One job of the graph. Ranks are indices, where 0 is the highest; times are times of day in seconds."""
 
     job_id: str
     dependencies: list[int] = field(default_factory=list)
     dependents: list[int] = field(default_factory=list)
-    unmet_count: int = 0  # dependencies that are not done
+    unmet_count: int = 0  # the number of dependencies that are not done
     outcome: Outcome | None = None
-    ended_at: float = 0.0  # 0: not ended, or it is not known when
-    cancelled: bool = False  # a dependency was cancelled
+    ended_at: float = 0.0  # 0: not ended, or the time is not known
+    cancelled: bool = False  # whether a dependency, direct or transitive, was cancelled
     ready_at: float = 0.0  # when the last of its dependencies was done
     own_rank: int = LOWEST_RANK
     own_deadline: float = math.inf
     duration_s: float = 0.0
-    rank: int = LOWEST_RANK  # its own, or that of a dependent
+    rank: int = LOWEST_RANK  # its own, or the higher one of a dependent
     latest_end: float = math.inf
 
 
 @dataclass(slots=True)
 class GraphChanges:
-    """What has followed from calls since it was last drained, as job ids."""
+    """The effects of calls since the changes were last drained, as job ids."""
 
     ready: list[str] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
@@ -51,22 +53,22 @@
 
 
 class DependencyGraph:
-    """The jobs that depend on others, and those that others depend on."""
+    """The jobs that depend on other jobs, and the jobs that others depend on."""
 
     def __init__(self) -> None:
-        """An empty graph."""
+        """Create an empty graph."""
         self._index_of: dict[str, int] = {}
         self._nodes: list[JobNode] = []
         self._changes = GraphChanges()
 
     def __contains__(self, job_id: str) -> bool:
-        """Whether the job depends on another or another on it."""
+        """Whether the job depends on another job, or another job depends on it."""
         return job_id in self._index_of
 
-    # -- what is known ---------------------------------------------------------------------------
+    # -- updates ---------------------------------------------------------------------------------
 
     def add_job(self, job_id: str, dependencies: Sequence[str]) -> None:
-        """Add a job that depends on others; adding it again has no effect."""
+        """Add a job that depends on others. Adding it again has no effect."""
         index = self._ensure_node(job_id)
         node = self._nodes[index]
         if node.dependencies:
@@ -79,13 +81,16 @@
         self._raise_urgency_of_dependencies(index)
 
     def set_requirements(self, job_id: str, rank: int, duration_s: float, deadline: float | None) -> None:
-        """Set what a job of the graph asks for itself; its deadline is a time of day, None for none."""
+        """Set the rank, estimated duration and deadline of a job in the graph.
+
+        The deadline is a time of day, or None if the job has none. A job that is not in the graph is ignored.
+        """
         index = self._index_of.get(job_id)
         if index is None:
             return
         node = self._nodes[index]
         if node.own_rank == rank:
-            return  # a description never changes
+            return  # already set: the description of a job never changes
         node.own_rank = rank
         node.duration_s = duration_s
         node.own_deadline = math.inf if deadline is None else deadline
@@ -93,11 +98,11 @@
             node.rank = min(rank, node.rank)
             node.latest_end = min(node.own_deadline, node.latest_end)
             self._changes.urgency_changed.append(job_id)
-        # Its length counts for its dependencies even where nothing else about it has changed.
+        # The job's duration affects its dependencies even if nothing else about it has changed.
         self._raise_urgency_of_dependencies(index)
 
     def record_outcome(self, job_id: str, outcome: Outcome, ended_at: float | None = None) -> None:
-        """Record that a job's end is stored; `ended_at` is its time of day, None where it is not known."""
+        """Record that a job's end is stored. `ended_at` is the time of day of the end, or None if it is not known."""
         index = self._index_of.get(job_id)
         if index is None or self._nodes[index].outcome is not None:
             return
@@ -108,7 +113,7 @@
             self._apply_end_of_dependency(dependent, node)
         self._lower_urgency(node.dependencies)
 
-    # -- what follows ----------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------------
 
     def dependencies_of(self, job_id: str) -> list[str]:
         """The jobs that a job depends on directly."""
@@ -116,32 +121,35 @@
         return [] if index is None else [self._nodes[n].job_id for n in self._nodes[index].dependencies]
 
     def is_blocked(self, job_id: str) -> bool:
-        """Whether a job that it depends on is not known to be done."""
+        """Whether any job that it depends on directly is not known to be done."""
         index = self._index_of.get(job_id)
         return index is not None and self._nodes[index].unmet_count > 0
 
     def has_cancelled_dependency(self, job_id: str) -> bool:
-        """Whether a job that it depends on, directly or through others, was cancelled."""
+        """Whether a job that it depends on, directly or transitively, was cancelled."""
         index = self._index_of.get(job_id)
         return index is not None and self._nodes[index].cancelled
 
     def ready_at(self, job_id: str) -> float:
-        """When the last job that it depends on was done, as a time of day; 0 if that is not known."""
+        """The time of day at which the last job that it depends on was done; 0 if that is not known."""
         index = self._index_of.get(job_id)
         return 0.0 if index is None else self._nodes[index].ready_at
 
     def effective_rank(self, job_id: str, own_rank: int) -> int:
-        """The rank that a job is treated as having: its own, or a higher one of a dependent."""
+        """The rank used for scheduling the job: its own, or the higher one of a dependent."""
         index = self._index_of.get(job_id)
         return own_rank if index is None else min(own_rank, self._nodes[index].rank)
 
     def latest_start(self, job_id: str) -> float:
-        """When a job has to start for all its dependents, by the owners' estimates; infinity if nobody says."""
+        """The latest time of day at which a job can start without making itself or a dependent miss its deadline.
+
+        It is computed from the durations that the jobs' owners have estimated. Infinity if no deadline is set.
+        """
         index = self._index_of.get(job_id)
         return math.inf if index is None else self._nodes[index].latest_end - self._nodes[index].duration_s
 
     def drain_changes(self) -> GraphChanges:
-        """Give what has followed since the last call, and forget it."""
+        """Return the effects collected since the last call, and clear them."""
         changes = self._changes
         self._changes = GraphChanges()
         return changes
@@ -157,7 +165,7 @@
         return index
 
     def _apply_new_edge(self, index: int, dependency: int) -> None:
-        """The job at `index` depends on that at `dependency` from now on."""
+        """Update the job at `index` after it was made dependent on the job at `dependency`."""
         node = self._nodes[index]
         needed = self._nodes[dependency]
         if needed.outcome is Outcome.DONE:
@@ -168,7 +176,7 @@
             self._cancel_with_dependents(index)
 
     def _apply_end_of_dependency(self, index: int, ended: JobNode) -> None:
-        """A job that the one at `index` depends on has ended."""
+        """Update the job at `index` after the job `ended`, which it depends on, has ended."""
         node = self._nodes[index]
         if ended.outcome is Outcome.CANCELLED:
             self._cancel_with_dependents(index)
@@ -179,7 +187,7 @@
             self._changes.ready.append(node.job_id)
 
     def _cancel_with_dependents(self, index: int) -> None:
-        """Cancel a job and all that depend on it; those that ended before stay as they are."""
+        """Cancel a job and all its direct and transitive dependents. Jobs that ended earlier keep their outcome."""
         stack = [index]
         while stack:
             node = self._nodes[stack.pop()]
@@ -191,7 +199,7 @@
             stack.extend(node.dependents)
 
     def _raise_urgency_of_dependencies(self, index: int) -> None:
-        """Make the jobs that it depends on, directly or through others, as urgent as it is."""
+        """Make the jobs that it depends on, directly or transitively, at least as urgent as it is."""
         stack = [index]
         while stack:
             node = self._nodes[stack.pop()]
@@ -209,7 +217,10 @@
                 stack.append(dependency)
 
     def _lower_urgency(self, indices: Sequence[int]) -> None:
-        """A dependent of these jobs is over: they are as urgent as the rest asks, and so on for their dependencies."""
+        """Lower the urgency of jobs, and of their dependencies, after a dependent of these jobs has ended.
+
+        Each is then as urgent as its own requirements and its remaining dependents demand.
+        """
         stack = list(indices)
         while stack:
             node = self._nodes[stack.pop()]
@@ -223,7 +234,7 @@
                 stack.extend(node.dependencies)
 
     def _urgency_by_dependents(self, node: JobNode) -> tuple[int, float]:
-        """Rank and latest end of a job by itself and by those dependents that are not over."""
+        """The rank and latest end of a job, by its own requirements and those of dependents that have not ended."""
         rank = node.own_rank
         latest_end = node.own_deadline
         for dependent in node.dependents:
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -1,11 +1,12 @@
-"""One job: what its stored record says, and what the leader has decided since.
+"""The state of one job: its stored record, and the leader's decisions since that record was stored.
 
-Invariant: the record of a job names every machine on which a task of it may run, so that whoever leads next knows where
-nothing may be started again. Everything else about a task (what a worker last reported) is kept in memory only and may
-be lost. So a decision counts for workers and users once its write has succeeded, and not before.
+Invariant: the record of a job names every machine on which one of its tasks may run, so that the next leader knows
+which tasks may still be running and must not be started again. All other information about a task (the worker's last
+report) is kept in memory only and may be lost. So a decision takes effect for workers and users only once its write has
+succeeded.
 
-Phases are the stored strings themselves and no `Enum`: they are compared for each job in each scheduling round, and
-come from records and go into them as they are.
+Phases are the stored strings themselves and not an `Enum`, because they are compared for each job in each scheduling
+round, and are read from records and written to them unchanged.
 """
 
 from collections.abc import Iterable
@@ -20,19 +21,20 @@
 
 OPEN = "open"
 DONE = "done"
-CANCELLED = "withdrawn"  # the word in stored records and in responses to users
+CANCELLED = "withdrawn"  # the value in stored records and in responses to users
 
 UNASSIGNED = -1  # an index that is not known yet
 
-BATCHING_DELAY_S = 1.0  # how long ends of single tasks may wait to be written together with others
-MAX_BATCHING_DELAY_S = 15.0  # and how long while the key-value store has no changes to spare
+BATCHING_DELAY_S = 1.0  # delay before a task's end is written, so that several ends share a transaction
+MAX_BATCHING_DELAY_S = 15.0  # the same, while the rate limit of the key-value store leaves no spare changes
 
 
 class Job:
-    """A job as its record says (`stored_*`) and as the leader has changed it since.
+    """The stored state of a job (`stored_*`), and its state after the leader's decisions.
 
-    `phase`, `allocations`, `done_flags` and `next_attempt` hold the leader's decisions; they equal the stored ones
-    unless `has_unsaved_changes` or `write_in_flight`. Indices (`image_index`, ...) are dense ones of the fleet.
+    `phase`, `allocations`, `done_flags` and `next_attempt` include the leader's decisions. They equal the stored values
+    unless `has_unsaved_changes` or `write_in_flight` is set. Indices (`image_index`, ...) are dense indices of the
+    fleet.
     """
 
     __slots__ = (
@@ -45,9 +47,9 @@
     )  # fmt: skip
 
     def __init__(self, job_id: str) -> None:
-        """A job of which nothing is known but its name: version 0, without a description."""
+        """Create a job of which only the id is known. It has version 0 and no description."""
         self.job_id = job_id
-        # What the record says.
+        # State from the record.
         self.version = 0
         self.stored_value: object = None
         self.stored_phase = OPEN
@@ -56,42 +58,42 @@
         self.spec: JobSpec | None = None
         self.task_count = 0
         self.submitted_at = 0.0  # time of day
-        self.finished_at: float | None = None  # time of day at which its last task was found done
-        # What the leader has decided, stored or not.
+        self.finished_at: float | None = None  # time of day at which its last task was found to be done
+        # The leader's decisions, stored or not.
         self.phase = OPEN
         self.next_attempt = 1
         self.allocations: dict[int, Allocation] = {}
-        self.done_flags: bytearray | None = None  # by task; None where the record has no description any more
+        self.done_flags: bytearray | None = None  # by task; None if the record no longer has a description
         self.done_count = 0
-        # How far that is stored.
+        # Progress of storing the decisions.
         self.has_unsaved_changes = False
-        self.has_unsaved_starts = False  # starts are launched only once they are stored
-        self.unsaved_since: float | None = None  # as the writer first found it
+        self.has_unsaved_starts = False  # a start is launched only once it is stored
+        self.unsaved_since: float | None = None  # when the writer first found the unsaved changes
         self.write_in_flight = False
         self.revert_if_write_fails = False
-        self.deferred_record: StoredValue | None = None  # seen while a write of this node was in flight
-        self.needs_reload = False  # the record is to be applied again even if its version is known
-        self.record_unreadable = False  # a newer record can't be read, so what is known here may be over
-        # What workers report.
-        self.unrecorded_sightings: dict[int, set[str]] = {}  # task -> machines on which no start of it is known
+        self.deferred_record: StoredValue | None = None  # received while a write of this node was in flight
+        self.needs_reload = False  # the record must be applied again even if its version is already known
+        self.record_unreadable = False  # a newer record can't be read, so the state known here may be outdated
+        # Reports of workers.
+        self.unrecorded_sightings: dict[int, set[str]] = {}  # task -> machines that report it without a known start
         self.failures_by_machine: dict[str, int] = {}
         self.last_failure_at = self.retry_not_before = NEVER
-        # What follows from the above, for scheduling.
-        self.queued_at = 0.0  # time of day: its submission, or the end of the last job that it depends on
-        self.rank = UNASSIGNED  # 0 is the highest; its own, or that of a job that depends on it
+        # Derived state, used for scheduling.
+        self.queued_at = 0.0  # time of day of its submission, or of the end of the last job that it depends on
+        self.rank = UNASSIGNED  # its own, or the higher one of a job that depends on it; 0 is the highest
         self.image_index = self.team_index = self.zone_index = UNASSIGNED
         self.allowed_type_indices: frozenset[int] | None = None  # None: any machine type
-        self.machine_type_fit: object = None  # how it fits the machine types, as last found (scheduling/fit.py)
-        self.pending_cursor = 0  # no task below it is pending
+        self.machine_type_fit: object = None  # the last computed fit with the machine types (scheduling/fit.py)
+        self.pending_cursor = 0  # no task with a lower index is pending
 
-    # -- what is known ---------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------------
 
     def is_final(self) -> bool:
         """Whether the stored phase is one that never changes again."""
         return self.stored_phase in (DONE, CANCELLED)
 
     def pending_tasks(self, limit: int) -> list[int]:
-        """Up to `limit` tasks that are neither done nor possibly on a machine, lowest first."""
+        """Up to `limit` tasks that are not done and can't be running on any machine, in ascending order."""
         if self.phase != OPEN or self.done_flags is None or self.record_unreadable:
             return []
         found: list[int] = []
@@ -108,7 +110,7 @@
         return found
 
     def pending_count(self) -> int:
-        """How many tasks are neither done nor possibly on a machine."""
+        """The number of tasks that are not done and can't be running on any machine."""
         if self.phase != OPEN or self.done_flags is None:
             return 0
         sighted = sum(
@@ -118,44 +120,50 @@
         return self.task_count - self.done_count - allocated - sighted
 
     def may_launch(self, allocation: Allocation) -> bool:
-        """Whether a start that is stored may be launched, as far as the job is concerned."""
+        """Whether the state of the job allows launching a stored start.
+
+        It does not if a newer record can't be read, or if another machine reports the task without a known start.
+        """
         if self.record_unreadable:
             return False
         return not self.unrecorded_sightings.get(allocation.task, set()) - {allocation.machine}
 
-    # -- what workers report ---------------------------------------------------------------------
+    # -- reports of workers ----------------------------------------------------------------------
 
     def add_unrecorded_sighting(self, task: int, machine: str) -> None:
-        """A worker reports a task of which no start there is known: it must not start anywhere else."""
+        """Record that a worker reports a task without a known start on its machine.
+
+        The task must not be started on any other machine.
+        """
         if 0 <= task < self.task_count:
             self.unrecorded_sightings.setdefault(task, set()).add(machine)
 
     def remove_unrecorded_sighting(self, task: int, machine: str) -> None:
-        """A task that was reported without a known start is not on that machine any more."""
+        """Record that a task reported without a known start is no longer on that machine."""
         machines = self.unrecorded_sightings.get(task, set())
         machines.discard(machine)
         if not machines and self.unrecorded_sightings.pop(task, None) is not None:
             self.pending_cursor = min(self.pending_cursor, task)
 
-    # -- what the leader decides -----------------------------------------------------------------
+    # -- decisions of the leader -----------------------------------------------------------------
 
     def mark_task_done(self, task: int) -> None:
-        """Count a task as done; without effect if it is."""
+        """Mark a task as done. Has no effect if it already is."""
         if self.done_flags is not None and not self.done_flags[task]:
             self.done_flags[task] = 1
             self.done_count += 1
             self.has_unsaved_changes = True
 
     def remove_allocation(self, task: int) -> None:
-        """The start is over or was shown to be gone; an unfinished task is pending again."""
+        """Remove an allocation that has ended or is proven to be gone. An unfinished task becomes pending again."""
         del self.allocations[task]
         self.pending_cursor = min(self.pending_cursor, task)
         self.has_unsaved_changes = True
 
-    # -- its record ------------------------------------------------------------------------------
+    # -- the record ------------------------------------------------------------------------------
 
     def record(self) -> JobRecord:
-        """What is to be stored of the job as it is now."""
+        """The record to store for the job's present state."""
         allocations = self._grouped_allocations()
         record = JobRecord(
             phase=self.phase, task_count=self.task_count, next_attempt=self.next_attempt, allocations=allocations
@@ -172,7 +180,7 @@
         return record
 
     def _grouped_allocations(self) -> list[StoredAllocation]:
-        """The allocations as a record names them: tasks that share machine, epoch and attempt in one entry."""
+        """The allocations in the form of a record: one entry for all tasks with the same machine, epoch and attempt."""
         tasks_of: dict[tuple[str, int, int], list[int]] = {}
         for allocation in self.allocations.values():
             start = (allocation.machine, allocation.epoch, allocation.attempt)
@@ -182,7 +190,7 @@
         ]
 
     def load_record(self, record: JobRecord, value: object, version: int, now: float) -> None:
-        """Replace what is known by a stored record. What workers reported of the same starts is kept."""
+        """Replace the state of the job by a stored record. Workers' reports about unchanged starts are kept."""
         self.version = version
         self.stored_value = value
         self.stored_phase = record.phase
@@ -209,7 +217,7 @@
         self.record_unreadable = False
 
     def _load_allocations(self, record: JobRecord, now: float) -> None:
-        """The starts that the record names; those that are known already stay as they are."""
+        """Set the allocations to the starts that the record names. Those that are already known are kept unchanged."""
         known = self.allocations
         self.allocations = {}
         self.stored_starts = {}
@@ -224,7 +232,7 @@
                 self.stored_starts[task] = stored_start
 
     def _load_done_tasks(self, done_tasks: list[int]) -> None:
-        """The tasks that the record says are done."""
+        """Mark the tasks as done that are done according to the record, and no others."""
         self.done_flags = bytearray(self.task_count)
         for task in done_tasks:
             self.done_flags[task] = 1
@@ -235,7 +243,10 @@
     def confirm_write(
         self, version: int, starts: dict[int, StoredStart], phase: str, done_count: int, value: object = None
     ) -> None:
-        """A write of this node has succeeded with this content, and gave the record this version."""
+        """Record that a write of this node succeeded: the content that it stored, and the record's new version.
+
+        A job that is over and has no allocations drops its description and other state that is no longer needed.
+        """
         self.version = version
         self.stored_value = value
         self.stored_starts = starts
@@ -248,14 +259,15 @@
 
 
 def jobs_to_write(jobs: Iterable[Job], now: float, spare: bool) -> list[Job]:
-    """The jobs to store next, most pressing first; `spare` is whether the store has changes to spare.
+    """The jobs to store next, in order of priority. `spare` is whether the store's rate limit leaves spare changes.
 
-    An end that its user waits for, then starts, which are launched only once stored; by rank, then by how long they
-    have waited. That a task of a larger job is over can wait: its worker goes on reporting it until it is stored, and
-    the capacity that it leaves is used meanwhile. When each such end was written at once, and older jobs always first,
-    a hundred running arrays used up the store's changes and starts of later ones waited for up to 50 s.
+    Ends of whole jobs come first, because their users wait for them. Starts come next, because they are launched only
+    once they are stored. Both are ordered by rank, then by how long they have waited. The end of a single task of a
+    larger job is written later: its worker keeps reporting it until it is stored, and the freed capacity is used in the
+    meantime. Writing each such end at once, and older jobs always first, let a hundred running arrays use up the
+    store's rate of changes and delayed the starts of later arrays by up to 50 s.
     """
-    pressing: list[tuple[tuple[bool, int, float, float], Job]] = []
+    immediate: list[tuple[tuple[bool, int, float, float], Job]] = []
     batched: list[tuple[tuple[float, float], Job]] = []
     max_delay_s = BATCHING_DELAY_S if spare else MAX_BATCHING_DELAY_S
     for job in jobs:
@@ -264,9 +276,9 @@
         if job.unsaved_since is None:
             job.unsaved_since = now
         if job.has_unsaved_starts or job.phase != OPEN:
-            pressing.append(((job.phase == OPEN, job.rank, job.unsaved_since, job.queued_at), job))
+            immediate.append(((job.phase == OPEN, job.rank, job.unsaved_since, job.queued_at), job))
         elif now - job.unsaved_since > max_delay_s:
             batched.append(((job.unsaved_since, job.queued_at), job))
-    pressing.sort(key=lambda entry: entry[0])
+    immediate.sort(key=lambda entry: entry[0])
     batched.sort(key=lambda entry: entry[0])
-    return [job for _, job in pressing] + [job for _, job in batched]
+    return [job for _, job in immediate] + [job for _, job in batched]
--- a/hookwall/jobs/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -1,8 +1,8 @@
-"""Storing the leader's decisions: many jobs in one transaction.
+"""Stores the leader's decisions, with many jobs in one transaction.
 
 Invariant: each write is conditional on the leader key, on the keys of the lease delegates, and on the version of each
-job in it. A write that was rejected, or whose outcome is unknown, leaves its jobs to be written again on what the store
-then shows.
+job in it. After a write that was rejected or whose outcome is unknown, its jobs are written again, based on the state
+that the store then shows.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.leadership_view import LeadershipView
 from hookwall.jobs.start_record_budget import StartRecordBudget
-from hookwall.jobs.write_batch import ENTRY_BYTES, MAX_TRANSACTION_BYTES, PendingWrite, next_chunks
+from hookwall.jobs.write_batch import ENTRY_OVERHEAD_BYTES, MAX_TRANSACTION_BYTES, PendingWrite, next_chunks
 from hookwall.leadership.roles import Role
 from hookwall.storage import job_records, keys
 from hookwall.storage.chunk_collector import ChunkCollector
@@ -34,16 +34,16 @@
 WRITE_INTERVAL_S = 0.05
 IDLE_INTERVAL_S = 0.5
 RETRY_DELAY_S = 0.2
-SINGLE_WRITES_S = 5.0  # so long after a transaction that was too large, each job is written by itself
-USUAL_STATE_CHUNKS = 4  # that the state of most jobs takes
-CHUNK_WRITES_S = 2.0  # a write of one job may take the store's changes for so long: each chunk is one
-MIN_STATE_CHUNKS = 2  # and at least so many
-CHUNK_NAME_BYTES = 60  # of a record, at most half of which names its chunks
-PACKED_SHARE = 0.5  # of the plain form's bytes, at most, that the packed form takes (0.3 to 0.45 measured)
+SINGLE_JOB_WRITES_S = 5.0  # how long each job gets its own transaction after one was too large
+USUAL_STATE_CHUNKS = 4  # enough for the state of most jobs
+CHUNK_WRITES_S = 2.0  # how long one job's write may use up the store's rate of changes; each chunk is one change
+MIN_STATE_CHUNKS = 2  # allowed even if the limits permit fewer
+RECORD_BYTES_PER_CHUNK_NAME = 60  # so that the names of chunks take at most half of a record
+PACKED_SIZE_RATIO = 0.5  # upper bound of packed to plain size; typical ratios are 0.3 to 0.45
 
 
 class DelegationPreconditions(Protocol):
-    """What the writer asks of the keys of the lease delegates, under which decisions are made."""
+    """The writer's view of the keys of the lease delegates, on which its decisions depend."""
 
     delegation_keys: list[str]
 
@@ -51,20 +51,20 @@
         """The keys with the versions that are known here."""
 
     async def handle_changed_keys(self, failed: list[str], revision: int) -> None:
-        """A write found these keys changed, at `revision` or before."""
+        """Handle a write that failed because these keys had changed, at `revision` or earlier."""
 
 
-def _never() -> bool:
-    """Where records are written in the plain form only."""
+def _packing_disabled() -> bool:
+    """Default for writing records in the plain form only."""
     return False
 
 
-def _ignore() -> None:
-    """Where nothing follows from stored decisions."""
+def _ignore_stored_decisions() -> None:
+    """Default callback for stored decisions; does nothing."""
 
 
 class JobWriter:
-    """Writes jobs that have changed, most pressing first, while this node leads."""
+    """Writes jobs that have changed, in order of priority, while this node leads."""
 
     def __init__(
         self,
@@ -74,13 +74,13 @@
         delegation_guard: DelegationPreconditions,
         reload_record: Callable[[str], Awaitable[None]],
         clock: Callable[[], float],
-        packing_enabled: Callable[[], bool] = _never,
-        on_decisions_stored: Callable[[], None] = _ignore,
+        packing_enabled: Callable[[], bool] = _packing_disabled,
+        on_decisions_stored: Callable[[], None] = _ignore_stored_decisions,
     ) -> None:
         """Write the jobs of `table` to `store`.
 
-        `reload_record` reads the record of a key anew; `packing_enabled` tells whether all nodes read packed records;
-        `on_decisions_stored` is called after each write that succeeded.
+        `reload_record` reads the record of a key again; `packing_enabled` returns whether all nodes can read packed
+        records; `on_decisions_stored` is called after each successful write.
         """
         self.table = table
         self.store = store
@@ -92,10 +92,10 @@
         self.on_decisions_stored = on_decisions_stored
         self.chunk_collector = ChunkCollector(table, store, leadership, clock)
         self.write_requested = asyncio.Event()
-        self._single_writes_until: float | None = None
+        self._single_job_writes_until: float | None = None
 
     async def run(self) -> None:
-        """Write for as long as the process runs."""
+        """Write changed jobs until the process ends."""
         while True:
             await asyncio.sleep(WRITE_INTERVAL_S)
             jobs: list[Job] = []
@@ -111,7 +111,7 @@
             await self._wait()
 
     async def _wait(self) -> None:
-        """Wait until something has changed, or for a while."""
+        """Wait until a write is requested, or until the idle interval has passed."""
         self.write_requested.clear()
         try:
             async with asyncio.timeout(IDLE_INTERVAL_S):
@@ -122,23 +122,23 @@
     # -- limits ------------------------------------------------------------------------------------
 
     def start_record_budget(self) -> StartRecordBudget:
-        """How many bytes the starts of one job may take in the plain form: more are not made at once."""
+        """The bytes that the starts of one job may take in the plain form. No more starts are made at a time."""
         plain_bytes = job_records.plain_allocations_bytes(self.store.limits.value_kb)
         if not self.packing_enabled():
             return StartRecordBudget(plain_bytes, plain_bytes)
         usual_chunks = max(1, min(USUAL_STATE_CHUNKS, self.store.max_transaction_changes // 2))
-        usual_bytes = usual_chunks * self.store.max_value_bytes / PACKED_SHARE
-        max_bytes = self.max_state_chunks() * self.store.max_value_bytes / PACKED_SHARE
+        usual_bytes = usual_chunks * self.store.max_value_bytes / PACKED_SIZE_RATIO
+        max_bytes = self.max_state_chunks() * self.store.max_value_bytes / PACKED_SIZE_RATIO
         return StartRecordBudget(min(plain_bytes, usual_bytes), max_bytes)
 
     def max_state_chunks(self) -> int:
-        """In how many chunks the state of one job may be stored.
+        """The number of chunks in which the state of one job may be stored.
 
-        Each takes a change, a place among the record's names, and one among the preconditions of the transaction that
-        writes the record, beside the leader's, the lease delegates' and the record's own.
+        Each chunk takes one change, one name in the record, and one precondition of the transaction that writes the
+        record. That transaction also has preconditions on the leader key, the lease delegates' keys and the record.
         """
         by_rate = int(CHUNK_WRITES_S * self.store.rate_shares.changes.rate)
-        by_names = self.store.max_value_bytes // CHUNK_NAME_BYTES
+        by_names = self.store.max_value_bytes // RECORD_BYTES_PER_CHUNK_NAME
         max_preconditions = self.store.max_transaction_changes * PRECONDITIONS_PER_CHANGE
         by_preconditions = max_preconditions - len(self.delegation_guard.delegation_keys) - 2
         return max(MIN_STATE_CHUNKS, min(by_rate, by_names, by_preconditions))
@@ -146,7 +146,7 @@
     # -- one write ---------------------------------------------------------------------------------
 
     def _prepare(self, job: Job) -> PendingWrite | None:
-        """What is to be written of a job; None if no form of it fits."""
+        """Prepare the write of a job. Returns None if its record does not fit in any form."""
         try:
             return PendingWrite.prepare(job, self.store.max_value_bytes if self.packing_enabled() else None)
         except RecordTooLargeError:
@@ -154,12 +154,16 @@
             return None
 
     def _begin_batch(self, jobs: list[Job]) -> list[PendingWrite]:
-        """Begin writes of as many jobs as one transaction takes, at least one."""
-        single = self._single_writes_until is not None and self.clock() < self._single_writes_until
+        """Begin the writes of the first jobs, up to the limits of one transaction.
+
+        The batch includes at least one job even if that exceeds the limits. Jobs whose records do not fit the store are
+        skipped.
+        """
+        single = self._single_job_writes_until is not None and self.clock() < self._single_job_writes_until
         max_changes = 1 if single else self.store.batch_size()
         batch: list[PendingWrite] = []
         changes = 0
-        transaction_bytes = ENTRY_BYTES
+        transaction_bytes = ENTRY_OVERHEAD_BYTES
         for job in jobs[:max_changes]:
             write = self._prepare(job)
             if write is None:
@@ -174,7 +178,7 @@
         return batch
 
     async def _write(self, jobs: list[Job]) -> None:
-        """Write the first of these jobs, and follow the outcome."""
+        """Write the first of these jobs in one transaction, and process its outcome."""
         fencing_token = self.leadership.fencing_token
         batch = self._begin_batch(jobs)
         version = 0
@@ -186,7 +190,7 @@
             conflict = error
         except RequestTooLargeError as error:
             log.info("transaction too large: jobs=%d error=%s", len(batch), error)
-            self._single_writes_until = self.clock() + SINGLE_WRITES_S
+            self._single_job_writes_until = self.clock() + SINGLE_JOB_WRITES_S
         except (RequestRejectedError, OutcomeUnknownError) as error:
             log.debug("transaction not confirmed: jobs=%d error=%s", len(batch), error)
         still_leader = self.leadership.fencing_token == fencing_token and self.leadership.role is Role.LEADER
@@ -202,7 +206,7 @@
             await asyncio.sleep(RETRY_DELAY_S)
 
     async def _commit(self, fencing_token: int, batch: list[PendingWrite]) -> int:
-        """Write the records of a batch with their new chunks; gives the records' version."""
+        """Write the records of a batch with their new chunks; returns the version of the records."""
         preconditions: list[Precondition] = [
             Precondition(keys.LEADER_KEY, fencing_token),
             *(Precondition(*known) for known in self.delegation_guard.preconditions()),
@@ -219,7 +223,10 @@
         )
 
     def _finish(self, write: PendingWrite, version: int, still_leader: bool) -> None:
-        """End one job's write: it has succeeded with this version, or `version` is 0."""
+        """Process the end of one job's write. `version` is that of the written record, or 0 if the write failed.
+
+        Also applies a record that was received while the write was in flight.
+        """
         job = write.job
         job.write_in_flight = False
         revert = job.revert_if_write_fails
@@ -234,7 +241,7 @@
             self.table.apply_record(write.key, deferred.value, deferred.version)
 
     def _confirm(self, write: PendingWrite, version: int) -> None:
-        """A job's write has succeeded."""
+        """Update the job after its write has succeeded."""
         job = write.job
         job.confirm_write(version, write.starts, write.phase, write.done_count, write.encoded.value)
         self.table.chunks.mark_readable(job.job_id)
@@ -243,7 +250,7 @@
         self.table.update_indices(job)
 
     def _restore(self, write: PendingWrite, revert: bool) -> None:
-        """A job's write has failed, or may have: it is to be written again, or reverted."""
+        """Mark a job whose write failed, or may have failed, as unsaved again; revert it if `revert` is set."""
         job = write.job
         job.has_unsaved_changes = True
         job.has_unsaved_starts = job.has_unsaved_starts or write.had_unsaved_starts
@@ -251,12 +258,12 @@
         if revert:
             self.table.revert_job(job)
 
-    # -- what had changed meanwhile ----------------------------------------------------------------
+    # -- conflicts and unreadable records ----------------------------------------------------------
 
     async def _resolve_conflict(self, conflict: PreconditionFailedError) -> None:
-        """Read again what a write found changed."""
+        """Reload the keys whose preconditions failed. Steps down if the leader key is one of them."""
         if keys.LEADER_KEY in conflict.keys:
-            self.leadership.step_down("a write was refused: the leader key has changed")
+            self.leadership.step_down("write rejected: the leader key has changed")
             return
         delegation_keys = [key for key in conflict.keys if key in self.delegation_guard.delegation_keys]
         if delegation_keys:
@@ -266,11 +273,11 @@
                 await self._try_reload(key)
 
     async def _reload_unreadable(self) -> None:
-        """Read a record again whose chunks are missing: until they are here nothing of the job is started."""
+        """Reload one record whose chunks are missing. None of its job's tasks is started until they are available."""
         await self._try_reload(keys.JOB_PREFIX + self.table.chunks.next_unreadable_job())
 
     async def _try_reload(self, key: str) -> None:
-        """Read a record anew; if it can't be read it stays as it is known."""
+        """Reload a record. If it can't be read, its known state is kept."""
         try:
             await self.reload_record(key)
         except (RequestRejectedError, OutcomeUnknownError) as error:
--- a/hookwall/jobs/leadership_view.py
+++ b/hookwall/jobs/leadership_view.py
@@ -1,4 +1,4 @@
-"""What writes and cancellations ask of the leadership of their node."""
+"""Interfaces through which job writes and cancellations use the leadership of their node."""
 
 import asyncio
 from typing import Protocol
@@ -12,33 +12,33 @@
 
     @property
     def version(self) -> int:
-        """The version of the key; 0: there is none."""
+        """The version of the key; 0 if there is none."""
 
     @property
     def lease_mode(self) -> LeaseMode:
-        """By which lease the leader that it names is valid."""
+        """The kind of lease by which the leader named in the key is valid."""
 
 
 class LeadershipView(Protocol):
-    """Who leads as far as this node knows, and with what authority."""
+    """This node's role, its validity as leader and its fencing token."""
 
     @property
     def role(self) -> Role:
-        """This node's part in leading."""
+        """This node's leadership role."""
 
     @property
     def fencing_token(self) -> int:
-        """The version of the leader key as this node has written it."""
+        """The version of the leader key that this node has written."""
 
     def valid(self) -> bool:
-        """Whether this node may command at this moment."""
+        """Whether this node may act as leader at this moment."""
 
     def step_down(self, why: str) -> None:
-        """Stop leading."""
+        """Stop leading, for the given reason."""
 
 
 class PeerLeadershipView(LeadershipView, Protocol):
-    """The same, with the quorum of the nodes and messages to them."""
+    """A `LeadershipView` with the quorum of the nodes and messages to peers."""
 
     @property
     def node_name(self) -> str:
@@ -46,18 +46,21 @@
 
     @property
     def quorum(self) -> int:
-        """How many nodes are a majority."""
+        """The number of nodes that form a majority."""
 
     @property
     def lease_mode(self) -> LeaseMode:
-        """By which lease this node is valid while it leads."""
+        """The kind of lease by which this node is valid while it leads."""
 
     @property
     def leader_key(self) -> LeaderKeyView:
         """The leader key as this node knows it."""
 
     def quorum_reached_at(self, sent_at: dict[str, float], /) -> float:
-        """The latest time since which a majority was asked and has answered; by peer, when it was last asked."""
+        """The latest time such that a majority of nodes has answered requests that were sent at that time or later.
+
+        `sent_at` maps each peer to the send time of the last request that it answered.
+        """
 
     def call_all_peers(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
-        """Send a message to all peers; their responses as they come, None for none."""
+        """Send a message to all peers; returns one task for each peer, which gives None if there was no response."""
--- a/hookwall/jobs/record_reader.py
+++ b/hookwall/jobs/record_reader.py
@@ -1,7 +1,7 @@
-"""Reading one job's record anew, with the chunks that it names.
+"""Reloads one job's record, with the chunks that it names.
 
-Invariant: what was read is applied to the job table in the order in which the store had it; a record that names chunks
-counts as read only once all of them are.
+Invariant: records and chunks are applied to the job table in the order in which the store held them; a record that
+names chunks counts as read only once all of its chunks have been read.
 """
 
 from hookwall.jobs.job_table import JobTable
@@ -9,33 +9,33 @@
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.errors import OutcomeUnknownError
 
-MAX_READS = 3  # of a record that is replaced again and again while its chunks are read
+MAX_READ_ATTEMPTS = 3  # for a record that is replaced repeatedly while its chunks are read
 
 
 class JobRecordReader:
     """Reads records from the key-value store into the job table."""
 
     def __init__(self, table: JobTable, store: KeyValueClient) -> None:
-        """Read from `store` into `table`."""
+        """Create a reader that applies records of `store` to `table`."""
         self.table = table
         self.store = store
 
     async def reload(self, key: str) -> None:
-        """Read a job's record by its key; one that is absent is left as it is known.
+        """Read a job's record by its key. If the record is absent, the job's known state is kept.
 
         Raises RequestRejectedError or OutcomeUnknownError if the record or some of its chunks can't be read.
         """
         job_id = key[len(keys.JOB_PREFIX) :]
-        for _ in range(MAX_READS):
+        for _ in range(MAX_READ_ATTEMPTS):
             found = await self.store.get(key)
             if found is None:
                 return
             self.table.apply_record(key, *found)
-            # A chunk that is gone by now belonged to a record that has been replaced meanwhile.
+            # A chunk that no longer exists belonged to a record that has been replaced since it was read.
             for chunk_key in self.table.missing_chunks(job_id):
                 chunk = await self.store.get(chunk_key)
                 if chunk is not None:
                     self.table.apply_chunk(chunk_key, *chunk)
             if not self.table.missing_chunks(job_id):
                 return
-        raise OutcomeUnknownError("parts of a record are missing")
+        raise OutcomeUnknownError("chunks of the job record are missing")
--- a/hookwall/jobs/start_record_budget.py
+++ b/hookwall/jobs/start_record_budget.py
@@ -1,23 +1,24 @@
-"""How many allocations the record of a job can name, so that no more tasks are started than can be stored.
+"""The number of allocations that a job's record can name, so that no more tasks are started than can be stored.
 
-Invariant: a job whose allocations are within the budget has a record within the limits of the key-value store.
+Invariant: if a job's allocations are within the budget, its record is within the limits of the key-value store.
 """
 
 from dataclasses import dataclass
 
 from hookwall.jobs.job import Job
 
-BYTES_PER_MACHINE = 40  # of a record, for each machine that it names
-BYTES_PER_START = 14  # and for each start, with what it leaves in the ranges of tasks that are done
-MINIMUM_STARTS = 8  # that any record can name
+BYTES_PER_MACHINE = 40  # bytes of a record for each machine that it names
+BYTES_PER_START = 14  # bytes of a record for each start, including its later effect on the ranges of done tasks
+MIN_RECORDABLE_STARTS = 8  # the number of starts that any record can name
 
 
 @dataclass(slots=True, frozen=True)
 class StartRecordBudget:
-    """How many bytes of its record the starts of one job may take in the plain form.
+    """The bytes that the starts of one job may take in the plain form of its record.
 
-    Several starts on one machine share its name, so new ones are assumed to need no more names in a usual record. Those
-    of a larger one count as each on a machine of its own, since that is what it might come to.
+    Starts on the same machine share its name. So in a record of up to `usual_bytes`, new starts are assumed to need no
+    further machine names. In a larger record, each new start is assumed to be on a machine of its own, which is the
+    worst case.
     """
 
     usual_bytes: float
@@ -25,10 +26,10 @@
 
 
 def recordable_start_count(job: Job, budget: StartRecordBudget) -> int:
-    """How many more starts the job's record can name: a value has a limit, and ranges are short."""
+    """The number of further starts that the job's record can name within the limits of a stored value."""
     starts = len(job.allocations)
     machines = {allocation.machine for allocation in job.allocations.values()}
     used = BYTES_PER_MACHINE * len(machines) + BYTES_PER_START * starts
     in_usual_record = (budget.usual_bytes - used) / BYTES_PER_START
     in_largest_record = (budget.maximum_bytes - used) / (BYTES_PER_MACHINE + BYTES_PER_START)
-    return max(0, MINIMUM_STARTS - starts, int(in_usual_record), int(in_largest_record))
+    return max(0, MIN_RECORDABLE_STARTS - starts, int(in_usual_record), int(in_largest_record))
--- a/hookwall/jobs/write_batch.py
+++ b/hookwall/jobs/write_batch.py
@@ -1,4 +1,4 @@
-"""What goes into one transaction of the leader: records of several jobs with their new chunks, within the limits."""
+"""The contents of one transaction of the leader: records of several jobs and their new chunks, within the limits."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 from hookwall.storage.job_records import EncodedRecord
 
 MAX_TRANSACTION_BYTES = 56 * 1024
-ENTRY_BYTES = 200  # of a transaction, beside each key's value
+ENTRY_OVERHEAD_BYTES = 200  # bytes of a transaction for each key, in addition to its value
 
 
 @dataclass(slots=True)
 class PendingWrite:
-    """One job's share of a write, with what is needed once its outcome is known."""
+    """The write of one job within a transaction, with the state needed to process the outcome."""
 
     job: Job
     encoded: EncodedRecord
@@ -28,7 +28,7 @@
 
     @classmethod
     def prepare(cls, job: Job, max_value_bytes: int | None) -> "PendingWrite":
-        """What is to be written of a job; `max_value_bytes` None asks for the plain form, whatever its size.
+        """Prepare the write of a job. If `max_value_bytes` is None, the plain form is used regardless of its size.
 
         Raises RecordTooLargeError if no form of the record fits.
         """
@@ -38,7 +38,7 @@
             job=job,
             encoded=encoded,
             new_chunks={key: text for key, text in encoded.chunks.items() if key not in stored_chunks},
-            record_bytes=job_records.json_bytes(encoded.value) + ENTRY_BYTES,
+            record_bytes=job_records.json_bytes(encoded.value) + ENTRY_OVERHEAD_BYTES,
             starts=_stored_starts(job),
             phase=job.phase,
             done_count=job.done_count,
@@ -52,15 +52,15 @@
         return keys.JOB_PREFIX + self.job.job_id
 
     def change_count(self) -> int:
-        """Changes that the write takes: the record and its new chunks."""
+        """The number of changes in the write: the record and its new chunks."""
         return 1 + len(self.new_chunks)
 
     def total_bytes(self) -> int:
-        """Bytes of the record and its new chunks in a transaction."""
+        """The size of the record and its new chunks in a transaction."""
         return self.record_bytes + chunk_bytes(self.new_chunks)
 
     def begin(self) -> None:
-        """The write is in flight from now on: what is decided of the job meanwhile is a later change."""
+        """Mark the write as in flight. Decisions about the job made from now on count as new unsaved changes."""
         self.job.has_unsaved_changes = False
         self.job.has_unsaved_starts = False
         self.job.unsaved_since = None
@@ -75,23 +75,24 @@
 
 
 def chunk_bytes(chunks: dict[str, str]) -> int:
-    """Bytes of chunks in a transaction."""
-    return sum(len(text) + ENTRY_BYTES for text in chunks.values())
+    """The size of chunks in a transaction."""
+    return sum(len(text) + ENTRY_OVERHEAD_BYTES for text in chunks.values())
 
 
 def next_chunks(remaining: dict[str, str], batch: list[PendingWrite], max_changes: int) -> list[Put]:
-    """The chunks to write before the records of a batch, as many as one transaction takes and at least one.
+    """The chunks to write in the next transaction before the records of a batch: at least one, and all that fit in it.
 
-    None at all if those that remain go with the records. Only a batch of a single job has more chunks than that.
+    Empty if the remaining chunks fit in the transaction of the records. Only for a batch of a single job may there be
+    chunks that do not.
     """
     record_bytes = sum(write.record_bytes for write in batch)
     fits_changes = len(remaining) + len(batch) <= max(max_changes, len(batch))
     if not remaining or (fits_changes and record_bytes + chunk_bytes(remaining) <= MAX_TRANSACTION_BYTES):
         return []
     chosen: list[Put] = []
-    transaction_bytes = ENTRY_BYTES
+    transaction_bytes = ENTRY_OVERHEAD_BYTES
     for key, text in remaining.items():
-        transaction_bytes += len(text) + ENTRY_BYTES
+        transaction_bytes += len(text) + ENTRY_OVERHEAD_BYTES
         if chosen and (len(chosen) >= max_changes or transaction_bytes > MAX_TRANSACTION_BYTES):
             break
         chosen.append(Put(key, text))
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -1,6 +1,6 @@
-"""Who may renew leases, and when a cancellation may be confirmed to its user.
+"""Conditions for renewing leases, and for confirming a cancellation to its user.
 
-Several failures at the same time are in tests/cluster/test_meetings.py.
+Combinations of several failures are tested in tests/cluster/test_meetings.py.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class Peers:
-    """Two peers that give scripted responses and record the messages that they get."""
+    """Two peers that return scripted responses and record the messages that they receive."""
 
     def __init__(self) -> None:
         self.responses: dict[str, dict | None] = {"n1": None, "n2": None}
@@ -69,7 +69,7 @@
     leadership.vote_grant.holder, leadership.vote_grant.expires_at = leadership.node_name, clock() + 60
 
 
-def test_no_lease_is_renewed_on_knowledge_that_is_too_old(
+def test_leases_are_not_renewed_if_knowledge_of_cancellations_is_stale(
     ledger: CancellationLedger, clock: Clock, params: PlatformParameters
 ):
     timings = params.workers
@@ -78,7 +78,7 @@
     assert ledger.may_renew_leases()
     clock.tick(0.2)
     assert not ledger.may_renew_leases()
-    # An answer to a request that was sent long ago shows the records as they were then.
+    # The response to a request that was sent long ago only shows the records as of that time.
     ledger.confirm_records_read(clock() - 26.5)
     assert ledger.may_renew_leases()
     clock.tick(1.0)
@@ -89,37 +89,40 @@
     make_leader(ledger, clock)
     ledger.confirm_records_read(clock() - 100.0)
     ledger.on_known_cancellations("n1", clock(), KnownCancellations([], False))
-    assert not ledger.may_renew_leases(), "a peer that has not read the records may have forgotten"
+    assert not ledger.may_renew_leases(), "a peer that has not read all records may have lost a cancellation"
     ledger.on_known_cancellations("n1", clock(), KnownCancellations([["run-000001", 33]], True))
     assert ledger.may_renew_leases() and ledger.cancelled == {"run-000001": 33}
-    # Only for a leader with a quorum lease: under one with a session lease users get confirmations without its peers.
+    # This holds only for a leader with a quorum lease. Under a leader with a session lease, cancellations are confirmed
+    # without informing its peers.
     ledger.leadership.lease_mode = LeaseMode.SESSION_LEASE
     assert not ledger.may_renew_leases()
     ledger.leadership.lease_mode, ledger.leadership.role = LeaseMode.QUORUM_LEASE, Role.FOLLOWER
     assert not ledger.may_renew_leases()
 
 
-def test_a_vote_names_what_the_leader_has_not_shown_to_know(ledger: CancellationLedger):
+def test_a_vote_names_the_cancellations_above_the_leaders_records_revision(ledger: CancellationLedger):
     ledger.all_records_read = True
     ledger.add_cancellation("run-000001", 33)
     ledger.add_cancellation("run-000002", 35)
     assert ledger.known_cancellations(None) == KnownCancellations([("run-000001", 33), ("run-000002", 35)], True)
     assert ledger.known_cancellations(33).cancellations == [("run-000002", 35)]
-    # A late copy with an older revision brings nothing back, and takes nothing away.
+    # A delayed message with an older revision changes nothing.
     assert ledger.known_cancellations(30).cancellations == [("run-000002", 35)]
     ledger.add_cancellation("run-000001", 33)
     assert ledger.known_cancellations(None).cancellations == [("run-000002", 35)]
 
 
-def test_more_than_a_message_holds_is_not_complete(ledger: CancellationLedger, monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(cancellations, "MAX_PER_MESSAGE", 2)
+def test_a_vote_with_too_many_cancellations_for_a_message_is_incomplete(
+    ledger: CancellationLedger, monkeypatch: pytest.MonkeyPatch
+):
+    monkeypatch.setattr(cancellations, "MAX_CANCELLATIONS_PER_MESSAGE", 2)
     ledger.all_records_read = True
     for n in range(3):
         ledger.add_cancellation(f"run-{n}", 30 + n)
     assert ledger.known_cancellations(None).complete is False
 
 
-def test_a_leader_gives_its_records_revision_only_while_it_is_valid(ledger: CancellationLedger, clock: Clock):
+def test_a_leader_returns_its_records_revision_only_while_it_is_valid(ledger: CancellationLedger, clock: Clock):
     assert ledger.records_revision() is None
     make_leader(ledger, clock)
     assert ledger.records_revision() == 50
@@ -136,7 +139,7 @@
         ({"ok": True, "knows": True, "leads": True}, {"ok": False}, True),
     ],
 )
-def test_a_cancellation_is_confirmed_once_the_leader_or_a_majority_knows(
+def test_a_cancellation_is_confirmed_once_the_leader_or_a_majority_knows_of_it(
     ledger: CancellationLedger, peers: Peers, first, second, confirmed
 ):
     peers.responses.update(n1=first, n2=second)
@@ -149,14 +152,18 @@
 ):
     ledger.known_cancellations(19)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 19)) is True and peers.messages == []
-    # A newer leader key proves nothing: it may name a candidate that gave up, written late.
+    # A newer leader key proves nothing: its write may have been applied late, for a candidate that gave up.
     ledger.leadership.observe_leader_key({"node": "n2"}, 30)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 21)) is False
 
 
-def test_under_a_leader_with_a_session_lease_an_unchanged_key_is_enough(ledger: CancellationLedger, state: FakeState):
+def test_under_a_leader_with_a_session_lease_an_unchanged_leader_key_is_sufficient(
+    ledger: CancellationLedger, state: FakeState
+):
     ledger.leadership.observe_leader_key({"node": "n1", "mode": "hold"}, 25)
-    assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is False, "the key is another"
+    assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is False, (
+        "the stored leader key is a different version"
+    )
     state.keys[keys.LEADER_KEY] = ({"node": "n1", "mode": "hold"}, 25)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is True
     state.mode = "down"
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Which job is ready, which is cancelled with a dependency, and how urgent a job is for its dependents."""
+"""Readiness of jobs, cancellation with a dependency, and propagation of urgency from dependents."""
 
 import math
 
@@ -76,21 +76,21 @@
     assert graph.latest_start("c") == 942.0 and graph.latest_start("b") == 972.0
     assert graph.latest_start("a") == 932.0
     assert set(graph.drain_changes().urgency_changed) == set("abcd")
-    # A job that is over is not urgent for anybody any more.
+    # A job that has ended no longer adds urgency to its dependencies.
     graph.record_outcome("d", Outcome.CANCELLED)
     assert [graph.effective_rank(job_id, 3) for job_id in "abc"] == [2, 3, 2] and graph.latest_start("a") == math.inf
 
 
-def test_a_change_costs_only_the_edges_that_it_touches():
+def test_the_cost_of_a_change_is_proportional_to_the_affected_edges():
     graph = graph_of(*((f"j{n}", [f"j{n - 1}"]) for n in range(1, 2000)))
     visited: list[str] = []
 
-    class Counted(list):
+    class AccessRecordingList(list):
         def __getitem__(self, index):
             visited.append(index)
             return super().__getitem__(index)
 
-    graph._nodes = Counted(graph._nodes)
+    graph._nodes = AccessRecordingList(graph._nodes)
     graph.record_outcome("j0", Outcome.DONE)
     assert len(visited) < 20
     visited.clear()
@@ -98,25 +98,25 @@
     assert len(visited) < 10 * 1000
 
 
-def test_one_more_dependent_of_a_popular_job_costs_no_visit_of_the_others():
+def test_adding_a_dependent_does_not_visit_the_other_dependents():
     graph = graph_of(*((f"d{n}", ["a"]) for n in range(2000)))
     graph.set_requirements("a", 3, 10.0, None)
     before = graph._nodes
     visited: list[int] = []
 
-    class Counted(list):
+    class AccessRecordingList(list):
         def __getitem__(self, index):
             visited.append(index)
             return super().__getitem__(index)
 
-    graph._nodes = Counted(before)
+    graph._nodes = AccessRecordingList(before)
     graph.add_job("more", ["a"])
     graph.set_requirements("more", 1, 5.0, 100.0)
     assert len(visited) < 30 and graph.effective_rank("a", 3) == 1 and graph.latest_start("a") == 85.0
 
 
 def test_a_job_added_after_the_end_of_its_dependency_is_ready_from_that_end():
-    """A node that has just started reads the records in the order of their keys: others may have been added before."""
+    """A node that has just started reads records in key order, so other dependents may be added before the end."""
     graph = DependencyGraph()
     graph.add_job("run-2", ["run-1"])
     graph.record_outcome("run-1", Outcome.DONE, 50.0)
--- a/tests/jobs/test_job_table.py
+++ b/tests/jobs/test_job_table.py
@@ -1,4 +1,4 @@
-"""Jobs as their records say: when a record counts, what is stored first, and since when a job is queued."""
+"""The job table and job records: when records are applied, the order of writes, and the start of a job's queue time."""
 
 import json
 
@@ -19,7 +19,7 @@
     assert encode_ranges(range(100_000)) == "0-99999"
 
 
-def test_a_record_of_100_000_tasks_fits_a_value(cluster: Cluster, params: PlatformParameters):
+def test_a_record_of_100_000_tasks_fits_the_value_limit(cluster: Cluster, params: PlatformParameters):
     job = cluster.submit(1, pieces=100_000, cards=0.0, cores=0.01, memGb=0.0)
     for name in ("vm-1", "vm-2"):
         cluster.beat(name)
@@ -39,12 +39,12 @@
     assert jobs_to_write(cluster.table.open_jobs.values(), now, spare=True) == [over, started]
     later = [now + 2.0, now + 16.0]
     assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=True) == [over, started, ended]
-    # Not while changes are scarce, but not for ever either.
+    # While the store has no spare changes, the end of a single task waits longer, but not indefinitely.
     assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=False) == [over, started]
     assert jobs_to_write(cluster.table.open_jobs.values(), later[1], spare=False) == [over, started, ended]
 
 
-def test_the_start_that_waits_longest_is_stored_first_whatever_arrived_earlier(cluster: Cluster):
+def test_the_start_that_waits_longest_is_stored_first_regardless_of_submission_order(cluster: Cluster):
     old, new = cluster.submit(1), cluster.submit(2)
     cluster.beat("vm-1")
     machine = cluster.fleet.machines["vm-1"]
@@ -55,28 +55,28 @@
     assert jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), spare=False) == [new, old]
 
 
-@pytest.mark.parametrize("head_first", [True, False])
-def test_a_record_is_applied_once_its_chunks_are_known_in_any_order(clock: Clock, head_first):
+@pytest.mark.parametrize("record_first", [True, False])
+def test_a_record_is_applied_once_its_chunks_are_known_in_any_order(clock: Clock, record_first):
     table = JobTable(clock)
     key, encoded = chunked_record()
-    if head_first:
+    if record_first:
         table.apply_record(key, encoded.value, 9)
         assert table.jobs["run-000001"].version == 0 and len(table.missing_chunks("run-000001")) == len(encoded.chunks)
     for chunk_key, text in encoded.chunks.items():
         table.apply_chunk(chunk_key, text, 1)
-    if not head_first:
+    if not record_first:
         table.apply_record(key, encoded.value, 9)
     assert table.jobs["run-000001"].version == 9 and table.jobs["run-000001"].spec.dependencies
 
 
-def test_a_cancellation_that_is_seen_without_its_chunks_counts_at_once(clock: Clock):
+def test_a_cancellation_is_applied_immediately_even_if_chunks_of_its_record_are_missing(clock: Clock):
     table = JobTable(clock)
     key, encoded = chunked_record()
     table.apply_record(key, {**encoded.value, "phase": "withdrawn"}, 9)
     assert table.is_cancelled("run-000001")
 
 
-def test_a_job_is_queued_as_of_the_end_of_its_last_dependency(clock: Clock):
+def test_a_job_is_queued_since_the_end_of_its_last_dependency(clock: Clock):
     table = JobTable(clock)
     needed = {"phase": "open", "n": 1, "next": 1, "on": [], "spec": description(1), "at": 10.0, "done": ""}
     waiting = {**needed, "spec": description(2, awaits=["run-000001"]), "at": 20.0}
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -1,4 +1,4 @@
-"""Writing jobs: what goes into one transaction, and which chunks of records may be removed."""
+"""Writing jobs: contents of transactions, conflicts with lease delegates, and removal of unreferenced chunks."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def writer(state: FakeState, clock: Clock) -> JobWriter:
-    """A leader's writer that knows a job in chunks, and a chunk that its record does not name."""
+    """The writer of a leader that knows a job stored in chunks, and a further chunk that the record does not name."""
     state.has_spare_changes = lambda: True
     _, encoded = chunked_record()
     table = JobTable(clock)
@@ -45,7 +45,7 @@
 
 
 async def no_reload(key: str) -> None:
-    """Where nothing is read again."""
+    """Ignores requests to reload a record."""
 
 
 def leader_writer(table: JobTable, state: FakeState, clock: Clock, delegation_keys, leadership, **options) -> JobWriter:
@@ -57,7 +57,7 @@
     return [key for key in state.keys if key.startswith(keys.CHUNK_PREFIX)]
 
 
-def test_a_chunk_that_the_record_does_not_name_is_removed_and_no_other(writer: JobWriter, state: FakeState):
+def test_only_chunks_that_the_record_does_not_name_are_removed(writer: JobWriter, state: FakeState):
     before = len(chunks(state))
     asyncio.run(writer.chunk_collector.collect())
     assert len(chunks(state)) == before - 1 and f"{keys.CHUNK_PREFIX}run-000001/x" not in state.keys
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("changed", [KEY, keys.LEADER_KEY])
 def test_chunks_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, state: FakeState, changed):
-    """Carried out late, the removal could remove a chunk that a newer record names again."""
+    """A removal that is applied late could otherwise remove a chunk that a newer record names again."""
     state.keys[changed] = (state.keys[changed][0], 10)
     before = chunks(state)
     asyncio.run(writer.chunk_collector.collect())
@@ -79,14 +79,14 @@
     assert chunks(state) == before
 
 
-# -- decisions that rest on delegated leases ----------------------------------------------------------
+# -- decisions that depend on delegated leases --------------------------------------------------------
 
 DELEGATE_KEY = keys.LEASE_DELEGATE_PREFIX + "n1"
 
 
 @pytest.fixture
 def leading_writer(state: FakeState, clock: Clock) -> JobWriter:
-    """A leader's writer whose job runs on vm-1, as stored, and has just been moved to vm-2."""
+    """The writer of a leader with a job that is stored as running on vm-1, and has just been moved to vm-2."""
     state.has_spare_changes = lambda: True
     state.epoch = 9
     spec = msgspec.convert(description(2), JobSpec)
@@ -99,11 +99,11 @@
     table.apply_record(keys.JOB_PREFIX + spec.job_id, value, 9)
     leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda why: None)
     writer = leader_writer(table, state, clock, [DELEGATE_KEY], leadership)
-    move(table.jobs[spec.job_id])
+    move_to_vm_2(table.jobs[spec.job_id])
     return writer
 
 
-def move(job) -> None:
+def move_to_vm_2(job) -> None:
     job.remove_allocation(0)
     job.allocations[0] = Allocation(0, "vm-2", 1, job.next_attempt, 0.0)
     job.next_attempt += 1
@@ -122,14 +122,18 @@
 def test_a_decision_reverted_while_its_write_is_lost_is_not_written_again(
     leading_writer: JobWriter, state: FakeState, mode
 ):
-    """Its write was lost. Meanwhile a lease delegate's key was seen, so the next one would have been stored."""
+    """Guards against storing a decision that rests on leases which a delegate may have renewed.
+
+    The write fails, and the key of the lease delegate is observed during the write. A second write of the decision
+    would meet the preconditions.
+    """
     commit = state.commit
 
-    async def meanwhile(*args, **options):
+    async def interleaved_commit(*args, **options):
         leading_writer.table.revert_unsaved()
         return await commit(*args, **options)
 
-    state.commit, state.mode = meanwhile, mode
+    state.commit, state.mode = interleaved_commit, mode
     write(leading_writer)
     assert machines(leading_writer) == ["vm-1"] and not leading_writer.table.jobs["run-000002"].has_unsaved_changes
 
@@ -137,28 +141,31 @@
 def test_a_decision_reverted_while_its_write_succeeds_stays(leading_writer: JobWriter, state: FakeState):
     commit = state.commit
 
-    async def meanwhile(*args, **options):
+    async def interleaved_commit(*args, **options):
         leading_writer.table.revert_unsaved()
         return await commit(*args, **options)
 
-    state.commit = meanwhile
+    state.commit = interleaved_commit
     write(leading_writer)
     assert machines(leading_writer) == ["vm-2"]
-    move(leading_writer.table.jobs["run-000002"])
+    move_to_vm_2(leading_writer.table.jobs["run-000002"])
     state.commit, state.mode = commit, "lost"
     write(leading_writer)
     assert machines(leading_writer) == ["vm-2"] and leading_writer.table.jobs["run-000002"].has_unsaved_changes, (
-        "only what was in flight is reverted"
+        "only decisions that were in flight are reverted"
     )
 
 
-def test_a_read_of_a_delegate_s_key_does_not_show_earlier_delegations(
+def test_after_a_read_of_the_delegates_key_earlier_delegations_are_assumed_possible(
     leading_writer: JobWriter, state: FakeState, clock: Clock
 ):
-    """The key named vm-1, was gone and now names vm-9: only the watch shows the first."""
+    """The key may have named vm-1 before it was deleted and written again with vm-9.
+
+    Only the watch would show the first value.
+    """
     state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
-    leading_writer.delegation_guard._watched = _not
+    leading_writer.delegation_guard._watched = _return_false
     write(leading_writer)
     assert machines(leading_writer) == ["vm-1"]
     assert (
@@ -167,13 +174,13 @@
     )
 
 
-def test_where_the_watch_has_shown_all_changes_expired_leases_stay_expired(
+def test_expired_leases_stay_expired_if_the_watch_has_delivered_all_changes(
     leading_writer: JobWriter, state: FakeState, clock: Clock
 ):
     state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 9)
     leading_writer.delegation_guard.delegated_leases.apply_key(DELEGATE_KEY, {"machines": ["vm-9"]}, 8)
     leading_writer.delegation_guard.watched_revision = lambda: 9
-    state.commit = _conflict
+    state.commit = _raise_conflict
     write(leading_writer)
     assert (
         machines(leading_writer) == ["vm-1"]
@@ -182,34 +189,34 @@
     assert "get " + DELEGATE_KEY not in state.requests
 
 
-async def _not(revision: int) -> bool:
+async def _return_false(revision: int) -> bool:
     return False
 
 
-async def _conflict(*args, **options):
+async def _raise_conflict(*args, **options):
     raise PreconditionFailedError([DELEGATE_KEY], 9)
 
 
-def test_a_record_deferred_during_a_write_is_applied_although_the_leadership_ended(
+def test_a_record_deferred_during_a_write_is_applied_even_if_the_leadership_ended(
     leading_writer: JobWriter, state: FakeState
 ):
-    """It was left aside for good, so this node knew an older record until the next change."""
+    """Guards against dropping the deferred record, which would leave this node with an older one until it changes."""
     job = leading_writer.table.jobs["run-000002"]
 
-    async def meanwhile(*args, **options):
+    async def interleaved_commit(*args, **options):
         leading_writer.table.apply_record(
             keys.JOB_PREFIX + job.job_id, {"phase": "withdrawn", "n": 1, "next": 2, "on": []}, 12
         )
         leading_writer.leadership.role = Role.FOLLOWER
         raise PreconditionFailedError([keys.LEADER_KEY], 12)
 
-    state.commit = meanwhile
+    state.commit = interleaved_commit
     write(leading_writer)
     assert job.version == 12 and job.deferred_record is None and job.is_final()
 
 
-def test_a_leader_reads_a_record_with_missing_chunks_again_by_itself(leading_writer: JobWriter, state: FakeState):
-    """Nothing of the job is started before, so it must not wait for somebody to ask."""
+def test_a_leader_reloads_a_record_with_missing_chunks_without_a_request(leading_writer: JobWriter, state: FakeState):
+    """None of the job's tasks is started before the reload, so it must not depend on a user's request."""
     read = []
     leading_writer.leadership.valid = lambda: not read
 
@@ -228,28 +235,28 @@
     assert read == [keys.JOB_PREFIX + "run-000002"]
 
 
-def test_a_record_that_stays_unreadable_holds_up_no_other(writer: JobWriter):
-    """The first in the list was always the one that was read again."""
-    asked: list[str] = []
+def test_a_record_that_stays_unreadable_does_not_block_reloading_others(writer: JobWriter):
+    """Guards against always reloading the first unreadable record."""
+    reloaded: list[str] = []
 
     async def refresh(key):
-        asked.append(key)
-        raise OutcomeUnknownError("parts of a record are missing")
+        reloaded.append(key)
+        raise OutcomeUnknownError("chunks of the job record are missing")
 
     writer.reload_record = refresh
     for n in (1, 2, 3):
         writer.table.chunks.await_chunks(f"run-{n:06d}", {"packed": {"fixed": ["gone"], "state": "x"}}, 20)
 
-    async def several():
+    async def reload_four_times():
         for _ in range(4):
             await writer._reload_unreadable()
 
-    asyncio.run(several())
-    assert asked == [f"{keys.JOB_PREFIX}run-{n:06d}" for n in (1, 2, 3, 1)]
+    asyncio.run(reload_four_times())
+    assert reloaded == [f"{keys.JOB_PREFIX}run-{n:06d}" for n in (1, 2, 3, 1)]
 
 
-def on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
-    """A leader's writer, and a job that is on as many machines as it may use, but no more than a large fleet has."""
+def writer_with_job_on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
+    """The writer of a leader, and a job on the maximum number of machines that it may use, limited to 4000."""
     limits = StoreLimits(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
     state.limits, state.max_transaction_changes, state.max_value_bytes = limits, txn_ops, usable_value_bytes(value_kb)
     state.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
@@ -273,13 +280,13 @@
 
 
 @pytest.mark.parametrize(
-    ("value_kb", "txn_ops", "least"),
+    ("value_kb", "txn_ops", "min_machines"),
     [(32.0, 24, 4000), (16.0, 12, 4000), (2.0, 24, 1000), (2.0, 12, 1000), (2.0, 4, 750)],
 )
-def test_a_job_on_as_many_machines_as_it_may_use_is_stored_within_all_limits(
-    state: FakeState, clock: Clock, value_kb, txn_ops, least
+def test_a_job_on_the_maximum_number_of_machines_is_stored_within_all_limits(
+    state: FakeState, clock: Clock, value_kb, txn_ops, min_machines
 ):
-    """An array was held to 215 machines at a time, and its chunks were sent in transactions that were too large."""
+    """Guards against limiting an array to 215 machines at a time, and sending its chunks in too large transactions."""
     sent: list[tuple[int, int, int]] = []
     write = state.commit
 
@@ -289,8 +296,8 @@
         return await write(when, put, **more)
 
     state.commit = commit
-    writer, job = on_many_machines(state, clock, value_kb, txn_ops)
-    assert job.task_count >= least
+    writer, job = writer_with_job_on_many_machines(state, clock, value_kb, txn_ops)
+    assert job.task_count >= min_machines
     asyncio.run(writer._write([job]))
     assert not job.has_unsaved_changes and len(job.stored_starts) == job.task_count
     for conditions, puts, length in sent:
@@ -298,8 +305,8 @@
 
 
 def test_a_record_is_not_stored_if_a_chunk_written_before_it_is_gone(state: FakeState, clock: Clock):
-    """Another leader removed it, as no record named it yet: the record could not be read any more."""
-    writer, job = on_many_machines(state, clock, 2.0, 4)
+    """Another leader may remove the chunk while no record names it; the stored record would then be unreadable."""
+    writer, job = writer_with_job_on_many_machines(state, clock, 2.0, 4)
     writes: list[list[str]] = []
     write = state.commit
 
