--- a/hookwall/jobs/allocation.py
+++ b/hookwall/jobs/allocation.py
@@ -1,7 +1,7 @@
-"""Allocations: each is the start of one task on one machine, which is decided, stored, launched and ended.
+"""An allocation: the start of one task on one machine, from the decision through storing and launching to its end.
 
 Invariant: an allocation exists from the leader's decision until its task is proven to be gone from the machine, even if
-the worker or the leader fails in between.
+the worker or the leader fails in the meantime.
 """
 
 from typing import NamedTuple
@@ -45,6 +45,6 @@
         self.reported_phase = ""  # the phase in the worker's last report; "" before the first report
         self.created_at = now
         self.running_since = NOT_RUNNING
-        self.stop_grace_s: float | None = None  # None: the task has not been told to stop
+        self.stop_grace_s: float | None = None  # None: the task is not to be stopped
         self.stop_sent_at = NEVER
         self.finished = False
--- a/hookwall/jobs/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -5,7 +5,7 @@
 follow. Therefore two invariants hold:
 
 - **Bounded staleness.** No node renews a lease if its knowledge of cancellations is older than `cancel_s` minus the
-  lease. So even for a cancellation that the node does not know of, the last renewed lease ends in time.
+  duration of a lease. So even for a cancellation that the node does not know of, the last renewed lease ends in time.
 - **Propagation.** A cancellation is confirmed to the user only once a valid leader or a majority of nodes knows of it.
   Any quorum of a leader shares at least one node with that majority, and each vote carries the cancellations that the
   leader has not shown to know. So a leader with a quorum lease stays current during an outage of the store.
@@ -77,7 +77,7 @@
         self.all_records_read = False  # until all records are read, cancellations known before a restart may be missing
         self.peer_reports_sent_at: dict[str, float] = {}  # send time of the last heartbeat answered completely
         self.unsettled_versions: dict[str, int] = {}  # by job id
-        self.propagated_jobs: set[str] = set()  # unsettled ones that a valid leader or a majority of nodes knows of
+        self.propagated_jobs: set[str] = set()  # unsettled jobs that a valid leader or a majority knows of
         self.settled_revision = 0
 
     # -- staleness of this node's knowledge ------------------------------------------------------
@@ -120,7 +120,7 @@
     # -- messages between nodes --------------------------------------------------------------------
 
     def records_revision(self) -> int | None:
-        """The revision that a leader adds to its heartbeats: it has read the records up to it. None if not valid."""
+        """The revision up to which this leader has read the records, for its heartbeats; None if it is not valid."""
         if not self.leadership.valid():
             return None
         revision = self.read_revision()
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -1,9 +1,9 @@
 """The state of one job: its stored record, and the leader's decisions since that record was stored.
 
 Invariant: the record of a job names every machine on which one of its tasks may run, so that the next leader knows
-which tasks may still be running and must not be started again. All other information about a task (the worker's last
-report) is kept in memory only and may be lost. So a decision takes effect for workers and users only once its write has
-succeeded.
+which tasks may still be running, and where, and does not start them again. All other information about a task (the
+worker's last report) is kept in memory only and may be lost. So a decision takes effect for workers and users only once
+its write has succeeded.
 
 Phases are the stored strings themselves and not an `Enum`, because they are compared for each job in each scheduling
 round, and are read from records and written to them unchanged.
@@ -245,7 +245,7 @@
     ) -> None:
         """Record that a write of this node succeeded: the content that it stored, and the record's new version.
 
-        A job that is over and has no allocations drops its description and other state that is no longer needed.
+        A job that has ended and has no allocations drops its description and other state that is no longer needed.
         """
         self.version = version
         self.stored_value = value
@@ -258,8 +258,8 @@
             self.stored_value = None
 
 
-def jobs_to_write(jobs: Iterable[Job], now: float, spare: bool) -> list[Job]:
-    """The jobs to store next, in order of priority. `spare` is whether the store's rate limit leaves spare changes.
+def jobs_to_write(jobs: Iterable[Job], now: float, has_spare_changes: bool) -> list[Job]:
+    """The jobs to store next, in order of priority, given whether the store's rate limit leaves spare changes.
 
     Ends of whole jobs come first, because their users wait for them. Starts come next, because they are launched only
     once they are stored. Both are ordered by rank, then by how long they have waited. The end of a single task of a
@@ -269,7 +269,7 @@
     """
     immediate: list[tuple[tuple[bool, int, float, float], Job]] = []
     batched: list[tuple[tuple[float, float], Job]] = []
-    max_delay_s = BATCHING_DELAY_S if spare else MAX_BATCHING_DELAY_S
+    max_delay_s = BATCHING_DELAY_S if has_spare_changes else MAX_BATCHING_DELAY_S
     for job in jobs:
         if not job.has_unsaved_changes or job.write_in_flight or job.record_unreadable:
             continue
--- a/hookwall/jobs/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -34,7 +34,7 @@
 WRITE_INTERVAL_S = 0.05
 IDLE_INTERVAL_S = 0.5
 RETRY_DELAY_S = 0.2
-SINGLE_JOB_WRITES_S = 5.0  # how long each job gets its own transaction after one was too large
+SINGLE_JOB_WRITES_S = 5.0  # duration of writing each job in its own transaction after a transaction was too large
 USUAL_STATE_CHUNKS = 4  # enough for the state of most jobs
 CHUNK_WRITES_S = 2.0  # how long one job's write may use up the store's rate of changes; each chunk is one change
 MIN_STATE_CHUNKS = 2  # allowed even if the limits permit fewer
@@ -50,7 +50,7 @@
     def preconditions(self) -> Sequence[tuple[str, int]]:
         """The keys with the versions that are known here."""
 
-    async def handle_changed_keys(self, failed: list[str], revision: int) -> None:
+    async def handle_changed_keys(self, changed: list[str], revision: int) -> None:
         """Handle a write that failed because these keys had changed, at `revision` or earlier."""
 
 
@@ -261,7 +261,7 @@
     # -- conflicts and unreadable records ----------------------------------------------------------
 
     async def _resolve_conflict(self, conflict: PreconditionFailedError) -> None:
-        """Reload the keys whose preconditions failed. Steps down if the leader key is one of them."""
+        """Update this node's knowledge of the keys whose preconditions failed. Steps down if the leader key is one."""
         if keys.LEADER_KEY in conflict.keys:
             self.leadership.step_down("write rejected: the leader key has changed")
             return
--- a/hookwall/jobs/leadership_view.py
+++ b/hookwall/jobs/leadership_view.py
@@ -28,7 +28,7 @@
 
     @property
     def fencing_token(self) -> int:
-        """The version of the leader key that this node has written."""
+        """The version of the leader key at which this node wrote it."""
 
     def valid(self) -> bool:
         """Whether this node may act as leader at this moment."""
--- a/hookwall/jobs/start_record_budget.py
+++ b/hookwall/jobs/start_record_budget.py
@@ -26,7 +26,10 @@
 
 
 def recordable_start_count(job: Job, budget: StartRecordBudget) -> int:
-    """The number of further starts that the job's record can name within the limits of a stored value."""
+    """The number of further starts that the job's record can name within the size limit of a stored value.
+
+    Ranges of tasks are short, so a start takes few bytes.
+    """
     starts = len(job.allocations)
     machines = {allocation.machine for allocation in job.allocations.values()}
     used = BYTES_PER_MACHINE * len(machines) + BYTES_PER_START * starts
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -116,7 +116,7 @@
 
 
 def test_a_job_added_after_the_end_of_its_dependency_is_ready_from_that_end():
-    """A node that has just started reads records in key order, so other dependents may be added before the end."""
+    """A node that has just started reads records in key order: a dependency may come between two of its dependents."""
     graph = DependencyGraph()
     graph.add_job("run-2", ["run-1"])
     graph.record_outcome("run-1", Outcome.DONE, 50.0)
--- a/tests/jobs/test_job_table.py
+++ b/tests/jobs/test_job_table.py
@@ -36,12 +36,12 @@
     ended.mark_task_done(0)
     cluster.fleet.allocate(started, 0, cluster.fleet.machines["vm-1"], 1, now)
     over.phase, over.has_unsaved_changes = "done", True
-    assert jobs_to_write(cluster.table.open_jobs.values(), now, spare=True) == [over, started]
+    assert jobs_to_write(cluster.table.open_jobs.values(), now, has_spare_changes=True) == [over, started]
     later = [now + 2.0, now + 16.0]
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=True) == [over, started, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], has_spare_changes=True) == [over, started, ended]
     # While the store has no spare changes, the end of a single task waits longer, but not indefinitely.
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], spare=False) == [over, started]
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], spare=False) == [over, started, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], has_spare_changes=False) == [over, started]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], has_spare_changes=False) == [over, started, ended]
 
 
 def test_the_start_that_waits_longest_is_stored_first_regardless_of_submission_order(cluster: Cluster):
@@ -49,10 +49,10 @@
     cluster.beat("vm-1")
     machine = cluster.fleet.machines["vm-1"]
     cluster.fleet.allocate(new, 0, machine, 1, cluster.clock())
-    jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), spare=False)
+    jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), has_spare_changes=False)
     cluster.clock.tick(1.0)
     cluster.fleet.allocate(old, 0, machine, 1, cluster.clock())
-    assert jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), spare=False) == [new, old]
+    assert jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), has_spare_changes=False) == [new, old]
 
 
 @pytest.mark.parametrize("record_first", [True, False])
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -286,7 +286,7 @@
 def test_a_job_on_the_maximum_number_of_machines_is_stored_within_all_limits(
     state: FakeState, clock: Clock, value_kb, txn_ops, min_machines
 ):
-    """Guards against limiting an array to 215 machines at a time, and sending its chunks in too large transactions."""
+    """Guards against limiting an array to 215 machines at a time, and against too large transactions for its chunks."""
     sent: list[tuple[int, int, int]] = []
     write = state.commit
 
