--- a/hookwall/scheduling/feasibility.py
+++ b/hookwall/scheduling/feasibility.py
@@ -1,6 +1,6 @@
-"""Which jobs can never run, whatever the cluster has free.
+"""Detects jobs that can never run, regardless of the cluster's free capacity.
 
-Invariant: a job that is called feasible fits its team's limits and at least one machine type that it may use.
+Invariant: a job that is reported as feasible fits its team's limits and at least one machine type that it may use.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 
 def infeasibility_reason(spec: JobSpec, catalog: Catalog, teams: Mapping[str, TeamQuota]) -> str | None:
-    """Why the job can never run, as users read it; None if it can."""
+    """Returns the reason, as shown to users, why the job can never run; None if it can run."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
@@ -27,7 +27,7 @@
 
 
 def _admits_task(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether one task fits an empty machine of the type, and the job's constraints admit it."""
+    """Returns whether one task fits an empty machine of this type and the job's constraints admit the type."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in machine_type.zones:
--- a/hookwall/scheduling/fit.py
+++ b/hookwall/scheduling/fit.py
@@ -1,6 +1,6 @@
-"""How a job's tasks fit the machine types: found once for each job and catalog, as rounds ask for it all the time.
+"""How a job's tasks fit the machine types. The fit is cached per job and catalog, because every round needs it.
 
-Invariant: a fit that is returned was found from the catalog that the fleet has now.
+Invariant: a fit that is returned was computed from the fleet's current catalog.
 """
 
 from dataclasses import dataclass
@@ -11,21 +11,21 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import ROUNDING
 
-EXCLUSIVE_SHARE = 0.5  # a task that takes more than this of a machine leaves no capacity for another like it
+EXCLUSIVE_SHARE = 0.5  # a task with a larger share of a machine leaves no capacity there for a second one
 
 
 @dataclass(slots=True, frozen=True)
 class TaskFit:
-    """What one task of a job takes of the machines that it may use."""
+    """The capacity that one task of a job takes of the machines that the job may use."""
 
-    catalog: Catalog | None  # from which it was found
-    machine_share: float  # share of a machine; 0 where it fits none
-    needs_whole_machine: bool  # whether it needs most of an on-demand machine, on each type
-    startup_s: float  # until a machine that is provisioned now serves it: boot and image fetch
+    catalog: Catalog | None  # the catalog from which the fit was computed
+    machine_share: float  # smallest share of a machine that a task takes on any allowed type; 0 if it fits none
+    needs_whole_machine: bool  # whether a task takes most of an on-demand machine of every allowed type
+    startup_s: float  # shortest time to boot a newly provisioned machine and fetch the image there
 
 
 def task_fit(job: Job, fleet: Fleet) -> TaskFit:
-    """The fit of a job with the machine types as they are known now; cached in the job."""
+    """Returns how the job fits the machine types of the current catalog; the result is cached in the job."""
     cached = job.machine_type_fit
     if not isinstance(cached, TaskFit) or cached.catalog is not fleet.catalog:
         cached = job.machine_type_fit = _compute_fit(job, fleet)
@@ -33,7 +33,7 @@
 
 
 def _compute_fit(job: Job, fleet: Fleet) -> TaskFit:
-    """The fit over all machine types that the job may use; a job without a specification fits none."""
+    """Computes the fit over all machine types that the job may use; a job without a specification fits none."""
     spec = job.spec
     if spec is None:
         return TaskFit(fleet.catalog, 0.0, needs_whole_machine=False, startup_s=0.0)
@@ -47,26 +47,27 @@
     return TaskFit(
         fleet.catalog,
         machine_share=min((share for share in shares if share > 0), default=0.0),
-        needs_whole_machine=not spec.spot and all(_excludes_second(spec, machine_type) for _, machine_type in allowed),
+        needs_whole_machine=not spec.spot
+        and all(_excludes_second_task(spec, machine_type) for _, machine_type in allowed),
         startup_s=min(startups, default=0.0),
     )
 
 
 def _machine_share(spec: JobSpec, machine_type: MachineType) -> float:
-    """What one task takes of a machine of the type: whatever it uses most counts. 0 where it does not fit."""
+    """Returns the largest share of a machine's GPUs, CPUs or memory that one task takes; 0 if it does not fit."""
     needs = (
         (spec.gpus, machine_type.gpus),
         (spec.cpus, machine_type.cpus),
         (spec.memory_gb, machine_type.memory_gb),
     )
-    if any(need > have + ROUNDING for need, have in needs):
+    if any(need > available + ROUNDING for need, available in needs):
         return 0.0
-    share = max(need / have for need, have in needs if have > 0)
+    share = max(need / available for need, available in needs if available > 0)
     return 1.0 if share > EXCLUSIVE_SHARE else share
 
 
-def _excludes_second(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether no second task of the kind fits a machine of the type."""
+def _excludes_second_task(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Returns whether a machine of this type cannot hold two tasks of the job."""
     return (
         2 * spec.gpus > machine_type.gpus > 0
         or 2 * spec.cpus > machine_type.cpus
--- a/hookwall/scheduling/image_affinity.py
+++ b/hookwall/scheduling/image_affinity.py
@@ -1,10 +1,11 @@
-"""Patience for images: in a queue, a job leaves a free machine to an equal that has its image there, for a while.
+"""Image affinity: a queued job leaves a free machine for a while to an equal job whose image is cached there.
 
-A fetch takes as long as a third of a task's run. A job that took whatever became free fetched, while the next in
-line waited for just that machine.
+Two jobs are equal here if they have the same rank and if both of them or neither of them are gangs. An image fetch
+takes as long as a third of a task's run. Without this rule, a job takes the first machine that becomes free and fetches
+its image there, while the next job in the queue waits for exactly that machine.
 
-Invariant: no job declines machines for longer than a share of the fetch that it avoids, nor beyond the latest start
-that its class is to have.
+Invariant: no job declines machines for longer than a fixed multiple of the time of the image fetch that it avoids, nor
+so long that it would miss the latest start of its job class.
 """
 
 import math
@@ -12,7 +13,7 @@
 from collections.abc import Callable
 
 from hookwall.jobs.job import Job
-from hookwall.scheduling.round_state import QueuedJob, RankAndKind, RoundState
+from hookwall.scheduling.round_state import AffinityGroup, QueuedJob, RoundState
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import (
     EPSILON,
@@ -22,15 +23,16 @@
     satisfies_constraints,
 )
 
-CACHED_IMAGE_GAIN_S = 12.0  # a fetch longer than this is worth freeing a machine that has the image
-DECLINE_SHARE = 0.35  # of the time of a fetch, a job declines machines without its image
-DECLINE_SHARE_ARRAY = 0.7
-DECLINE_SHARE_GANG = 1.2  # for gangs of several tasks
-STARVATION_S = 60.0  # so long without anything, a job declines nothing any more
+# An image fetch that takes longer than this is worth freeing a machine with the image, and waiting for it this long.
+CACHED_IMAGE_WAIT_S = 12.0
+DECLINE_FETCH_RATIO = 0.35  # how long a job declines machines without its image, as a multiple of the fetch time
+ARRAY_DECLINE_FETCH_RATIO = 0.7  # for job arrays
+GANG_DECLINE_FETCH_RATIO = 1.2  # for gangs of several tasks
+STARVATION_S = 60.0  # a job that was not served for this long declines no more machines
 
 
 class ImageAffinity:
-    """Which free machines a waiting job declines in favour of others."""
+    """Decides which free machines a waiting job declines in favour of other jobs."""
 
     def __init__(
         self,
@@ -39,28 +41,28 @@
         time_of_day: Callable[[], float],
         latest_start_s: dict[str, float],
     ) -> None:
-        """`latest_start_s`: by class of jobs, how long after its arrival a job is to have started at the latest."""
+        """`latest_start_s`: how many seconds after its arrival a job must have started, by job class."""
         self.waiting = waiting
         self.fleet = fleet
         self.time_of_day = time_of_day
         self.latest_start_s = latest_start_s
 
     def competing_images(self, job: Job, state: RoundState) -> set[int]:
-        """Images of the other waiting jobs of its rank and kind, but for its own."""
+        """Returns the images of waiting jobs of the same rank and kind (gang or not), except the job's own image."""
         spec = job.spec
         assert spec is not None
         if not state.waiting_images:
             for queued in self.waiting.values():
                 if queued.job.spec is not None:
-                    alike = RankAndKind(queued.job.rank, queued.job.spec.gang)
-                    state.waiting_images.setdefault(alike, Counter())[queued.job.image_index] += 1
-        return set(state.waiting_images.get(RankAndKind(job.rank, spec.gang), ())) - {job.image_index}
+                    group = AffinityGroup(queued.job.rank, queued.job.spec.gang)
+                    state.waiting_images.setdefault(group, Counter())[queued.job.image_index] += 1
+        return set(state.waiting_images.get(AffinityGroup(job.rank, spec.gang), ())) - {job.image_index}
 
-    def still_yields(self, queued: QueuedJob, now: float, fetch_s: float, share: float) -> bool:
-        """Whether a job goes on declining machines without its image: for a share of the fetch's time.
+    def may_keep_declining(self, queued: QueuedJob, now: float, fetch_s: float, fetch_ratio: float) -> bool:
+        """Returns whether a job may keep declining machines without its image, for `fetch_ratio` times the fetch time.
 
-        Not where it would miss the latest start that its class is to have. That is counted by the
-        time of day at which it came, since a new leader has seen nothing wait yet.
+        A starving job may not, nor one that would miss the latest start of its class. The latest start is
+        measured from the time of day at which the job arrived, because a new leader has not seen any job wait.
         """
         assert queued.job.spec is not None
         if now - queued.last_served_at > STARVATION_S:
@@ -70,27 +72,30 @@
             return False
         if queued.declining_since < 0:
             queued.declining_since = now
-        return now - queued.declining_since < share * fetch_s
+        return now - queued.declining_since < fetch_ratio * fetch_s
 
     def declines_machine(
         self, job: Job, machine: FreeCapacity, fetch_s: float, queued: QueuedJob | None, state: RoundState, now: float
     ) -> bool:
-        """Whether to leave a free machine to an equal that has its image there, for a short while.
+        """Returns whether to leave a free machine for a short while to an equal job whose image is cached there.
 
-        In a burst the first in line took whatever became free and fetched for half a minute, while
-        the next one waited for just that machine: a third of all machines' time went into fetches.
+        Without this, in a burst the first job in the queue takes any machine that becomes free and fetches its image
+        for half a minute, while the next job waits for exactly that machine. A third of all machine time was spent on
+        fetches.
         """
         if queued is None or not self.competing_images(job, state) & machine.cached_images:
             return False
-        return self.still_yields(queued, now, fetch_s, DECLINE_SHARE)
+        return self.may_keep_declining(queued, now, fetch_s, DECLINE_FETCH_RATIO)
 
-    def without_contested(
+    def exclude_contested(
         self, job: Job, machines: list[FreeCapacity], state: RoundState, now: float
     ) -> list[FreeCapacity]:
-        """In a queue, without the machines whose image another waiting array has, for a short while.
+        """Returns the machines, for a short while without those that have the image of another waiting array.
 
-        When everything is full, each freed GPU went to the first in line, and one in four of them then
-        waited for a fetch while a later job's image lay there.
+        Machines are excluded only if the job is queued and if they lack its own image.
+
+        Without this, on a full cluster each freed GPU goes to the first job in the queue. One in four of these GPUs
+        then waited for an image fetch although the image of a later job was cached on the machine.
         """
         queued = self.waiting.get(job.job_id)
         spec = job.spec
@@ -99,17 +104,18 @@
         competing = self.competing_images(job, state)
         types = range(len(self.fleet.machine_types))
         fetch_s = max((self.fleet.image_fetch_s(type_, spec.image_gb) for type_ in types), default=0.0)
-        if not competing or not self.still_yields(queued, now, fetch_s, DECLINE_SHARE_ARRAY):
+        if not competing or not self.may_keep_declining(queued, now, fetch_s, ARRAY_DECLINE_FETCH_RATIO):
             return machines
         return [m for m in machines if job.image_index in m.cached_images or not competing & m.cached_images]
 
-    def without_contested_for_gang(
+    def exclude_contested_for_gang(
         self, job: Job, request: ResourceRequest, machines: list[FreeCapacity], state: RoundState, now: float
     ) -> list[FreeCapacity]:
-        """For a gang of several in a queue, without the free machines whose image an equal waits for, for a while.
+        """Returns the machines, for a while without free ones that have the image of an equal waiting job.
 
-        Its last machine to have the image is the one that counts, and all others idle until then. In a
-        queue of 50 gangs three in four of their tasks fetched for half a minute.
+        Machines are excluded only for a queued gang of several tasks. Such a gang starts once the last of its machines
+        has the image, and all the others are idle until then. Without this, in a queue of 50 gangs, three in four of
+        their tasks fetched an image for half a minute.
         """
         queued = self.waiting.get(job.job_id)
         spec = job.spec
@@ -122,12 +128,12 @@
         fetch_s = 0.0
         for machine in machines:
             if machine.gpus + EPSILON < spec.gpus or job.image_index in machine.cached_images:
-                continue  # in a queue, nearly all are full: the cheapest check comes first
+                continue  # while jobs are queued, nearly all machines are full, so the cheapest check comes first
             if not competing & machine.cached_images:
                 continue
             if satisfies_constraints(request, machine) and placeable_task_count(request, machine) > 0:
                 contested.add(machine.index)
                 fetch_s = max(fetch_s, self.fleet.image_fetch_s(machine.type, spec.image_gb))
-        if fetch_s < CACHED_IMAGE_GAIN_S or not self.still_yields(queued, now, fetch_s, DECLINE_SHARE_GANG):
+        if fetch_s < CACHED_IMAGE_WAIT_S or not self.may_keep_declining(queued, now, fetch_s, GANG_DECLINE_FETCH_RATIO):
             return machines
         return [machine for machine in machines if machine.index not in contested]
--- a/hookwall/scheduling/placement.py
+++ b/hookwall/scheduling/placement.py
@@ -1,12 +1,12 @@
 """Placement as a pure function: heterogeneity-aware scheduling (HAS) after the Frenzy paper.
 
-Each job takes the first shape of its ranked list that free GPUs can serve. Then best fit: the
-fitting machine with fewest idle GPUs takes all that remains; where none holds the whole remainder,
-the machine with most idle GPUs gives what it has and the loop repeats. See docs/design.md for what
-was added (CPUs, memory, zones, spot instances) and why.
+Each job uses the first shape (here a set of machines) of its ranked list that free GPUs can serve. Within a shape,
+best fit applies: of the machines that can hold all remaining tasks, the one with the fewest idle GPUs takes them. If no
+machine can hold all of them, the machine with the most idle GPUs takes as many as it can hold and the loop repeats. See
+docs/design.md for what was added (CPUs, memory, zones, spot instances) and why.
 
-Invariant: a placement exceeds no machine's free capacity and breaks no constraint of the request, a
-gang is placed whole or not at all, and nothing that is passed in is changed.
+Invariant: a placement exceeds no machine's free capacity and violates no constraint of the request, a gang is placed as
+a whole or not at all, and the arguments are not modified.
 """
 
 from collections.abc import Iterator, Sequence
@@ -22,7 +22,7 @@
     satisfies_constraints,
 )
 
-# Other packages find the terms of a placement beside it.
+# Includes names from `workers.resources` that other packages import together with `place`.
 __all__ = [
     "EPSILON",
     "UNKNOWN_ZONE",
@@ -38,27 +38,29 @@
 
 
 class Placement(NamedTuple):
-    """So many tasks of one job on one machine."""
+    """A number of tasks of one job on one machine."""
 
     machine_index: int
     task_count: int
 
 
-# A machine and how many tasks it can hold. A plain tuple: one is made for each machine, for each job.
+# A machine and how many tasks it can hold. It is a plain tuple because one is created per machine and job.
 _Candidate = tuple[FreeCapacity, int]
-# Lower comes first: whether the image is missing, the kind wasted, then penalty, price, GB of images, index.
+# Lower keys come first: image missing, on-demand machine wasted, penalty, price, GB of on-demand images, index.
 _TieBreakKey = tuple[bool, bool, float, float, float, int]
 
 
 def idle_capacity(request: ResourceRequest, machine: FreeCapacity) -> float:
-    """Idle GPUs; for tasks without GPUs, idle CPUs instead."""
+    """Returns the machine's idle GPUs, or its idle CPUs if the tasks need no GPUs."""
     return machine.gpus if request.gpus > 0 else machine.cpus
 
 
 def tie_break_key(request: ResourceRequest, machine: FreeCapacity) -> _TieBreakKey:
-    """Order among equally idle machines: image cached, kind that others can't use, steadier, cheaper.
+    """Returns the sort key of equally idle machines.
 
-    Then the one with fewest other images that take long to fetch: those wait for the jobs that need them.
+    Preferred are machines with the image, then spot instances if the job may use them (other jobs can't), then machines
+    with a lower penalty (fewer consecutive errors), then cheaper ones, then those with the fewest GB of images of jobs
+    that can't run on spot instances. The last rule leaves images that take long to fetch to the jobs that need them.
     """
     wastes_on_demand = request.spot and not machine.spot
     return (
@@ -72,11 +74,11 @@
 
 
 def place(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[Placement]:
-    """Where the job's tasks go now; empty if nowhere.
+    """Returns on which machines the job's tasks are placed now; empty if none can be placed.
 
-    The ranked shapes are: machines that have the image and are spot instances if the job may use
-    them; machines that have the image; any. A gang takes a shape only if it serves all tasks; an array
-    takes the first shape that serves all, and else as many as fit anywhere.
+    The ranked shapes are: spot instances that have the image, if the job may use spot instances; machines that have the
+    image; all machines. A gang uses a shape only if it serves all tasks. An array uses the first shape that serves all
+    tasks; if there is none, as many tasks as possible are placed on any machines.
     """
     admitted = [machine for machine in machines if satisfies_constraints(request, machine)]
     if not admitted or request.count <= 0:
@@ -96,7 +98,7 @@
 def _preferred_shapes(
     request: ResourceRequest, admitted: list[FreeCapacity], cached: list[FreeCapacity]
 ) -> Iterator[list[FreeCapacity]]:
-    """The shapes before the last one, which is all admitted machines; each is a smaller set than the next."""
+    """Yields the shapes before the last one, which is all admitted machines; each is a smaller set than the next."""
     if request.spot:
         spot = [machine for machine in cached if machine.spot]
         if spot and len(spot) < len(cached):
@@ -108,9 +110,9 @@
 def _place_in_portions(
     request: ResourceRequest, admitted: list[FreeCapacity], cached: list[FreeCapacity]
 ) -> list[Placement]:
-    """An array that no shape serves whole goes in portions, best shapes first.
+    """Places an array that no single shape can serve in full on several shapes, best shapes first.
 
-    Each task on a machine without the image waits for a fetch.
+    Each task on a machine without the image waits for a fetch, so such machines come last.
     """
     count_by_machine: dict[int, int] = {}
     remaining = request.count
@@ -126,7 +128,10 @@
 
 
 def _place_in_zones(request: ResourceRequest, machines: Sequence[FreeCapacity], all_or_none: bool) -> list[Placement]:
-    """One zone at a time where the job must stay in one; the fullest result, then the tightest."""
+    """Places the job with HAS, within a single zone if it must stay in one.
+
+    Of the results of the zones, the one with the most tasks is returned, then the tightest.
+    """
     if not request.one_zone:
         return _place_has(request, machines, all_or_none)
     occupied = [zone for zone, count in request.tasks_by_zone.items() if count > 0]
@@ -146,7 +151,7 @@
 def _zone_key(
     request: ResourceRequest, zone: int, machines: Sequence[FreeCapacity], placements: list[Placement]
 ) -> tuple[int, int, float, int, int]:
-    """Order of the zones' results: most tasks, fewest machines, least idle capacity, fewest fetches."""
+    """Returns the sort key of a zone's result: most tasks, fewest machines, least idle capacity, fewest fetches."""
     by_index = {machine.index: machine for machine in machines}
     used = [by_index[index] for index, _ in placements]
     return (
@@ -159,88 +164,91 @@
 
 
 def _place_has(request: ResourceRequest, machines: Sequence[FreeCapacity], all_or_none: bool) -> list[Placement]:
-    """HAS over one set of machines."""
+    """Places the request with HAS on one set of machines."""
     if not request.spread:
-        holders = _machines_for_all(request, machines)
-        if holders:
-            return [Placement(_least_idle(request, holders).index, request.count)]
+        fitting_machines = _machines_fitting_all(request, machines)
+        if fitting_machines:
+            return [Placement(_least_idle(request, fitting_machines).index, request.count)]
     candidates = [(machine, n) for machine in machines if (n := placeable_task_count(request, machine)) > 0]
     if not candidates or (all_or_none and sum(n for _, n in candidates) < request.count):
         return []
     if request.spread:
         return _place_spread(request, candidates, all_or_none)
     remaining = request.count
-    # Sorted once: how much a machine can give does not change while others give.
+    # Sorting once suffices: placing tasks on one machine does not change how many tasks the others can hold.
     candidates.sort(key=lambda candidate: _greedy_key(request, *candidate))
     placements: list[Placement] = []
-    for at, (machine, count) in enumerate(candidates):
+    for position, (machine, count) in enumerate(candidates):
         if count >= remaining:
-            tightest = _tightest(request, candidates[at:], remaining)
+            tightest = _tightest(request, candidates[position:], remaining)
             return [*placements, Placement(tightest.index, remaining)]
         placements.append(Placement(machine.index, count))
         remaining -= count
     return [] if all_or_none and remaining > 0 else placements
 
 
-def _machines_for_all(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[FreeCapacity]:
-    """The machines that hold all tasks: most jobs find one, and counting what each machine holds took far longer."""
+def _machines_fitting_all(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[FreeCapacity]:
+    """Returns the machines that can hold all tasks.
+
+    There is one for most jobs, and counting how many tasks each machine can hold took far longer.
+    """
     gpus = request.count * request.gpus - EPSILON
     cpus = request.count * request.cpus - EPSILON
     memory = request.count * request.memory - EPSILON
     return [m for m in machines if m.gpus >= gpus and m.cpus >= cpus and m.memory >= memory]
 
 
-def _least_idle(request: ResourceRequest, holders: Sequence[FreeCapacity]) -> FreeCapacity:
-    """Best fit: of the machines that hold all remaining tasks, the one with fewest idle GPUs."""
-    least = min(m.gpus for m in holders) if request.gpus > 0 else min(m.cpus for m in holders)
+def _least_idle(request: ResourceRequest, fitting_machines: Sequence[FreeCapacity]) -> FreeCapacity:
+    """Best fit: returns, of the machines that can hold all remaining tasks, the one with the fewest idle GPUs."""
+    least = min(m.gpus for m in fitting_machines) if request.gpus > 0 else min(m.cpus for m in fitting_machines)
     return min(
-        (machine for machine in holders if idle_capacity(request, machine) == least),
+        (machine for machine in fitting_machines if idle_capacity(request, machine) == least),
         key=lambda machine: tie_break_key(request, machine),
     )
 
 
 def _tightest(request: ResourceRequest, candidates: Sequence[_Candidate], remaining: int) -> FreeCapacity:
-    """Best fit where it is known how many tasks each machine holds."""
+    """Selects the best fit among candidates, for which it is known how many tasks each machine can hold."""
     return _least_idle(request, [machine for machine, count in candidates if count >= remaining])
 
 
 def _greedy_key(request: ResourceRequest, machine: FreeCapacity, count: int) -> tuple[int | float | bool, ...]:
-    """Order of the greedy split: the machine that can give most first."""
+    """Returns the sort key of the greedy split: the machine that can hold the most tasks comes first."""
     return (-count, -idle_capacity(request, machine), *tie_break_key(request, machine))
 
 
 def _place_spread(request: ResourceRequest, candidates: list[_Candidate], all_or_none: bool) -> list[Placement]:
-    """HAS where each zone is capped, so that what a machine can give changes as its zone fills."""
+    """Places with HAS under a cap per zone, so that how many tasks a machine can take changes as its zone fills."""
     remaining = request.count
-    cap, left_by_zone = _zone_caps(request)
+    cap, remaining_by_zone = _zone_caps(request)
     placements: list[Placement] = []
     while remaining > 0:
-        able = [(m, capped) for m, n in candidates if (capped := min(n, left_by_zone.get(m.zone, cap))) > 0]
-        if not able:
+        eligible = [(m, capped) for m, n in candidates if (capped := min(n, remaining_by_zone.get(m.zone, cap))) > 0]
+        if not eligible:
             break
-        if max(count for _, count in able) >= remaining:
-            machine, count = _tightest(request, able, remaining), remaining
+        if max(count for _, count in eligible) >= remaining:
+            machine, count = _tightest(request, eligible, remaining), remaining
         else:
-            machine, count = min(able, key=lambda candidate: _greedy_key(request, *candidate))
+            machine, count = min(eligible, key=lambda candidate: _greedy_key(request, *candidate))
         candidates = [(m, n) for m, n in candidates if m is not machine]
         placements.append(Placement(machine.index, count))
         remaining -= count
-        left_by_zone[machine.zone] = left_by_zone.get(machine.zone, cap) - count
+        remaining_by_zone[machine.zone] = remaining_by_zone.get(machine.zone, cap) - count
     return [] if all_or_none and remaining > 0 else placements
 
 
 def _zone_caps(request: ResourceRequest) -> tuple[int, dict[int, int]]:
-    """For `spread`: how many more tasks a zone without any may hold, and how many each zone used so far may.
+    """Returns, for `spread`, how many tasks an unused zone may hold, and how many more each used zone may hold.
 
-    A task on a machine whose zone is not known yet counts in every zone. It counted as a zone of its own,
-    so after a change of leader more than half of a job could come to one zone.
+    A task on a machine whose zone is not known yet counts in every zone. When unknown zones counted as a separate
+    zone, more than half of a job's tasks could be placed in one zone after a change of leader.
     """
     cap = (request.total + 1) // 2 - request.tasks_by_zone.get(UNKNOWN_ZONE, 0)
     return cap, {zone: cap - count for zone, count in request.tasks_by_zone.items()}
 
 
 def _place_replicas(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[Placement]:
-    """Service replicas: one at a time, to the tightest machine in their least-used zone."""
+    """Places service replicas one at a time, each on the tightest machine in the job's least-used zone."""
     tasks_by_zone = dict(request.tasks_by_zone)
     placeable = {machine.index: placeable_task_count(request, machine) for machine in machines}
     placed: dict[int, int] = {}
@@ -254,8 +262,8 @@
                 continue
             if request.one_zone and occupied and machine.zone not in occupied:
                 continue
-            taken = placed.get(machine.index, 0) * (request.gpus or request.cpus)
-            key = (in_zone, idle_capacity(request, machine) - taken, *tie_break_key(request, machine))
+            used_capacity = placed.get(machine.index, 0) * (request.gpus or request.cpus)
+            key = (in_zone, idle_capacity(request, machine) - used_capacity, *tie_break_key(request, machine))
             if best is None or key < best[0]:
                 best = (key, machine)
         if best is None:
--- a/hookwall/scheduling/preemption.py
+++ b/hookwall/scheduling/preemption.py
@@ -1,10 +1,10 @@
-"""Preemption: which running tasks are stopped for a job that waits.
+"""Preemption: selects the running tasks that are stopped for a waiting job.
 
-PROTOCOL, "Preemption": work of lower rank may be stopped, and what a team uses beyond its guarantee where another
-team is to be given its own.
+PROTOCOL, "Preemption": tasks of lower rank may be stopped, and so may tasks of a team that uses more than its guarantee
+if another team is to get its own guarantee.
 
-Invariant: no team is made to give back more than it uses beyond its guarantee, and a gang preempts nothing unless
-enough can be freed for all of its tasks.
+Invariant: no team has to give back more than it uses beyond its guarantee, and a gang preempts nothing unless enough
+capacity can be freed for all of its tasks.
 """
 
 from collections.abc import Callable
@@ -24,11 +24,11 @@
     satisfies_constraints,
 )
 
-Borrowed = dict[int, ResourceUsage]  # by team: what it uses beyond its guarantee
+Borrowed = dict[int, ResourceUsage]  # usage beyond the guarantee, by team
 
 
 class Preemption:
-    """Chooses what to stop, and requests the stops from the fleet."""
+    """Selects the tasks to stop, and requests the stops from the fleet."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         fleet: Fleet,
         resource_request: Callable[[Job, int], ResourceRequest],
     ) -> None:
-        """`resource_request` gives what so many tasks of a job request."""
+        """`resource_request` returns the request for a number of tasks of a job."""
         self.team_settings = team_settings
         self.fleet = fleet
         self.resource_request = resource_request
-        self.lowest_allocated_rank = -1  # the numerically highest rank that has allocations; -1: none has
+        self.lowest_allocated_rank = -1  # numerically highest (lowest-priority) rank with allocations; -1: none
 
     def preempt_for(
         self,
@@ -51,9 +51,9 @@
         now: float,
         cached_only: bool = False,
     ) -> int:
-        """Stop what may be stopped so that the job's tasks fit; returns how many still have no machine.
+        """Stops preemptible tasks so that the job's tasks fit; returns how many of its tasks still have no machine.
 
-        `cached_only`: only on machines that have the job's image.
+        `cached_only`: stop tasks only on machines that have the job's image.
         """
         request = self.resource_request(job, task_count)
         image = job.image_index if cached_only else None
@@ -76,14 +76,14 @@
         return self._stop_victims(job, state, options, missing, borrowed)
 
     def reserve_machine(self, job: Job, state: RoundState, machine_index: int) -> None:
-        """Reserve a machine for a job that waits, beyond this round."""
+        """Reserves a machine for a waiting job beyond the current round."""
         self.fleet.machines_by_index[machine_index].reserved_for = job.job_id
         state.reserved_for[machine_index] = job.job_id
 
-    # -- what may be stopped -------------------------------------------------------------------
+    # -- preemption rules ----------------------------------------------------------------------
 
     def _borrowed(self, state: RoundState) -> Borrowed:
-        """What each team uses beyond its guarantee. A guarantee of GPUs alone covers any number of CPUs."""
+        """Returns what each team uses beyond its guarantee. A guarantee of GPUs alone covers any number of CPUs."""
         borrowed: Borrowed = {}
         for index, team in enumerate(self.team_settings):
             usage = state.usage.get(index) or ResourceUsage()
@@ -92,30 +92,33 @@
         return borrowed
 
     def _may_stop_any(self, job: Job, within_guarantee: bool, borrowed: Borrowed) -> bool:
-        """Whether anything may be stopped for the job: mostly not, and a scan of all machines says so late."""
+        """Returns whether any task may be stopped for the job.
+
+        Usually none may, and this check is much cheaper than a scan of all machines.
+        """
         if self.lowest_allocated_rank > job.rank:
             return True
         return within_guarantee and any(
-            team != job.team_index and not _is_nothing(usage) for team, usage in borrowed.items()
+            team != job.team_index and not _is_zero(usage) for team, usage in borrowed.items()
         )
 
     def _may_stop(self, job: Job, within_guarantee: bool, other: Job, borrowed: Borrowed) -> bool:
-        """PROTOCOL, "Preemption": lower priority, or beyond the guarantee of another team."""
+        """Applies PROTOCOL, "Preemption": `other` has a lower priority, or its team uses more than its guarantee."""
         if other is job or other.phase != OPEN or other.spec is None:
             return False
         usage = borrowed.get(other.team_index)
-        other_is_guaranteed = usage is None or _is_nothing(usage)
+        other_is_guaranteed = usage is None or _is_zero(usage)
         if other.rank > job.rank and (within_guarantee or not other_is_guaranteed):
             return True
         if not within_guarantee or other.team_index == job.team_index:
             return False
         return not other_is_guaranteed
 
-    # -- where ---------------------------------------------------------------------------------
+    # -- preemption options --------------------------------------------------------------------
 
     @staticmethod
     def _reserved_machines(job: Job, state: RoundState, image: int | None) -> list[int]:
-        """Machines that are reserved for the job; if an image is given, not those known to lack it."""
+        """Returns the machines reserved for the job; if an image is given, without those known to lack it."""
         return [
             index for index, job_id in state.reserved_for.items()
             if job_id == job.job_id
@@ -123,15 +126,15 @@
         ]  # fmt: skip
 
     def _placeable_after_stops(self, request: ResourceRequest, machine_index: int) -> int:
-        """How many tasks fit on a machine once all that was requested to stop there has ended."""
+        """Returns how many tasks fit on a machine once all tasks that were requested to stop there have ended."""
         machine = self.fleet.machines_by_index[machine_index]
-        trial = replace(self.fleet.free_capacity(machine))
+        projected = replace(self.fleet.free_capacity(machine))
         for job, allocation in machine.allocations.values():
             if job.spec is not None and allocation.stop_grace_s is not None:
-                trial.cpus += job.spec.cpus
-                trial.gpus += job.spec.gpus
-                trial.memory += job.spec.memory_gb
-        return placeable_task_count(request, trial)
+                projected.cpus += job.spec.cpus
+                projected.gpus += job.spec.gpus
+                projected.memory += job.spec.memory_gb
+        return placeable_task_count(request, projected)
 
     def _usable_options(
         self,
@@ -144,7 +147,7 @@
         image: int | None,
         now: float,
     ) -> list[PreemptionOption]:
-        """The options that the job may use now, cheapest first."""
+        """Returns the options that the job may use now, cheapest first."""
         key = preemption_key(job, request, within_guarantee)
         options = state.preemption_options.get(key)
         if options is None:
@@ -159,7 +162,7 @@
         return usable
 
     def _total_cost_s(self, job: Job, option: PreemptionOption, state: RoundState) -> float:
-        """What an option costs, with the fetch of the job's image where the machine lacks it."""
+        """Returns the cost of an option, including the fetch of the job's image if the machine lacks it."""
         assert job.spec is not None
         machine = state.machines[option.machine_index]
         if job.image_index in machine.cached_images:
@@ -170,7 +173,7 @@
     def _free_machines(
         request: ResourceRequest, state: RoundState, image: int | None
     ) -> list[tuple[FreeCapacity, int]]:
-        """Unreserved machines, with how many tasks fit now; if an image is given, only those that have it."""
+        """Returns unreserved machines and how many tasks fit on each now; if an image is given, only those with it."""
         return [
             (machine, count) for index, machine in state.candidates(request.gpus).items()
             if index not in state.reserved_for and (image is None or image in machine.cached_images)
@@ -185,7 +188,7 @@
         missing: int,
         image: int | None,
     ) -> int | None:
-        """The zone of the cheapest option among those in which enough can be had; None if there is none."""
+        """Returns the zone of the cheapest option among the zones with enough obtainable capacity, or None."""
         obtainable: dict[int, int] = {}
         for option in options:
             zone = state.machines[option.machine_index].zone
@@ -196,15 +199,15 @@
         zones = (state.machines[option.machine_index].zone for option in options)
         return next((zone for zone in zones if obtainable[zone] >= missing), None)
 
-    # -- carrying out --------------------------------------------------------------------------
+    # -- stops and reservations ----------------------------------------------------------------
 
     def _reserve_free(
         self, job: Job, request: ResourceRequest, state: RoundState, zone: int, missing: int, image: int | None
     ) -> int:
-        """Reserve what is free in the zone for the gang as well; returns how many tasks have no machine yet.
+        """Also reserves free machines of the zone for the gang; returns how many tasks have no machine yet.
 
-        Smaller work of lower rank took it while the rest was being freed, and the next round stopped some
-        more for the same gang.
+        Without this, smaller jobs of lower rank take these machines while the other machines are being freed, and the
+        next round stops more tasks for the same gang.
         """
         free = self._free_machines(request, state, image)
         for machine, count in sorted(free, key=lambda f: (job.image_index not in f[0].cached_images, f[0].index)):
@@ -218,7 +221,7 @@
     def _stop_victims(
         self, job: Job, state: RoundState, options: list[PreemptionOption], missing: int, borrowed: Borrowed
     ) -> int:
-        """Stop tasks, cheapest first, until there is capacity; returns how many tasks have no machine."""
+        """Stops tasks, cheapest first, until there is enough capacity; returns how many tasks have no machine."""
         for option in options:
             if missing <= 0:
                 break
@@ -233,13 +236,13 @@
         return missing
 
 
-def _is_nothing(usage: ResourceUsage) -> bool:
-    """Whether a team uses nothing beyond its guarantee."""
+def _is_zero(usage: ResourceUsage) -> bool:
+    """Returns whether a usage beyond a guarantee is zero."""
     return usage.gpus <= EPSILON and usage.cpus <= EPSILON
 
 
 def _is_usable(option: PreemptionOption, state: RoundState, zones: set[int], image: int | None) -> bool:
-    """Whether an option still holds, and is in one of the zones, if any, and on a machine with the image, if any."""
+    """Returns whether an option is still valid and matches the zones and the image, where these are given."""
     machine = state.machines[option.machine_index]
     if option.machine_index in state.reserved_for or (image is not None and image not in machine.cached_images):
         return False
@@ -249,19 +252,19 @@
 
 
 def _charge(job: Job, victims: list[Victim], borrowed: Borrowed) -> bool:
-    """Book what other teams give back. False, and nothing booked, if it is more than they borrowed."""
-    given_back: Borrowed = {}
+    """Deducts what other teams give back. Returns False, and deducts nothing, if this exceeds what they borrowed."""
+    reclaimed: Borrowed = {}
     for victim, _ in victims:
         assert victim.spec is not None
         if victim.rank <= job.rank:
-            given_back.setdefault(victim.team_index, ResourceUsage()).add(victim.spec, 1)
-    for team, usage in given_back.items():
-        have = borrowed.get(team)
-        if have is None:
+            reclaimed.setdefault(victim.team_index, ResourceUsage()).add(victim.spec, 1)
+    for team, usage in reclaimed.items():
+        available = borrowed.get(team)
+        if available is None:
             continue
-        if usage.gpus > have.gpus + EPSILON or (usage.gpus == 0 and usage.cpus > have.cpus + EPSILON):
+        if usage.gpus > available.gpus + EPSILON or (usage.gpus == 0 and usage.cpus > available.cpus + EPSILON):
             return False
-    for team, usage in given_back.items():
+    for team, usage in reclaimed.items():
         if team in borrowed:
             borrowed[team].gpus -= usage.gpus
             borrowed[team].cpus -= usage.cpus
--- a/hookwall/scheduling/preemption_options.py
+++ b/hookwall/scheduling/preemption_options.py
@@ -1,4 +1,4 @@
-"""Where capacity could be freed for a job, and at what cost: found once a round for all jobs that request alike.
+"""Where capacity could be freed for a job, and at what cost; computed once per round for all jobs with equal requests.
 
 Invariant: finding options changes neither the fleet nor the round's free capacity.
 """
@@ -11,14 +11,14 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count, satisfies_constraints
 
-SETTLED_AFTER_S = 30.0  # a start that lasts this long counts for its user
-REFETCH_COST_S_PER_GB = 0.2  # for each GB of images that others would have to fetch again
-GANG_COST_S_PER_TASK = 30.0  # for each task of a gang that is stopped: it needs capacity for all of them at once again
-MAX_DISTINGUISHED_TASKS = 8  # arrays that request more tasks than this share their options
+MIN_USEFUL_RUN_S = 30.0  # a task that has run for this long is useful to its user
+REFETCH_COST_S_PER_GB = 0.2  # per GB of images that other jobs would have to fetch again
+GANG_COST_S_PER_TASK = 30.0  # per task of a stopped gang, which needs capacity for all its tasks at once again
+MAX_KEY_TASK_COUNT = 8  # arrays that request this many tasks or more share their options
 
 
 def preemption_cost_s(job: Job, allocation: Allocation, now: float) -> float:
-    """What stopping an allocation costs, in seconds of somebody's time."""
+    """Returns the cost of stopping an allocation, in seconds of lost time."""
     spec = job.spec
     if spec is None:
         return 0.0
@@ -26,23 +26,23 @@
     ran_s = now - allocation.running_since if allocation.running_since >= 0 else 0.0
     if spec.checkpoint_interval_s <= 0:
         cost_s += ran_s
-    if allocation.running_since >= 0 and ran_s < SETTLED_AFTER_S:
-        # A start that is stopped this early was none: its user still waits.
-        cost_s += SETTLED_AFTER_S - ran_s
+    if allocation.running_since >= 0 and ran_s < MIN_USEFUL_RUN_S:
+        # A task that is stopped this early was of no use: its user still waits.
+        cost_s += MIN_USEFUL_RUN_S - ran_s
     if spec.gang:
-        # All its tasks stop, and the next time it needs capacity for all of them at once.
+        # All tasks of the gang stop, and to start again it needs capacity for all of them at once.
         cost_s += GANG_COST_S_PER_TASK * len(job.allocations)
     return cost_s
 
 
 def preemption_key(job: Job, request: ResourceRequest, within_guarantee: bool) -> PreemptionKey:
-    """What decides the options for a job."""
+    """Returns all values that determine the options for a job."""
     return PreemptionKey(
         job.rank,
         within_guarantee,
         job.team_index if within_guarantee else -1,
         request.gang,
-        request.count if request.gang else min(request.count, MAX_DISTINGUISHED_TASKS),
+        request.count if request.gang else min(request.count, MAX_KEY_TASK_COUNT),
         request.cpus,
         request.gpus,
         request.memory,
@@ -55,7 +55,7 @@
 def find_options(
     request: ResourceRequest, state: RoundState, fleet: Fleet, may_stop: Callable[[Job], bool], now: float
 ) -> list[PreemptionOption]:
-    """The cheapest option on each unreserved machine where stopping what may be stopped frees capacity for a task."""
+    """Returns the cheapest option on each unreserved machine where stopping tasks frees capacity for a task."""
     options: list[PreemptionOption] = []
     for index, machine in state.machines.items():
         if index in state.reserved_for or not satisfies_constraints(request, machine):
@@ -78,26 +78,26 @@
 def _choose_victims(
     request: ResourceRequest, machine: FreeCapacity, stoppable: list[Victim], now: float
 ) -> tuple[list[Victim], int]:
-    """The cheapest that free capacity for at least one task, and for how many tasks they do."""
+    """Returns the cheapest victims that free capacity for a task or more, and for how many tasks they free it."""
     cheapest_first = sorted(
         stoppable,
         key=lambda victim: (-victim[0].rank, preemption_cost_s(victim[0], victim[1], now), -victim[1].created_at),
     )
-    trial = FreeCapacity(
+    projected = FreeCapacity(
         machine.index, machine.type, machine.zone, machine.spot, machine.cpus, machine.gpus, machine.memory
     )
-    placeable_before = placeable_task_count(request, trial)
+    placeable_before = placeable_task_count(request, projected)
     freed = 0
     victim_count = 0
-    for at, (job, _) in enumerate(cheapest_first):
+    for position, (job, _) in enumerate(cheapest_first):
         assert job.spec is not None
-        trial.cpus += job.spec.cpus
-        trial.gpus += job.spec.gpus
-        trial.memory += job.spec.memory_gb
-        placeable = placeable_task_count(request, trial) - placeable_before
+        projected.cpus += job.spec.cpus
+        projected.gpus += job.spec.gpus
+        projected.memory += job.spec.memory_gb
+        placeable = placeable_task_count(request, projected) - placeable_before
         if placeable > freed:
             freed = placeable
-            victim_count = at + 1
+            victim_count = position + 1
             if freed >= request.count:
                 break
     return cheapest_first[:victim_count], freed
--- a/hookwall/scheduling/quotas.py
+++ b/hookwall/scheduling/quotas.py
@@ -1,6 +1,6 @@
-"""Teams' quotas: which jobs are within their team's guarantee, and how many more tasks its limit admits.
+"""Team quotas: which jobs are within their team's guarantee, and how many more tasks the team's limit admits.
 
-Invariant: tasks that may still run count towards a limit, whatever has become of their job.
+Invariant: tasks that may still run count towards the limit, whatever the phase of their job is.
 """
 
 from hookwall.config.platform import TeamQuota
@@ -11,15 +11,15 @@
 
 
 class Quotas:
-    """Applies the teams' quotas, by index of the team, to the jobs that there are."""
+    """Applies the teams' quotas to the jobs in the table. Teams are identified by their index."""
 
     def __init__(self, team_settings: list[TeamQuota], table: JobTable) -> None:
-        """`team_settings` are in the order of the teams' indices."""
+        """`team_settings` is ordered by team index."""
         self.team_settings = team_settings
         self.table = table
 
     def jobs_within_guarantee(self) -> set[str]:
-        """Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs."""
+        """Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs."""
         within: set[str] = set()
         guarantees = {index: team for index, team in enumerate(self.team_settings) if team.gpus or team.cpus}
         if not guarantees:
@@ -36,7 +36,7 @@
         return within
 
     def admitted_task_count(self, job: Job, state: RoundState) -> int:
-        """How many more tasks of the job its team's limit admits; none for a team that is not configured."""
+        """Returns how many more tasks of the job its team's limit admits; 0 for a team that is not configured."""
         if not 0 <= job.team_index < len(self.team_settings):
             return 0
         team = self.team_settings[job.team_index]
@@ -52,7 +52,7 @@
 
 
 def _covers(team: TeamQuota, usage: ResourceUsage) -> bool:
-    """Whether a team's guarantee covers all of this usage; a resource that it has no figure for is not limited."""
+    """Returns whether the team's guarantee covers this usage; a resource without a configured guarantee is covered."""
     if team.gpus and usage.gpus > team.gpus + ROUNDING:
         return False
     return not team.cpus or usage.cpus <= team.cpus + ROUNDING
--- a/hookwall/scheduling/reservations.py
+++ b/hookwall/scheduling/reservations.py
@@ -1,9 +1,9 @@
-"""Machines that are reserved or set aside: for gangs that wait, and for whole-machine gangs that are likely to come.
+"""Reserves machines for waiting gangs, and sets machines aside for whole-machine gangs that wait or are expected.
 
 Small tasks take each GPU that is freed, so without this no machine ever becomes empty.
 
-Invariant: a machine is reserved for one job at a time, and one that was reserved in vain for `RESERVED_IN_VAIN_S` is
-open to jobs that starve.
+Invariant: a machine is reserved for one job at a time, and a machine that was reserved without use for
+`STALE_RESERVATION_S` is available to starving jobs.
 """
 
 import math
@@ -18,23 +18,23 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count
 
-SET_ASIDE_Z = 0.8  # how many machines are set aside for whole-machine jobs, in roots of their mean demand
-LEAST_MEAN_DEMAND = 0.5  # machines; below this, none is set aside for jobs that may come
+SET_ASIDE_DEVIATIONS = 0.8  # machines set aside for expected whole-machine jobs, in square roots of their mean demand
+MIN_MEAN_DEMAND = 0.5  # in machines; below this, none is set aside unless a whole-machine job waits
 SMOOTHING_S = 90.0  # time constant of the mean demand
-MAX_MEASURED_GAP_S = 30.0  # a longer time between two measurements counts as this
-RESERVED_IN_VAIN_S = 60.0  # capacity that has been reserved in vain for so long may go to others
-FORGET_S = 5.0  # a machine that was not reserved for so long begins anew
+MAX_MEASURED_GAP_S = 30.0  # a longer interval between two measurements counts as this
+STALE_RESERVATION_S = 60.0  # starving jobs may use a machine that was reserved without use for this long
+MAX_RESERVATION_GAP_S = 5.0  # after a longer gap, a machine counts as newly reserved
 
 
 class ReservationTimes(NamedTuple):
-    """Since when a machine is reserved, and when a round last found it so."""
+    """Since when a machine has been reserved, and when a round last found it reserved."""
 
     since: float
     last_seen_at: float
 
 
 class Reservations:
-    """Follows the demand for whole machines, and reserves machines for gangs."""
+    """Measures the demand for whole machines, and reserves machines for gangs."""
 
     def __init__(
         self,
@@ -44,34 +44,39 @@
         image_affinity: ImageAffinity,
         preemption: Preemption,
     ) -> None:
-        """`waiting` is the scheduler's own queue, by job."""
+        """`waiting` is the scheduler's own queue, by job id."""
         self.table = table
         self.fleet = fleet
         self.waiting = waiting
         self.image_affinity = image_affinity
         self.preemption = preemption
         self.mean_whole_machine_tasks = 0.0
-        self.whole_machine_rank = -1  # the numerically highest rank of jobs that need whole machines; -1: none came yet
+        self.whole_machine_rank = -1  # numerically highest rank of whole-machine jobs; -1: there was none yet
         self.last_whole_machine_rank = -1
         self.measured_at = -math.inf
         self.reservation_times: dict[int, ReservationTimes] = {}  # by machine
 
-    def reserved_in_vain(self, machine_index: int, now: float) -> bool:
-        """Whether a machine has been reserved for long and got nothing: whoever it waits for, others starve."""
+    def has_stale_reservation(self, machine_index: int, now: float) -> bool:
+        """Returns whether a machine has been reserved for long without use, so that starving jobs may use it."""
         times = self.reservation_times.get(machine_index)
-        return times is not None and now - times.since > RESERVED_IN_VAIN_S
+        return times is not None and now - times.since > STALE_RESERVATION_S
 
     def track_reservations(self, state: RoundState, now: float) -> None:
-        """Follow since when each machine is reserved. A round that runs out of time does not see all."""
+        """Records since when each machine has been reserved.
+
+        A round that runs out of time does not see all reservations, so short gaps are ignored.
+        """
         for index in state.reserved_for:
-            known = self.reservation_times.get(index)
-            self.reservation_times[index] = ReservationTimes(now if known is None else known.since, now)
+            previous = self.reservation_times.get(index)
+            self.reservation_times[index] = ReservationTimes(now if previous is None else previous.since, now)
         self.reservation_times = {
-            index: times for index, times in self.reservation_times.items() if now - times.last_seen_at < FORGET_S
+            index: times
+            for index, times in self.reservation_times.items()
+            if now - times.last_seen_at < MAX_RESERVATION_GAP_S
         }
 
     def measure_whole_machine_demand(self, now: float) -> None:
-        """Follow how many machines the jobs need that take one whole, and the ranks of what is there."""
+        """Updates how many machines the whole-machine jobs need, their rank, and the lowest rank with allocations."""
         needed = 0
         self.whole_machine_rank = -1
         self.preemption.lowest_allocated_rank = -1
@@ -90,10 +95,11 @@
         self.last_whole_machine_rank = self.whole_machine_rank
 
     def set_aside_whole_machines(self, state: RoundState) -> None:
-        """Set some machines aside for jobs that need one whole and that may preempt nobody.
+        """Sets some machines aside for jobs that need a whole machine and cannot preempt other tasks.
 
         Small tasks of the same rank fit anywhere and refill each GPU that is freed, so under load no on-demand
-        machine ever becomes empty. As many are set aside as such jobs' demand is likely to vary.
+        machine ever becomes empty. Besides one machine for each waiting task, the number of machines that are set
+        aside is the amount by which the demand of such jobs is likely to vary.
         """
         waiting_count = sum(
             queued.count
@@ -102,9 +108,9 @@
             and queued.job.phase == OPEN
             and task_fit(queued.job, self.fleet).needs_whole_machine
         )
-        if self.mean_whole_machine_tasks < LEAST_MEAN_DEMAND and not waiting_count:
+        if self.mean_whole_machine_tasks < MIN_MEAN_DEMAND and not waiting_count:
             return
-        expected_count = math.ceil(SET_ASIDE_Z * math.sqrt(self.mean_whole_machine_tasks))
+        expected_count = math.ceil(SET_ASIDE_DEVIATIONS * math.sqrt(self.mean_whole_machine_tasks))
         spare = [
             machine
             for machine in state.machines.values()
@@ -116,7 +122,7 @@
         state.set_aside_for_expected = {machine.index for machine in expected}
 
     def has_whole_machine_task(self, machine: FreeCapacity) -> bool:
-        """Whether a task is there that needs a machine whole; found once for as long as nothing there changes."""
+        """Returns whether the machine has a task that needs a whole machine; cached until the machine changes."""
         if machine.has_whole_machine_task is None:
             machine.has_whole_machine_task = any(
                 task_fit(job, self.fleet).needs_whole_machine
@@ -125,13 +131,13 @@
         return machine.has_whole_machine_task
 
     def reserve_for_gang(self, job: Job, request: ResourceRequest, state: RoundState, now: float) -> None:
-        """Keep later jobs off the machines that a waiting gang will get first, for this round.
+        """Reserves for this round the machines that a waiting gang will get first, so that later jobs don't use them.
 
-        Without this, small tasks of later jobs take each GPU that is freed, and a gang that needs
-        whole machines never starts.
+        Without this, small tasks of later jobs take each GPU that is freed, and a gang that needs whole machines
+        never starts.
         """
         missing = request.count - sum(job_id == job.job_id for job_id in state.reserved_for.values())
-        machines = self.image_affinity.without_contested_for_gang(
+        machines = self.image_affinity.exclude_contested_for_gang(
             job, request, state.unreserved_machines(request), state, now
         )
         if request.one_zone and machines:
@@ -143,9 +149,10 @@
             missing -= max(1, placeable_task_count(request, machine))
 
     def _in_chosen_zone(self, job: Job, machines: list[FreeCapacity], missing: int) -> list[FreeCapacity]:
-        """The machines of the zone that was chosen for a gang before, or else of the one with most idle GPUs.
+        """Returns the machines of the zone chosen earlier for the gang, or else of the zone with the most idle GPUs.
 
-        Once chosen, a zone stays: when it followed each freed GPU, no zone ever had enough.
+        A chosen zone is kept while it has enough machines: when the choice followed each freed GPU, no zone ever had
+        enough free capacity.
         """
         by_zone: dict[int, list[FreeCapacity]] = {}
         for machine in machines:
--- a/hookwall/scheduling/round_state.py
+++ b/hookwall/scheduling/round_state.py
@@ -1,7 +1,7 @@
-"""What a round of decisions works on: the jobs that wait, and the free capacity, reservations and usage of the moment.
+"""The state of a scheduling round: waiting jobs, and the current free capacity, reservations and usage.
 
-Invariant: within a round, `machines` holds what is free after all that the round has decided so far, and
-`machines_with_gpus` exactly those of them that have a GPU left.
+Invariant: within a round, `machines` holds the capacity that is free after all decisions of the round so far, and
+`machines_with_gpus` holds exactly those of these machines that have a GPU left.
 """
 
 from collections import Counter
@@ -14,19 +14,20 @@
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.workers.resources import EPSILON, FreeCapacity, ResourceRequest, satisfies_constraints
 
-Victim = tuple[Job, Allocation]  # as the fleet holds them, machine by machine
+Victim = tuple[Job, Allocation]  # the pairs that the fleet keeps for each machine
 
 
 @dataclass(slots=True)
 class QueuedJob:
-    """A job that a round could not serve in full; machines are provisioned for the `count` tasks that wait."""
+    """A job that a round could not serve in full; machines are provisioned for its `count` waiting tasks."""
 
     job: Job
     count: int
     waiting_since: float
-    last_served_at: float = -1.0  # when it last got something, or began to wait
-    reserved_zone: int = -1  # where machines are reserved for it
-    declining_since: float = -1.0  # since when it declines machines without its image, and got nothing; -1: it does not
+    last_served_at: float = -1.0  # when tasks of it were last placed, or when it began to wait
+    reserved_zone: int = -1  # the zone in which machines are reserved for it; -1: none
+    # Since when it has declined machines without its image and was not served; -1: it declines none.
+    declining_since: float = -1.0
 
 
 @dataclass(slots=True)
@@ -37,7 +38,7 @@
     gpus: float = 0.0
 
     def add(self, spec: JobSpec, task_count: int) -> None:
-        """Count so many tasks of a job."""
+        """Adds the resources of `task_count` tasks of a job."""
         self.cpus += spec.cpus * task_count
         self.gpus += spec.gpus * task_count
 
@@ -46,14 +47,14 @@
 class PreemptionOption:
     """Capacity that could be freed on one machine for tasks of one size."""
 
-    cost_s: float  # without a fetch of the image
+    cost_s: float  # without the fetch of the job's image
     machine_index: int
-    freed_task_count: int  # how many of the tasks would fit
+    freed_task_count: int  # how many tasks of this size would fit
     victims: list[Victim]
 
 
 class PreemptionKey(NamedTuple):
-    """All that decides which options there are for a job; equal for jobs that request alike."""
+    """All values that determine the options for a job; equal for jobs with equal requests."""
 
     rank: int
     within_guarantee: bool
@@ -76,8 +77,8 @@
     spot: bool
 
 
-class RankAndKind(NamedTuple):
-    """Jobs that are alike to image affinity."""
+class AffinityGroup(NamedTuple):
+    """The key of jobs that image affinity treats as equal."""
 
     rank: int
     gang: bool
@@ -85,23 +86,23 @@
 
 @dataclass(slots=True)
 class RoundState:
-    """One round's view of the cluster. Machines, teams and images are indices."""
+    """One round's view of the cluster. Machines, teams and images are given by index."""
 
-    machines: dict[int, FreeCapacity] = field(default_factory=dict)  # those that are schedulable
-    machines_with_gpus: dict[int, FreeCapacity] = field(default_factory=dict)  # those of them with a GPU left
+    machines: dict[int, FreeCapacity] = field(default_factory=dict)  # schedulable machines
+    machines_with_gpus: dict[int, FreeCapacity] = field(default_factory=dict)  # schedulable machines with a GPU left
     usage: dict[int, ResourceUsage] = field(default_factory=dict)  # by team
-    reserved_for: dict[int, str] = field(default_factory=dict)  # machine -> the one job that may use it
-    set_aside_for_expected: set[int] = field(default_factory=set)  # for whole-machine jobs that may come
-    set_aside_for_waiting: set[int] = field(default_factory=set)  # for those that wait
-    waiting_images: dict[RankAndKind, Counter[int]] = field(default_factory=dict)
+    reserved_for: dict[int, str] = field(default_factory=dict)  # machine -> id of the job that it is reserved for
+    set_aside_for_expected: set[int] = field(default_factory=set)  # machines for whole-machine jobs that are expected
+    set_aside_for_waiting: set[int] = field(default_factory=set)  # machines for whole-machine jobs that wait
+    waiting_images: dict[AffinityGroup, Counter[int]] = field(default_factory=dict)
     preemption_options: dict[PreemptionKey, list[PreemptionOption]] = field(default_factory=dict)
     unreserved_by_constraints: dict[ConstraintKey, list[FreeCapacity]] = field(default_factory=dict)
 
     def unreserved_machines(self, request: ResourceRequest) -> list[FreeCapacity]:
-        """Machines that the job's constraints admit and that are reserved for nobody.
+        """Returns the machines that the request's constraints admit and that are not reserved for any job.
 
-        Each gang of a queue looked through all machines, most of which earlier ones had reserved: of
-        567 machines and 100 waiting gangs that was half of all the leader did.
+        The list is cached per set of constraints. When each queued gang scanned all machines, most of which were
+        reserved for earlier gangs, this was half of the leader's work with 567 machines and 100 waiting gangs.
         """
         key = ConstraintKey(request.types, request.zone, request.spot)
         admitted = self.unreserved_by_constraints.get(key)
@@ -112,11 +113,14 @@
         return unreserved
 
     def candidates(self, gpus: float) -> dict[int, FreeCapacity]:
-        """Under load few machines have a GPU left, and only those matter to a task that needs one."""
+        """Returns the machines that may have capacity for a task with this many GPUs.
+
+        Under load few machines have a GPU left, and only those matter to a task that needs one.
+        """
         return self.machines_with_gpus if gpus > 0 else self.machines
 
     def allocate(self, machine_index: int, job: Job, task_count: int) -> None:
-        """Subtract tasks of a job that are placed on a machine; its image is about to be cached there."""
+        """Subtracts tasks of a job that are placed on a machine; the job's image counts as cached there from now on."""
         spec = job.spec
         assert spec is not None
         machine = self.machines[machine_index]
@@ -128,7 +132,7 @@
             self.machines_with_gpus.pop(machine_index, None)
 
     def count_usage(self, jobs: Iterable[Job]) -> None:
-        """Count what each team's tasks may be using, also those that only workers report."""
+        """Adds up what each team's tasks may be using, including tasks that only workers report."""
         for job in jobs:
             if job.spec is None or not (job.allocations or job.unrecorded_sightings):
                 continue
@@ -140,5 +144,5 @@
 
 
 def provisioning_order(waiting: dict[str, QueuedJob]) -> list[QueuedJob]:
-    """Queued jobs in the order in which machines are provisioned for them."""
+    """Returns the queued jobs in the order in which machines are provisioned for them."""
     return sorted(waiting.values(), key=lambda queued: (queued.job.rank, queued.job.queued_at, queued.job.job_id))
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -1,9 +1,9 @@
-"""Rounds of decisions: which waiting job goes where, and what is preempted for it.
+"""Scheduling rounds: where waiting jobs are placed, and which tasks are preempted for them.
 
-A round has a time budget. Jobs are served in order (within a guarantee, rank, arrival); a round that
-runs out of time goes on, the next time, with the job at which it stopped.
+A round has a time budget. Jobs are served in order (within a guarantee, rank, arrival). If a round runs out of time,
+the next round continues with the job at which it stopped.
 
-Invariant: nothing that a round decides is launched before the writer of jobs has stored it.
+Invariant: no task start that a round decides is launched before the job writer has stored it.
 """
 
 import logging
@@ -37,15 +37,15 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_CORE_S = 0.011  # of a core, for one round: 30 ms on a third of one
-MAX_ROUND_S = 0.12  # heartbeats and health checks wait meanwhile
-LEAST_CORE_SHARE = 0.01
-MAX_UNSTORED_JOBS = 60  # jobs with starts that wait to be stored
-RESERVE_AFTER_S = 1.0  # so long a gang waits before machines are reserved for it
+ROUND_CPU_TIME_S = 0.011  # CPU time of a round, in seconds of a full core: 30 ms on a third of a core
+MAX_ROUND_S = 0.12  # heartbeats and health checks wait while a round runs
+MIN_CORE_SHARE = 0.01
+MAX_UNSTORED_JOBS = 60  # a round stops above this number of jobs whose starts are not stored yet
+RESERVE_AFTER_S = 1.0  # how long a gang waits before machines are reserved for it
 
 
 class Scheduler:
-    """The leader's decisions about tasks. It changes jobs and fleet in memory; the writer of jobs stores."""
+    """Makes the leader's decisions about tasks. It changes jobs and the fleet in memory; the job writer stores them."""
 
     def __init__(
         self,
@@ -57,10 +57,11 @@
         unstored_job_count: Callable[[], int] = lambda: 0,
         start_record_budget: Callable[[], StartRecordBudget] | None = None,
     ) -> None:
-        """The last two ask the writer of jobs.
+        """The last two parameters query the job writer.
 
-        `unstored_job_count`: how many jobs have starts that wait to be stored.
-        `start_record_budget`: how much of its record the starts of one job may take; without it, the plain form's.
+        `unstored_job_count`: returns how many jobs have starts that are not stored yet.
+        `start_record_budget`: returns how much of its record the starts of one job may take; by default, the budget of
+        a record in the plain form.
         """
         self.table = table
         self.fleet = fleet
@@ -68,13 +69,13 @@
         self.time_of_day = time_of_day
         self.unstored_job_count = unstored_job_count
         plain_bytes = plain_allocations_bytes(params.state.value_kb)
-        plain = StartRecordBudget(plain_bytes, plain_bytes)
-        self.start_record_budget = start_record_budget or (lambda: plain)
-        # A budget of time that stayed as it was when the share was halved cut each round's work to a half as well.
-        self.budget_s = min(MAX_ROUND_S, ROUND_CORE_S / max(LEAST_CORE_SHARE, params.machine_limits.core_share))
+        default_budget = StartRecordBudget(plain_bytes, plain_bytes)
+        self.start_record_budget = start_record_budget or (lambda: default_budget)
+        # The budget grows as the core share shrinks. With a fixed budget, half the share also halved a round's work.
+        self.budget_s = min(MAX_ROUND_S, ROUND_CPU_TIME_S / max(MIN_CORE_SHARE, params.machine_limits.core_share))
         self.resume_key: QueueKey | None = None
         self.waiting: dict[str, QueuedJob] = {}
-        # Jobs that a drain has stopped (drains/): capacity was found for them, which they leave to nobody.
+        # Jobs that a drain has stopped (drains/). Capacity was found for them, which they yield to no other job.
         self.relocated: Container[str] = ()
         self.latest_start_s = _latest_starts_s(params.objectives)
         team_settings = list(params.teams)
@@ -85,10 +86,10 @@
         self.machine_selection = MachineSelection(fleet, self.reservations, self.image_affinity)
         self.cached_image_wait = CachedImageWait(self.waiting, fleet, self.image_affinity, self.preemption)
 
-    # -- what is known ---------------------------------------------------------------------------
+    # -- views of the cluster --------------------------------------------------------------------
 
     def round_state(self, now: float) -> RoundState:
-        """Free capacity of each schedulable machine, and what each team may be using."""
+        """Returns the free capacity of each schedulable machine, and what each team may be using."""
         state = RoundState()
         for machine in self.fleet.machines.values():
             if machine.reserved_for and not self._still_waits(machine.reserved_for):
@@ -109,7 +110,7 @@
         return job is not None and job.phase == OPEN and job_id in self.waiting
 
     def resource_request(self, job: Job, count: int) -> ResourceRequest:
-        """What so many tasks of a job request, beside those that may be on machines already."""
+        """Returns the request for `count` tasks of a job, besides those that may already be on machines."""
         spec = job.spec
         assert spec is not None
         tasks_by_zone: dict[int, int] = {}
@@ -125,10 +126,10 @@
             tasks_by_zone,
         )  # fmt: skip
 
-    # -- a round -------------------------------------------------------------------------------
+    # -- rounds --------------------------------------------------------------------------------
 
     def run_round(self) -> bool:
-        """Decide what can be decided now. True if the round ran out of time."""
+        """Runs one scheduling round. Returns True if the round did not serve the whole queue."""
         now = self.clock()
         finish_jobs_and_broken_gangs(self.table, self.fleet, self.time_of_day)
         self.reservations.measure_whole_machine_demand(now)
@@ -139,7 +140,7 @@
         queue = serving_order(pending, self.quotas.jobs_within_guarantee())
         start = 0
         if self.resume_key is not None:
-            start = next((at for at, entry in enumerate(queue) if entry.key >= self.resume_key), 0)
+            start = next((position for position, entry in enumerate(queue) if entry.key >= self.resume_key), 0)
         state = self.round_state(now)
         self.reservations.set_aside_whole_machines(state)
         self.resume_key = self._serve_queue(queue[start:], state, now)
@@ -147,11 +148,11 @@
         return self.resume_key is not None or start > 0
 
     def _serve_queue(self, queue: list[QueueEntry], state: RoundState, now: float) -> QueueKey | None:
-        """Serve jobs in order while there is time; the key of the one to go on with, or None."""
+        """Serves jobs in order while the budgets allow; returns the key of the job to continue with, or None."""
         unstored = self.unstored_job_count()
-        for at, (key, job) in enumerate(queue):
-            if at > 0 and self.clock() - now > self.budget_s:
-                log.debug("round out of time: served=%d queued=%d", at, len(queue))
+        for position, (key, job) in enumerate(queue):
+            if position > 0 and self.clock() - now > self.budget_s:
+                log.debug("round out of time: served=%d queued=%d", position, len(queue))
                 return key
             if unstored > MAX_UNSTORED_JOBS:
                 return key
@@ -160,10 +161,10 @@
             unstored += job.has_unsaved_starts and not was_unstored
         return None
 
-    # -- one job -------------------------------------------------------------------------------
+    # -- single jobs ---------------------------------------------------------------------------
 
     def _serve_job(self, job: Job, state: RoundState, within_guarantee: bool, now: float) -> None:
-        """Place what can be placed of one job; preempt or reserve for the rest."""
+        """Places as many tasks of a job as possible; preempts tasks or reserves machines for the others."""
         spec = job.spec
         assert spec is not None
         if spec.gang:
@@ -172,13 +173,13 @@
             count = min(job.pending_count(), recordable_start_count(job, self.start_record_budget()))
         admitted = self.quotas.admitted_task_count(job, state)
         if admitted < (count if spec.gang else 1):
-            self.waiting.pop(job.job_id, None)  # capacity would not help: it waits for its own team
+            self.waiting.pop(job.job_id, None)  # free capacity would not help: the team is at its limit
             return
         count = min(count, admitted)
         request = self.resource_request(job, count)
-        starves = self._starves(job, now)
-        machines = self.machine_selection.available_machines(job, request, state, starves, now)
-        placements = self.machine_selection.place_job(job, request, state, machines, starves, within_guarantee)
+        is_starving = self._starves(job, now)
+        machines = self.machine_selection.available_machines(job, request, state, is_starving, now)
+        placements = self.machine_selection.place_job(job, request, state, machines, is_starving, within_guarantee)
         if placements and self.cached_image_wait.should_wait(job, placements, state, within_guarantee, now):
             return
         placed = sum(task_count for _, task_count in placements)
@@ -190,7 +191,7 @@
             self.waiting.pop(job.job_id, None)
 
     def _allocate(self, job: Job, state: RoundState, placements: list[Placement], now: float) -> None:
-        """Decide to start tasks: so many on each of these machines, all with one attempt number."""
+        """Allocates the placed number of tasks to each machine, all with the same attempt number."""
         spec = job.spec
         assert spec is not None
         placed = sum(task_count for _, task_count in placements)
@@ -208,8 +209,12 @@
                 state.reserved_for.pop(machine_index, None)
         state.usage.setdefault(job.team_index, ResourceUsage()).add(spec, placed)
         if log.isEnabledFor(logging.DEBUG):
-            where = ",".join(f"{self.fleet.machines_by_index[index].name}*{count}" for index, count in placements)
-            log.debug("tasks placed: job=%s attempt=%d tasks=%d machines=%s", job.job_id, attempt, placed, where)
+            machine_counts = ",".join(
+                f"{self.fleet.machines_by_index[index].name}*{count}" for index, count in placements
+            )
+            log.debug(
+                "tasks placed: job=%s attempt=%d tasks=%d machines=%s", job.job_id, attempt, placed, machine_counts
+            )
 
     def _wait_for_room(
         self,
@@ -221,15 +226,16 @@
         within_guarantee: bool,
         now: float,
     ) -> None:
-        """Queue what is left of a job: preempt for it where that is allowed, reserve machines for a gang."""
+        """Queues the remaining tasks of a job; preempts for them where allowed and reserves machines for a gang."""
         queued = self.waiting.get(job.job_id)
         if queued is None:
             last_served_at = -math.inf if job.job_id in self.relocated else now
             queued = self.waiting[job.job_id] = QueuedJob(job, remaining, now, last_served_at=last_served_at)
         elif served:
             queued.last_served_at = now
-            # As long as it is served it can go on being choosy. When its patience counted from the
-            # first time, each job of a long queue took whatever came, and three in four tasks fetched.
+            # A job that is still being served may keep declining machines without its image. When the time limit
+            # ran from the first declined machine, each job of a long queue took any machine, and three in four
+            # tasks fetched their image.
             queued.declining_since = -1.0
         queued.count = remaining
         missing = self.preemption.preempt_for(job, state, remaining, within_guarantee, now)
@@ -237,13 +243,16 @@
             self.reservations.reserve_for_gang(job, request, state, now)
 
     def _starves(self, job: Job, now: float) -> bool:
-        """Whether a job has had nothing for so long that it need not leave machines to gangs any more."""
+        """Returns whether a job was not served for so long that it no longer has to yield machines to gangs.
+
+        A job that a drain has stopped always counts as starving.
+        """
         queued = self.waiting.get(job.job_id)
         return job.job_id in self.relocated or (queued is not None and now - queued.last_served_at > STARVATION_S)
 
 
 def _latest_starts_s(objectives: list[ServiceObjective]) -> dict[str, float]:
-    """By class of jobs, how long after its arrival a job is to have started at the latest."""
+    """Returns how many seconds after its arrival a job must have started, by job class."""
     latest: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == "wait" and objective.job_class and objective.within_s:
--- a/hookwall/scheduling/serving_order.py
+++ b/hookwall/scheduling/serving_order.py
@@ -1,6 +1,6 @@
-"""Which jobs a round serves, and in which order: within a guarantee, then by rank, then by arrival.
+"""Which jobs a round serves, and in which order: jobs within a guarantee first, then by rank, then by arrival.
 
-Invariant: the order is total, so that a round which ran out of time can go on where it stopped.
+Invariant: the order is total, so that the next round can continue where a round that ran out of time stopped.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,7 +13,7 @@
 
 
 class QueueKey(NamedTuple):
-    """The order in which jobs are served: lower comes first."""
+    """The sort key of jobs in the serving order; jobs with lower keys are served first."""
 
     beyond_guarantee: bool
     rank: int
@@ -22,14 +22,14 @@
 
 
 class QueueEntry(NamedTuple):
-    """A job with pending tasks, at its place in the order."""
+    """A job with pending tasks and its key in the serving order."""
 
     key: QueueKey
     job: Job
 
 
 def serving_order(jobs: Iterable[Job], guaranteed: set[str]) -> list[QueueEntry]:
-    """The jobs in the order in which they are served; `guaranteed` are those within their team's guarantee."""
+    """Returns the jobs in serving order; `guaranteed` are the jobs within their team's guarantee."""
     queue = [
         QueueEntry(QueueKey(job.job_id not in guaranteed, job.rank, job.queued_at, job.job_id), job) for job in jobs
     ]
@@ -38,7 +38,7 @@
 
 
 def pending_jobs(table: JobTable, waiting: dict[str, QueuedJob], now: float) -> list[Job]:
-    """The jobs that have tasks to place; those that have none, or are over, are taken out of `waiting`."""
+    """Returns the jobs that have tasks to place; removes finished jobs and jobs without such tasks from `waiting`."""
     pending: list[Job] = []
     for job in table.open_jobs.values():
         if job.phase != OPEN or job.spec is None or now < job.retry_not_before:
@@ -54,7 +54,7 @@
 
 
 def finish_jobs_and_broken_gangs(table: JobTable, fleet: Fleet, time_of_day: Callable[[], float]) -> None:
-    """Finish jobs whose tasks are all done; stop what is left of broken gangs."""
+    """Finishes jobs whose tasks are all done, and stops the remaining tasks of broken gangs."""
     for job in list(table.open_jobs.values()):
         if job.phase == OPEN and job.spec is not None and job.task_count and job.done_count >= job.task_count:
             job.phase = DONE
--- a/tests/scheduling/scheduling_steps.py
+++ b/tests/scheduling/scheduling_steps.py
@@ -1,9 +1,9 @@
-"""What the tests of scheduling do to a cluster in the same way."""
+"""Steps that several scheduling tests perform on a cluster."""
 
 from conftest import Cluster
 
 
-def bring_up(cluster: Cluster, *names: str, **heartbeat: object) -> None:
-    """Heartbeats of machines, with which the cluster may place tasks there."""
+def send_heartbeats(cluster: Cluster, *names: str, **heartbeat: object) -> None:
+    """Sends heartbeats of the machines, so that the cluster may place tasks on them."""
     for name in names:
         cluster.beat(name, **heartbeat)
--- a/tests/scheduling/test_fit.py
+++ b/tests/scheduling/test_fit.py
@@ -1,4 +1,4 @@
-"""How a job's tasks fit the machine types, as found once and used by every round."""
+"""How a job's tasks fit the machine types; the result is cached and used by every round."""
 
 import msgspec
 import pytest
@@ -19,7 +19,7 @@
         ({"cards": 5.0}, 0.0, True),
     ],
 )
-def test_a_task_s_share_of_a_machine_is_its_largest(cluster: Cluster, needs, machine_share, whole_machine):
+def test_the_machine_share_is_the_largest_share_of_any_resource(cluster: Cluster, needs, machine_share, whole_machine):
     fit = task_fit(cluster.submit(1, **needs), cluster.fleet)
     assert (fit.machine_share, fit.needs_whole_machine) == (machine_share, whole_machine)
     assert fit.startup_s == 25.0 + 5.0 / 0.5
--- a/tests/scheduling/test_image_affinity.py
+++ b/tests/scheduling/test_image_affinity.py
@@ -1,13 +1,13 @@
-"""Jobs that wait leave machines to those whose image these have, for a while."""
+"""Waiting jobs leave machines for a while to equal jobs whose image is cached there."""
 
 import msgspec
 from conftest import Cluster
-from scheduling_steps import bring_up
+from scheduling_steps import send_heartbeats
 
 
 def test_a_machine_reserved_without_the_image_is_used_once_it_is_free(cluster: Cluster):
-    """It was left empty for twelve seconds, as if the machine that had the image were on its way."""
-    bring_up(cluster, "vm-1")
+    """It must not stay empty for twelve seconds, as if a machine with the image were being freed."""
+    send_heartbeats(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
     urgent = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
@@ -19,8 +19,8 @@
     assert urgent.allocations
 
 
-def test_in_a_queue_a_machine_goes_to_the_job_whose_image_it_has(cluster: Cluster):
-    bring_up(cluster, "vm-1")
+def test_in_a_queue_a_machine_goes_to_the_job_whose_image_is_cached_there(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     running = cluster.submit(1, shape="ensemble", cards=4.0, rank="urgent", bundle="img-8", sizeGb=10.0)
     cluster.scheduler.run_round()
@@ -32,17 +32,17 @@
     running.phase = "withdrawn"
     cluster.scheduler.run_round()
     assert second.allocations and not first.allocations
-    # But not for ever.
+    # The first job declines the machine for a limited time only.
     cluster.fleet.release_allocation(second, second.allocations[0], "halted")
     cluster.clock.tick(8.0)
-    bring_up(cluster, "vm-1")
+    send_heartbeats(cluster, "vm-1")
     cluster.scheduler.run_round()
     assert first.allocations
 
 
-def queue_of_pairs(cluster: Cluster):
-    """Two machines with an image that the second of two waiting gangs of two needs, and the first does not."""
-    bring_up(cluster, "vm-1", "vm-2")
+def submit_competing_gangs(cluster: Cluster):
+    """Returns two waiting gangs of two tasks; both machines have the image of the second gang only."""
+    send_heartbeats(cluster, "vm-1", "vm-2")
     pair = {"shape": "ensemble", "pieces": 2, "cards": 4.0, "sizeGb": 10.0}
     running = cluster.submit(1, **pair, bundle="img-8")
     cluster.scheduler.run_round()
@@ -56,32 +56,32 @@
     return first, second
 
 
-def test_in_a_queue_gangs_of_several_yield_machines_to_the_gang_whose_image_they_have(cluster: Cluster):
-    first, second = queue_of_pairs(cluster)
+def test_in_a_queue_gangs_of_several_tasks_yield_machines_to_the_gang_whose_image_is_cached_there(cluster: Cluster):
+    first, second = submit_competing_gangs(cluster)
     cluster.scheduler.run_round()
     assert len(second.allocations) == 2 and not first.allocations
-    # But not for ever: the fetch takes 20 s.
+    # The first gang declines the machines for a limited time only: the fetch takes 20 s.
     for a in list(second.allocations.values()):
         cluster.fleet.release_allocation(second, a, "halted")
     cluster.clock.tick(25.0)
-    bring_up(cluster, "vm-1", "vm-2")
+    send_heartbeats(cluster, "vm-1", "vm-2")
     cluster.scheduler.run_round()
     assert len(first.allocations) == 2
 
 
-def test_a_gang_that_would_miss_the_latest_start_of_its_class_yields_nothing(cluster: Cluster):
+def test_a_gang_that_would_miss_the_latest_start_of_its_class_yields_no_machines(cluster: Cluster):
     cluster.scheduler.latest_start_s["k"] = 60.0
-    first, second = queue_of_pairs(cluster)
-    cluster.clock.tick(45.0)  # and it has waited for 43 s, under whatever leader
-    bring_up(cluster, "vm-1", "vm-2")
+    first, second = submit_competing_gangs(cluster)
+    cluster.clock.tick(45.0)  # the gang has waited for 43 s, including the time under earlier leaders
+    send_heartbeats(cluster, "vm-1", "vm-2")
     for queued in cluster.scheduler.waiting.values():
         queued.waiting_since = queued.last_served_at = cluster.clock()
     cluster.scheduler.run_round()
     assert len(first.allocations) == 2 and not second.allocations
 
 
-def test_in_a_queue_arrays_yield_freed_gpus_to_those_whose_image_is_there(cluster: Cluster):
-    bring_up(cluster, "vm-1")
+def test_in_a_queue_arrays_yield_freed_gpus_to_the_array_whose_image_is_cached_there(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1")
     m = cluster.fleet.machines["vm-1"]
     full = cluster.submit(1, pieces=4, bundle="img-8")
     cluster.scheduler.run_round()
@@ -94,15 +94,15 @@
     cluster.scheduler.run_round()
     assert len(second.allocations) == 1 and not first.allocations
     cluster.clock.tick(15.0)
-    bring_up(cluster, "vm-1")
+    send_heartbeats(cluster, "vm-1")
     cluster.fleet.release_allocation(full, full.allocations[1], "done")
     full.mark_task_done(1)
     cluster.scheduler.run_round()
     assert len(first.allocations) == 1, "but not for ever"
 
 
-def test_a_gang_that_starves_yields_nothing_to_equals_whatever_the_fetch_takes(cluster: Cluster):
-    first, second = queue_of_pairs(cluster)
+def test_a_starving_gang_yields_no_machines_however_long_the_fetch_takes(cluster: Cluster):
+    first, second = submit_competing_gangs(cluster)
     first.spec = msgspec.structs.replace(first.spec, image_gb=100.0)  # 200 s to fetch
     cluster.scheduler.waiting[first.job_id].last_served_at = cluster.clock() - 61.0
     cluster.scheduler.run_round()
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -1,11 +1,11 @@
-"""What is preempted for a job that waits, and what is not."""
+"""Which tasks are preempted for a waiting job, and which are not."""
 
 from conftest import Cluster
-from scheduling_steps import bring_up
+from scheduling_steps import send_heartbeats
 
 
-def test_urgent_work_preempts_lower_work_and_gets_its_machine(cluster: Cluster):
-    bring_up(cluster, "vm-1")
+def test_an_urgent_job_preempts_tasks_of_lower_rank_and_gets_their_machine(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
     cluster.store()
@@ -21,8 +21,8 @@
     assert len(high.allocations) == 1 and not other.allocations and not low.allocations
 
 
-def test_equal_rank_is_not_preempted_without_a_guarantee(cluster: Cluster):
-    bring_up(cluster, "vm-1")
+def test_tasks_of_equal_rank_are_not_preempted_without_a_guarantee(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1")
     first = cluster.submit(1, pieces=4)
     cluster.scheduler.run_round()
     cluster.submit(2, pieces=4)
@@ -30,8 +30,8 @@
     assert all(a.stop_grace_s is None for a in first.allocations.values())
 
 
-def test_a_guarantee_preempts_only_what_was_borrowed(cluster: Cluster):
-    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+def test_a_job_within_its_guarantee_preempts_only_borrowed_capacity(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     blue = cluster.submit(1, owner="blue", pieces=12)
     grey = cluster.submit(2, owner="grey", pieces=4)
     cluster.scheduler.run_round()
@@ -42,12 +42,12 @@
     assert red.job_id in cluster.scheduler.waiting
 
 
-def test_urgent_work_preempts_where_its_image_is_rather_than_fetch_elsewhere(cluster: Cluster):
-    bring_up(cluster, "vm-1", "vm-2")
+def test_an_urgent_job_preempts_on_a_machine_with_its_image_instead_of_fetching_it_elsewhere(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1", "vm-2")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
-    (warm,) = {a.machine for a in low.allocations.values()}
-    m = cluster.fleet.machines[warm]
+    (machine_with_image,) = {a.machine for a in low.allocations.values()}
+    m = cluster.fleet.machines[machine_with_image]
     m.cached_images[cluster.fleet.image_names.index_of("img-9")] = 10.0
     urgent = cluster.submit(2, shape="ensemble", cards=4.0, rank="urgent", bundle="img-9", sizeGb=10.0)
     cluster.scheduler.run_round()
@@ -56,10 +56,10 @@
         cluster.fleet.release_allocation(low, a, "halted")
     low.phase = "withdrawn"
     cluster.scheduler.run_round()
-    assert urgent.allocations[0].machine == warm
+    assert urgent.allocations[0].machine == machine_with_image
 
 
-def test_free_machines_are_reserved_for_a_gang_that_preempts_for_the_rest(cluster: Cluster):
+def test_free_machines_are_reserved_for_a_gang_that_preempts_tasks_on_other_machines(cluster: Cluster):
     cluster.beat("vm-1")
     low = cluster.submit(1, rank="low", pieces=4)
     cluster.scheduler.run_round()
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -1,30 +1,30 @@
-"""Machines that are reserved for gangs that wait, or set aside for those that are expected."""
+"""Machines that are reserved for waiting gangs, or set aside for gangs that wait or are expected."""
 
 from conftest import Cluster
-from scheduling_steps import bring_up
+from scheduling_steps import send_heartbeats
 
 
 def test_a_waiting_gang_is_not_starved_by_later_small_jobs(cluster: Cluster):
-    bring_up(cluster, "vm-1")
+    send_heartbeats(cluster, "vm-1")
     small = cluster.submit(1, pieces=2)
     cluster.scheduler.run_round()
     cluster.store()
     gang = cluster.submit(2, shape="ensemble", cards=4.0)
     cluster.scheduler.run_round()
     cluster.clock.tick(1.5)
-    bring_up(cluster, "vm-1")
+    send_heartbeats(cluster, "vm-1")
     later = cluster.submit(3, pieces=2)
     cluster.scheduler.run_round()
     assert not later.allocations and not gang.allocations and len(small.allocations) == 2
 
 
-def test_some_machines_are_set_aside_for_gangs_that_need_one_whole(cluster: Cluster):
-    """Small tasks of the same rank refill each GPU that is freed: a gang waited for minutes under load."""
-    bring_up(cluster, "vm-1", "vm-2")
+def test_some_machines_are_set_aside_for_gangs_that_need_whole_machines(cluster: Cluster):
+    """Otherwise small tasks of the same rank refill each freed GPU, and a gang waits for minutes under load."""
+    send_heartbeats(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
         cluster.clock.tick(5.0)
-        bring_up(cluster, "vm-1", "vm-2")
+        send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(gang.allocations) == 1
     cluster.submit(2, pieces=8)
@@ -54,15 +54,15 @@
     assert {a.machine[0] for a in later.allocations.values()} == {"w"}
 
 
-def test_gangs_of_a_queue_reserve_each_machine_once(cluster: Cluster):
-    # What is still unreserved is cached for a round, and must not name a machine twice.
-    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+def test_queued_gangs_reserve_each_machine_only_once(cluster: Cluster):
+    # The list of unreserved machines is cached for a round; no machine may be reserved twice from it.
+    send_heartbeats(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     cluster.submit(1, pieces=16)
     cluster.scheduler.run_round()
     gangs = [cluster.submit(n, shape="ensemble", pieces=2, cards=4.0) for n in (2, 3, 4)]
     cluster.scheduler.run_round()
     cluster.clock.tick(1.5)
-    bring_up(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
+    send_heartbeats(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     state = cluster.scheduler.round_state(cluster.clock())
     for gang in gangs:
         cluster.scheduler.reservations.reserve_for_gang(
@@ -71,9 +71,9 @@
     assert sorted(state.reserved_for.values()) == [gangs[0].job_id] * 2 + [gangs[1].job_id] * 2
 
 
-def test_arrays_yield_the_emptiest_machines_to_a_gang_that_waits(cluster: Cluster):
-    """Older arrays refilled each GPU that was freed, and gangs of whole machines waited for minutes."""
-    bring_up(cluster, "vm-1", "vm-2")
+def test_arrays_yield_the_emptiest_machines_to_a_waiting_gang(cluster: Cluster):
+    """Otherwise older arrays refill each freed GPU, and gangs that need whole machines wait for minutes."""
+    send_heartbeats(cluster, "vm-1", "vm-2")
     old = cluster.submit(1, pieces=20, loaners=True)
     cluster.scheduler.run_round()
     cluster.store()
@@ -83,13 +83,13 @@
         cluster.clock.tick(1.0)
         old.mark_task_done(a.task)
         cluster.fleet.release_allocation(old, a, "done")
-        bring_up(cluster, "vm-1", "vm-2")
+        send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert gang.allocations[0].machine == "vm-1"
 
 
-def test_an_array_that_starves_gets_machines_set_aside_for_waiting_gangs(cluster: Cluster):
-    bring_up(cluster, "vm-1")
+def test_a_starving_array_gets_machines_set_aside_for_waiting_gangs(cluster: Cluster):
+    send_heartbeats(cluster, "vm-1")
     old = cluster.submit(1, pieces=20, loaners=True)
     cluster.scheduler.run_round()
     cluster.store()
@@ -102,18 +102,18 @@
     assert len(old.allocations) == 3 and not gang.allocations
     for _ in range(40):
         cluster.clock.tick(2.0)
-        bring_up(cluster, "vm-1")
+        send_heartbeats(cluster, "vm-1")
         cluster.scheduler.run_round()
     assert len(old.allocations) == 4, "the gang lacks a second machine, and the array starved"
 
 
-def test_a_job_that_starves_gets_machines_set_aside_for_expected_gangs(cluster: Cluster):
-    """Nobody has a guarantee here, so an array waited for as long as gangs might come, beside idle machines."""
-    bring_up(cluster, "vm-1", "vm-2")
+def test_a_starving_job_gets_machines_set_aside_for_expected_gangs(cluster: Cluster):
+    """The team has no guarantee here, so an array would wait beside idle machines for as long as gangs are expected."""
+    send_heartbeats(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
         cluster.clock.tick(5.0)
-        bring_up(cluster, "vm-1", "vm-2")
+        send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(gang.allocations) == 1
     array = cluster.submit(2, pieces=4)
@@ -121,18 +121,18 @@
     assert not array.allocations
     for _ in range(44):
         cluster.clock.tick(2.0)
-        bring_up(cluster, "vm-1", "vm-2")
+        send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(array.allocations) == 4
 
 
-def test_what_is_reserved_in_vain_for_long_goes_to_a_job_that_starves(cluster: Cluster):
-    """A gang waits for a second machine; the first stood idle for it, whoever else could have used it."""
-    bring_up(cluster, "vm-1")
+def test_a_machine_with_a_stale_reservation_goes_to_a_starving_job(cluster: Cluster):
+    """While a gang waits for a second machine, the first one must not stay idle although other jobs could use it."""
+    send_heartbeats(cluster, "vm-1")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0, rank="urgent")
     cluster.scheduler.run_round()
     cluster.clock.tick(2.0)
-    bring_up(cluster, "vm-1")
+    send_heartbeats(cluster, "vm-1")
     cluster.scheduler.run_round()
     later = cluster.submit(2, rank="low")
     waited = 0.0
@@ -140,6 +140,6 @@
         cluster.scheduler.run_round()
         cluster.clock.tick(2.0)
         waited += 2.0
-        bring_up(cluster, "vm-1")
+        send_heartbeats(cluster, "vm-1")
         assert waited < 90.0
     assert waited > 50.0 and not gang.allocations
