--- a/tests/scheduling/test_image_affinity.py
+++ b/tests/scheduling/test_image_affinity.py
@@ -6,7 +6,7 @@
 
 
 def test_a_machine_reserved_without_the_image_is_used_once_it_is_free(cluster: Cluster):
-    """It must not stay empty for twelve seconds, as if a machine with the image were being freed."""
+    """The machine must not stay empty for twelve seconds, as if one with the image were being freed."""
     send_heartbeats(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
