--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -1,7 +1,7 @@
-"""Composition of a controller node: every subsystem gets what it needs when it is made, in one order.
+"""Composition of a controller node: every subsystem receives its dependencies in its constructor.
 
-Invariant: nothing is assigned to a part after it was made. Where two parts need each other, the earlier one gets a
-function that looks the later one up.
+Invariant: no attribute of a subsystem is assigned after construction. Where two subsystems depend on each other, the
+one that is constructed first receives a function that looks up the other one.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 
 class NodeComposition:
-    """All subsystems of one process, and the events that pass between them."""
+    """All subsystems of one process, and the handlers of the events between them."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         time_of_day: Callable[[], float] = time.time,
         operations: Operations | None = None,
     ) -> None:
-        """A node that does nothing until `run` or `run_loops`. Both clocks give seconds."""
+        """Build a node that is idle until `run` or `run_loops` is called. Both clocks return seconds."""
         self.settings = settings
         self.params = settings.platform
         self.clock = clock
@@ -74,13 +74,13 @@
         self.scheduler = self._build_scheduler()
         self.cloud_client = CloudClient(settings.external.cloud, self.params.cloud.rps, clock)
         self.scale_out = self._build_scale_out()
-        # Leadership, and what depends on who leads.
+        # Leadership, and the subsystems that depend on which node leads.
         self.leadership = self._build_leadership()
         self.cancellations = self._build_cancellations()
         self.lease_delegate = self._build_lease_delegate()
         self.delegation_guard = self._build_delegation_guard()
         self.job_writer = self._build_job_writer()
-        # Users, workers, operators, and the changes in the store.
+        # Requests of users, workers and operators, and changes in the key-value store.
         self.job_service = self._build_job_service()
         self.heartbeat_router = self._build_heartbeat_router()
         self.drains = self._build_drains((operations or Operations()).drain)
@@ -89,7 +89,7 @@
         self.round_loop = self._build_round_loop()
 
     # -- composition ---------------------------------------------------------------------------
-    # A part that needs one which is made later gets a function that looks it up.
+    # A subsystem that depends on one that is constructed later receives a function that looks it up.
 
     def _build_fleet(self) -> Fleet:
         return Fleet(
@@ -236,7 +236,10 @@
         )
 
     def build_drain_controller(self, settings: DrainSettings) -> "DrainController":
-        """Made when the first drain is seen: importing it would cost every start of a node."""
+        """Build the drain controller when the first drain is seen.
+
+        The import is local because importing the module at start-up would slow down every start of a node.
+        """
         from hookwall.drains.controller import DrainController
 
         return DrainController(
@@ -255,23 +258,24 @@
     # -- events --------------------------------------------------------------------------------
 
     def _on_record_applied(self, job: Job, before: list[Allocation]) -> None:
-        """A job's record was read; `before` are the allocations that were known until then."""
+        """Update the fleet after a job's record was read; `before` are the allocations known before that read."""
         if self.leadership.role is Role.LEADER:
             self.fleet.replace_allocations(job, before)
         self.round_requested.set()
 
     def _on_machines_delegated(self, machines: frozenset[str] | None) -> None:
-        """Followers renew the leases of these machines; None: of any.
+        """Void unsaved decisions that rely on the expiry of leases that followers renew; None: of any machine.
 
-        From here on the leader's writes have the newer keys as preconditions, so what it decided on the older ones
-        would be stored: a machine whose lease seemed to have expired runs its tasks, and they were started elsewhere.
+        From now on the preconditions of the leader's writes hold the new versions of the lease delegates' keys. They
+        no longer reject decisions that were made on the older versions, for example to start the tasks of a machine
+        elsewhere because its lease seemed to have expired, although the machine still runs them.
         """
         if self.leadership.role is Role.LEADER and self.fleet.lease_expiry.retract_expiry(machines):
             log.info("expired lease was renewed by a follower; unsaved decisions are void")
             self.job_table.revert_unsaved()
 
     def _on_cancelled(self, job_id: str, version: int) -> None:
-        """A stored cancellation was read, or a peer has told of it."""
+        """Record a cancellation that was read from the store or reported by a peer."""
         self.cancellations.add_cancellation(job_id, version)
         self.round_requested.set()
 
--- a/hookwall/node/key_dispatch.py
+++ b/hookwall/node/key_dispatch.py
@@ -1,7 +1,7 @@
-"""Dispatch of stored keys: each change that a read or the watch shows goes to the subsystem that owns the key.
+"""Dispatch of stored keys: each change that a read or the watch delivers goes to the subsystem that owns the key.
 
-Invariant: what a full read does not show is gone; a leader whose watch missed changes voids the decisions that relied
-on delegated leases before it takes in anything newer.
+Invariant: a key that is missing from a full read counts as deleted; a leader whose watch missed changes voids the
+decisions that rely on delegated leases before it applies anything newer.
 """
 
 import logging
@@ -34,7 +34,7 @@
 
 
 class KeyDispatcher:
-    """Takes in the stored keys for all subsystems of one node."""
+    """Applies stored keys and their changes to the subsystems of one node."""
 
     def __init__(
         self,
@@ -67,12 +67,12 @@
         self.storage_version = storage_version
         self.drains = drains
         self.clock = clock
-        self.catalog_was_absent = False  # whether nobody had ever stored the catalog when this node took over
+        self.catalog_was_absent = False  # whether no catalog was stored when this node became leader
 
     # -- single changes ------------------------------------------------------------------------
 
     def apply_key(self, key: str, value: object, version: int) -> None:
-        """A key has this value since `version`."""
+        """Apply the value that a key has had since revision `version`."""
         if key.startswith(keys.JOB_PREFIX):
             self.job_table.apply_record(key, value, version)
         elif key == keys.LEADER_KEY:
@@ -89,7 +89,7 @@
             self._apply_stored_catalog(value)
 
     def apply_deletion(self, key: str, revision: int) -> None:
-        """A key was deleted at `revision`."""
+        """Apply the deletion of a key at `revision`."""
         if key == keys.LEADER_KEY:
             self.leadership.observe_leader_key({}, 0, revision)
         elif key.startswith(keys.CHUNK_PREFIX):
@@ -97,39 +97,39 @@
         elif self.drains.owns_key(key):
             self.drains.apply_deletion(key, revision)
         elif key.startswith(keys.LEASE_DELEGATE_PREFIX):
-            known = self.fleet.delegated_leases.delegations.get(key)
-            if known is not None and revision > known[0]:
+            delegation = self.fleet.delegated_leases.delegations.get(key)
+            if delegation is not None and revision > delegation[0]:
                 self.fleet.delegated_leases.apply_key(key, None, 0)
 
     # -- full reads ----------------------------------------------------------------------------
 
     async def read_all(self) -> None:
-        """Read every key; the watch goes on from there."""
+        """Read and apply every key; the watch continues from the revision of this read."""
         sent_at = self.clock()
         entries, revision = await self.store.scan(keys.ROOT)
         self._drop_missing_delegations(entries)
         self.drains.apply_snapshot(entries)
         if self.leadership.role is Role.LEADER:
-            self.delegation_guard.void_decisions()  # changes were missed
+            self.delegation_guard.void_decisions()  # the watch has missed changes
         for key, value, version in entries:
             self.apply_key(key, value, version)
         if all(key != keys.LEADER_KEY for key, _, _ in entries):
             self.leadership.observe_leader_key({}, 0, revision)
         self.progress.watched_revision = revision
         self.progress.loaded = True
-        self._records_were_read(sent_at)
+        self._mark_records_read(sent_at)
         log.info("read all records: jobs=%d", len(self.job_table.jobs))
 
     def confirm_current(self, as_of: float) -> None:
-        """All that was stored before this moment, on this node's clock, has been applied."""
+        """Record that everything stored before `as_of`, on this node's clock, has been applied."""
         self.cancellations.confirm_records_read(as_of)
 
     def is_leader(self) -> bool:
-        """Whether this node leads, and so needs changes sooner."""
+        """Whether this node leads and therefore needs changes with less delay."""
         return self.leadership.role is Role.LEADER
 
     async def load_for_leadership(self) -> None:
-        """Rebuild a new leader's picture from the records as they are after its key was written."""
+        """Rebuild a new leader's state from the records as read after its leader key was written."""
         self.job_table.invalidate_decisions()
         sent_at = self.clock()
         entries, revision = await self.store.scan(keys.ROOT)
@@ -139,22 +139,22 @@
             if key != keys.LEADER_KEY:
                 self.apply_key(key, value, version)
         for job_id in list(self.job_table.chunks.unreadable_records):
-            # Its chunks were replaced while the keys were read.
+            # The record's chunks were replaced while the keys were being read.
             await self.record_reader.reload(keys.JOB_PREFIX + job_id)
         self.progress.scanned_revision = revision
-        self._records_were_read(sent_at)
+        self._mark_records_read(sent_at)
         self.catalog_was_absent = all(key != keys.CATALOG_KEY for key, _, _ in entries)
         self.fleet.reset(self.leadership.fencing_token)
         self.scheduler.waiting.clear()
         self.scale_out.reset()
 
-    def _records_were_read(self, sent_at: float) -> None:
-        """A request sent at that time has shown all records."""
+    def _mark_records_read(self, sent_at: float) -> None:
+        """Record that a request sent at `sent_at` has returned all records."""
         self.cancellations.all_records_read = True
         self.cancellations.confirm_records_read(sent_at)
 
     def _drop_missing_delegations(self, entries: list[KeyValueEntry]) -> None:
-        """Lease delegates' keys that a full read does not show are gone."""
+        """Remove the lease delegates' keys that are missing from a full read, as they were deleted."""
         present = {key for key, _, _ in entries}
         delegated = self.fleet.delegated_leases
         for key in [key for key in delegated.delegations if key not in present]:
@@ -163,7 +163,7 @@
     # -- the catalog of machine types ----------------------------------------------------------
 
     def _apply_stored_catalog(self, value: object) -> None:
-        """Another node has stored the catalog."""
+        """Apply a catalog that another node has stored."""
         try:
             catalog = json_messages.convert_message(value, Catalog)
         except MalformedMessageError as error:
@@ -176,19 +176,19 @@
         self.fleet.set_catalog(catalog)
 
     async def publish_catalog(self, catalog: Catalog) -> None:
-        """The leader has the catalog from the cloud; the other nodes learn it from the store."""
-        known = self.job_service.catalog
+        """Use the catalog that the leader got from the cloud, and store it for the other nodes if it has changed."""
+        previous_catalog = self.job_service.catalog
         self._use_catalog(catalog)
-        if known is not None and _capacities(catalog) == _capacities(known):
+        if previous_catalog is not None and _capacities(catalog) == _capacities(previous_catalog):
             return
         precondition = (keys.LEADER_KEY, self.leadership.fencing_token)
         try:
             await self.store.commit([precondition], [(keys.CATALOG_KEY, msgspec.to_builtins(catalog))])
         except (PreconditionFailedError, RequestRejectedError, OutcomeUnknownError) as error:
-            log.info("could not store the catalog: error=%s", type(error).__name__)
-            self.job_service.catalog = known
+            log.info("catalog not stored: error=%s", type(error).__name__)
+            self.job_service.catalog = previous_catalog
 
 
 def _capacities(catalog: Catalog) -> list[tuple[object, ...]]:
-    """What of a catalog is worth a write when it changes; prices are not."""
+    """The fields of a catalog whose change is worth a write; a change of prices is not."""
     return [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in catalog.types]
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -1,4 +1,4 @@
-"""One controller node: the life of the process, around the subsystems that `composition` puts together."""
+"""One controller node: runs the process and the loops of the subsystems that `composition` builds."""
 
 import logging
 
@@ -16,18 +16,22 @@
     """One controller node of a deployment."""
 
     async def respond_to_heartbeat(self, body: bytes) -> HeartbeatReply:
-        """The response to a worker's heartbeat, for whoever can wait."""
+        """Return the response to a worker's heartbeat, for callers that can await it."""
         reply = self.heartbeat_router.respond(body)
         return reply if isinstance(reply, HeartbeatReply) else await reply
 
     def is_healthy(self) -> bool:
-        """Healthy while this node can serve users, or while it knows that no other node could either."""
+        """Whether this node can serve users, or knows that no other node could serve them either."""
         if not self.watch_progress.loaded:
             return False
         return self.store.healthy() or self.leadership.peer_observations.store_outage_is_shared()
 
     async def run(self) -> None:
-        """Listen and run all loops until the process ends; OSError if an address can't be listened on."""
+        """Listen on the peer and public addresses and run all loops until the process ends.
+
+        Raises:
+            OSError: an address can't be listened on.
+        """
         await self.store.open()
         await self.cloud_client.open()
         await peer_transport.serve_peers(self.settings.peer_listen, self.leadership.handle_peer_message)
@@ -41,11 +45,11 @@
             self.clock,
         )
         await server.listen(http_server, host, port)
-        log.info("node listens: node=%s", self.settings.node_name)
+        log.info("node listening: node=%s", self.settings.node_name)
         await self.run_loops({"connection limit": http_server.run})
 
-    async def run_loops(self, more: dict[str, Loop] | None = None) -> None:
-        """Run all loops of this node, and `more` by name, until the task is cancelled."""
+    async def run_loops(self, extra_loops: dict[str, Loop] | None = None) -> None:
+        """Run all loops of this node and `extra_loops`, which maps names to loops, until the task is cancelled."""
         leadership = self.leadership
         loops: dict[str, Loop] = {
             "key watch": self.watch.run,
@@ -61,6 +65,6 @@
             "inventory": lambda: self.scale_out.inventory.run(leadership.valid),
             "drains": lambda: self.drains.run(leadership.valid),
             "scale-out": lambda: self.scale_out.run(leadership.valid, lambda: leadership.fencing_token),
-            **(more or {}),
+            **(extra_loops or {}),
         }
         await run_supervised(loops)
--- a/hookwall/node/peer_exchange.py
+++ b/hookwall/node/peer_exchange.py
@@ -1,6 +1,6 @@
-"""What this node's subsystems exchange with other nodes in the messages of leadership.
+"""What this node's subsystems exchange with other nodes in leadership messages.
 
-Invariant: each value goes to or comes from exactly one subsystem, and nothing here keeps state of its own.
+Invariant: each value goes to or comes from exactly one subsystem, and this module keeps no state of its own.
 """
 
 from collections.abc import Callable
@@ -13,9 +13,9 @@
 
 
 class NodePeerExchange:
-    """Connects leadership's messages with the subsystems that use them (`leadership.peer_exchange.PeerExchange`).
+    """Connects leadership messages with the subsystems that use them (`leadership.peer_exchange.PeerExchange`).
 
-    The ledger of cancellations is made after leadership, which it needs, so it is looked up at each message.
+    The cancellation ledger is constructed after leadership, on which it depends, so it is looked up for each message.
     """
 
     def __init__(
@@ -31,47 +31,50 @@
         self._cancellations = cancellations
 
     def local_status(self) -> PeerStatus:
-        """The newest storage version that this program knows, and whether lower store limits were seen in force."""
+        """The newest storage version that this program supports, and whether this node has seen lower store limits."""
         return PeerStatus(self._storage_version().current_version, self._rate_shares.has_seen_lower_limits())
 
     def on_peer_status(self, peer: str, status: PeerStatus) -> None:
-        """Record what a peer reports of itself; older programs report nothing."""
+        """Record the status that a peer reports; older programs report nothing."""
         self._storage_version().record_reported_version(peer, status.storage_version)
         if status.limits_lowered:
-            self._rate_shares.apply_lower_limits(f"{peer} says so")
+            self._rate_shares.apply_lower_limits(f"{peer} reported lower limits")
 
     def rate_demand(self) -> object:
-        """Requests and changes a second that this node needs of the key-value store."""
+        """The demand of this node on the key-value store, in requests and changes per second."""
         return self._rate_shares.demand.rates_per_s()
 
     def lend_rate(self, peer: str, demand: object) -> object:
-        """Requests and changes a second that this leader lends a peer of its share."""
+        """The part of this leader's share that it lends to a peer, in requests and changes per second."""
         return self._rate_shares.lend_rates(peer, demand)
 
     def on_rate_lent(self, lent: object) -> None:
-        """The leader lends this follower some of its share."""
+        """Use the rates that the leader lends to this follower from its share."""
         self._rate_shares.borrow_rates(lent)
 
     def records_revision(self) -> int | None:
-        """The revision up to which this leader has read the records; None if it is not valid."""
+        """The revision up to which this leader has read the records; None if this node is not a valid leader."""
         return self._cancellations().records_revision()
 
     def known_cancellations(self, revision: int | None) -> KnownCancellations:
-        """Cancellations that the leader, by its revision, may not know."""
+        """Cancellations that a leader that has read the records up to `revision` may not know."""
         return self._cancellations().known_cancellations(revision)
 
     def on_known_cancellations(self, peer: str, sent_at: float, known: KnownCancellations) -> None:
-        """A peer has granted a quorum lease, and added these cancellations."""
+        """Apply the cancellations that a peer has attached to its grant of a quorum lease requested at `sent_at`."""
         self._cancellations().on_known_cancellations(peer, sent_at, known)
 
     def on_cancellations_announced(self, cancellations: object) -> bool:
-        """A peer announces cancellations before it confirms them to a user. Whether this node is a valid leader."""
+        """Apply cancellations that a peer announces before it confirms them to a user.
+
+        Returns whether this node is a valid leader.
+        """
         return self._cancellations().on_cancellations_announced(cancellations)
 
     def successor_hints(self) -> object:
-        """What the next leader would want to know of cached images and arrival rates."""
+        """Hints about cached images and arrival rates for the next leader."""
         return self._hints.next_message()
 
     def on_successor_hints(self, hints: object) -> None:
-        """The leader has sent what the next one would want to know."""
+        """Store the hints that the current leader has sent for the next leader."""
         self._hints.apply_message(hints)
--- a/hookwall/node/round_loop.py
+++ b/hookwall/node/round_loop.py
@@ -1,6 +1,6 @@
 """The loop of scheduling rounds.
 
-Invariant: a round runs only while this node is a valid leader, and nothing that it decides leaves the node before the
+Invariant: a round runs only while this node is a valid leader, and no decision of a round leaves the node before the
 job writer has stored it.
 """
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_INTERVAL_S = 0.5  # without a request, a round runs this long after the last one
+ROUND_INTERVAL_S = 0.5  # time to wait for a request before a round runs without one
 MIN_ROUND_GAP_S = 0.1
 
 
 class RoundLoop:
-    """Runs a round when something changed, or after an interval, while this node leads."""
+    """Runs a scheduling round on request or after `ROUND_INTERVAL_S`, while this node leads."""
 
     def __init__(
         self,
@@ -46,7 +46,8 @@
             with suppress(TimeoutError):
                 async with asyncio.timeout(ROUND_INTERVAL_S):
                     await self.requested.wait()
-            # Where a round takes long, heartbeats and users have as long in between.
+            # After a long round, heartbeats and user requests get as much time as the round took, up to
+            # ROUND_INTERVAL_S.
             await asyncio.sleep(min(max(MIN_ROUND_GAP_S, took_s), ROUND_INTERVAL_S))
             self.requested.clear()
             if not self.leadership.valid():
@@ -59,7 +60,7 @@
             took_s = self.clock() - began
 
     def _run_round(self) -> None:
-        """Expire leases, decide, and have the decisions written."""
+        """Expire leases, run a scheduling round and request that the job writer stores the decisions."""
         self.fleet.begin_validity(self.clock())
         self.fleet.expire_leases(self.clock())
         if self.fleet.catalog is not None and self.scheduler.run_round():
--- a/hookwall/node/supervision.py
+++ b/hookwall/node/supervision.py
@@ -1,4 +1,4 @@
-"""Supervision of a node's loops: one that ends by an error starts again, since a node must not half-live."""
+"""Supervision of a node's loops: a failed loop is restarted, as a node must not run without one of them."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 
 
 async def run_supervised(loops: Mapping[str, Loop]) -> None:
-    """Run all loops, by name, until this task is cancelled."""
+    """Run all loops, restarting those that fail, until this task is cancelled. `loops` maps names to loops."""
     await asyncio.gather(*(_restart_on_error(name, loop) for name, loop in loops.items()))
 
 
