--- a/hookwall/storage/chunk_collector.py
+++ b/hookwall/storage/chunk_collector.py
@@ -1,6 +1,7 @@
 """Removes chunks that no record names any more (`job_records`).
 
-Invariant: a chunk is removed only in a transaction on the record that does not name it, so no record loses one.
+Invariant: a chunk is removed only in a transaction whose precondition is the version of the job's record that does not
+name the chunk, so no record loses a chunk that it names.
 """
 
 import logging
@@ -15,15 +16,15 @@
 
 log = logging.getLogger(__name__)
 
-COLLECT_EVERY_S = 5.0
+COLLECTION_INTERVAL_S = 5.0
 
 
 class StoredJob(Protocol):
-    """What the collector asks of a job: its record as stored, and whether a write of it is under way."""
+    """The part of a job that the collector uses: its stored record, and whether a write of the record is in flight."""
 
     @property
     def version(self) -> int:
-        """The version of its record; 0: none is stored."""
+        """The version of the job's record; 0 if no record is stored."""
 
     @property
     def write_in_flight(self) -> bool:
@@ -31,36 +32,36 @@
 
     @property
     def stored_value(self) -> object:
-        """Its record as stored."""
+        """The job's record as stored."""
 
 
 class StoredJobs(Protocol):
-    """What the collector asks of the table of jobs."""
+    """The part of the job table that the collector uses."""
 
     @property
     def jobs(self) -> Mapping[str, StoredJob]:
-        """All jobs that are known, by their id."""
+        """All known jobs by their ids."""
 
     @property
     def chunks(self) -> ChunkTable:
-        """The chunks of their records."""
+        """The chunks of the jobs' records."""
 
 
 class FencingTokenHolder(Protocol):
-    """What the collector asks of the leadership."""
+    """The part of leadership that the collector uses."""
 
     @property
     def fencing_token(self) -> int:
-        """The version of the leader key as this leader has written it."""
+        """The version of the leader key that this leader has written."""
 
 
 class ChunkCollector:
-    """Removes the unreferenced chunks of one job at a time, while changes are to spare."""
+    """Removes the unreferenced chunks of one job at a time, while the rate limit leaves spare changes."""
 
     def __init__(
         self, table: StoredJobs, store: KeyValueClient, leadership: FencingTokenHolder, clock: Callable[[], float]
     ) -> None:
-        """Collect the chunks of these jobs, fenced by this leadership."""
+        """Collect the chunks of the jobs in `table`, fenced by the token of `leadership`."""
         self.table = table
         self.store = store
         self.leadership = leadership
@@ -68,9 +69,9 @@
         self._collected_at: float | None = None
 
     async def collect(self) -> None:
-        """Remove chunks of one job that its record does not name, unless the record changes meanwhile.
+        """Remove chunks of one job that the job's record does not name, unless the record changes concurrently.
 
-        A job without a record may be about to get one, so its chunks stay.
+        A job without a record may be about to get one, so the chunks of such a job stay.
         """
         if not self.store.has_spare_changes() or not self._is_due():
             return
@@ -85,9 +86,9 @@
             await self._remove(job_id, job.version, unreferenced)
 
     async def _remove(self, job_id: str, version: int, unreferenced: list[str]) -> None:
-        """Remove chunks, if the job's record still has this version."""
+        """Remove chunks if the job's record still has this version."""
         chunks = self.table.chunks
-        # Where the outcome is unknown they may be gone, so they are written anew if they are needed.
+        # If the outcome is unknown, the chunks count as removed, so they are written again if a record needs them.
         removed_at = max(chunks.versions.get(key, 0) for key in unreferenced)
         preconditions = [
             Precondition(keys.LEADER_KEY, self.leadership.fencing_token),
@@ -106,4 +107,4 @@
         chunks.jobs_to_collect.add(job_id)
 
     def _is_due(self) -> bool:
-        return self._collected_at is None or self.clock() - self._collected_at >= COLLECT_EVERY_S
+        return self._collected_at is None or self.clock() - self._collected_at >= COLLECTION_INTERVAL_S
--- a/hookwall/storage/chunk_table.py
+++ b/hookwall/storage/chunk_table.py
@@ -1,6 +1,6 @@
-"""Chunks of job records that do not fit one value, as stored, and the records that wait for some (`job_records`).
+"""Stored chunks of job records that do not fit into one value, and the records that wait for chunks (`job_records`).
 
-Invariant: a chunk that is known is stored, unless its removal has not been watched yet.
+Invariant: every chunk in the table is stored, unless the watch has not delivered the chunk's removal yet.
 """
 
 from typing import NamedTuple
@@ -9,21 +9,21 @@
 
 
 class UnreadableRecord(NamedTuple):
-    """A job's newest record, which names chunks that are not known."""
+    """A job's newest record, which names chunks that are not in the table."""
 
     value: object
     version: int
 
 
 class ChunkTable:
-    """Chunks of records, and the records that can't be read for want of some.
+    """Chunks of records, and the records that can't be read because some of their chunks are missing.
 
     Attributes:
-        texts: the content of each chunk by its key.
-        versions: the newest version of each key.
+        texts: the content of each chunk by the chunk's key.
+        versions: the newest known version of each chunk's key.
         keys_by_job: the keys of each job's chunks.
         unreadable_records: each job's newest record that can't be read yet.
-        jobs_to_collect: jobs that may have chunks that their record does not name any more.
+        jobs_to_collect: jobs that may have chunks that their records do not name any more.
     """
 
     def __init__(self) -> None:
@@ -35,12 +35,12 @@
         self.jobs_to_collect: set[str] = set()
 
     def get(self, key: str) -> str | None:
-        """A chunk's text, or None if it is not known."""
+        """Return a chunk's text, or None if the chunk is not in the table."""
         return self.texts.get(key)
 
     def add(self, key: str, text: object, version: int) -> str:
-        """Add a chunk as read, watched or written; gives the job that it belongs to."""
-        job_id = _job_of(key)
+        """Add a chunk that was read, watched or written, and return the id of its job."""
+        job_id = _job_id_of_chunk(key)
         if isinstance(text, str):
             self.texts[key] = text
             self.versions[key] = max(version, self.versions.get(key, 0))
@@ -49,40 +49,40 @@
         return job_id
 
     def remove(self, key: str, revision: int) -> None:
-        """A chunk was removed at this revision; it may have been written again since."""
+        """Remove a chunk that was deleted at `revision`, unless it has been written again since."""
         if revision < self.versions.get(key, 0):
             return
         self.versions.pop(key, None)
         self.texts.pop(key, None)
-        job_id = _job_of(key)
-        of_job = self.keys_by_job.get(job_id, set())
-        of_job.discard(key)
-        if not of_job:
+        job_id = _job_id_of_chunk(key)
+        job_chunk_keys = self.keys_by_job.get(job_id, set())
+        job_chunk_keys.discard(key)
+        if not job_chunk_keys:
             self.keys_by_job.pop(job_id, None)
 
     def await_chunks(self, job_id: str, value: object, version: int) -> None:
-        """Store a record that names chunks that are not known, unless a newer one is stored."""
-        waiting = self.unreadable_records.get(job_id)
-        if waiting is None or version > waiting.version:
+        """Keep a record that names missing chunks, unless the same or a newer record of the job is already kept."""
+        kept_record = self.unreadable_records.get(job_id)
+        if kept_record is None or version > kept_record.version:
             self.unreadable_records[job_id] = UnreadableRecord(value, version)
 
     def next_unreadable_job(self) -> str:
-        """One of the jobs whose record can't be read; each in turn, as one may stay unreadable for ever."""
+        """Return a job whose record can't be read, each job in turn, as a record may stay unreadable indefinitely."""
         job_id = next(iter(self.unreadable_records))
         self.unreadable_records[job_id] = self.unreadable_records.pop(job_id)
         return job_id
 
     def mark_readable(self, job_id: str) -> None:
-        """A job's newest record could be read."""
+        """Record that a job's newest record could be read."""
         self.unreadable_records.pop(job_id, None)
         if job_id in self.keys_by_job:
             self.jobs_to_collect.add(job_id)
 
     def unreferenced_chunks(self, job_id: str, value: object) -> list[str]:
-        """The keys of a job's chunks that its record does not name, in order."""
+        """Return the sorted keys of a job's chunks that the job's record does not name."""
         return sorted(self.keys_by_job.get(job_id, set()) - set(job_records.chunk_keys(job_id, value)))
 
 
-def _job_of(key: str) -> str:
-    """The job that a chunk's key names."""
+def _job_id_of_chunk(key: str) -> str:
+    """The id of the job that a chunk's key names."""
     return key[len(keys.CHUNK_PREFIX) :].partition("/")[0]
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -1,8 +1,8 @@
 """Client of the key-value store: transactions with preconditions, reads, session leases and changes.
 
-Requests are paced below this node's share of the store's limits, since a 429 costs as much as a response. A response
-that does not come leaves the outcome open: callers get `OutcomeUnknownError` and must treat the write as one that may
-still happen.
+Requests are paced below this node's share of the store's limits, since a request that the store rejects with 429 costs
+as much as one that it answers. If no response arrives, the outcome is unknown: callers get `OutcomeUnknownError` and
+must treat the write as one that may still be executed.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 from hookwall.storage.job_records import usable_value_bytes
 from hookwall.storage.rate_shares import RateShares
 
-# Callers have the errors and VersionedValue from here.
+# The errors and VersionedValue are re-exported for callers.
 __all__ = [
     "PRECONDITIONS_PER_CHANGE",
     "KeyValueClient",
@@ -50,27 +50,28 @@
 
 log = logging.getLogger(__name__)
 
-PRECONDITIONS_PER_CHANGE = 4  # a transaction may have so many preconditions for each change that it may make
+PRECONDITIONS_PER_CHANGE = 4  # preconditions that a transaction may have for each change that the store's limit allows
 RECENT_RESPONSE_S = 1.5
 REQUEST_TIMEOUT_S = 1.5
 SCAN_PAGE_TIMEOUT_S = 4.0
 LEASE_TIMEOUT_S = 1.0
-CHANGES_TIMEOUT_MARGIN_S = 3.0  # beyond the time for which the store waits for a change
+CHANGES_TIMEOUT_MARGIN_S = 3.0  # added to the time for which the store may wait for a change
 CONNECTIONS = 64
-BATCH_S = 0.5  # a batch is what the rate limit lets through in this time
-SPARE_SHARE = 0.5  # of the burst
-NO_RESPONSE_YET = -1e9  # a time so long ago that nothing counts as recent; peers are sent the age as a number
+BATCH_WINDOW_S = 0.5  # a batch holds the changes that the rate limit allows within this time
+SPARE_CHANGES_SHARE = 0.5  # share of the burst that must be available before changes count as spare
+NO_RESPONSE_YET = -1e9  # so long ago that no response counts as recent; finite, as peers are sent the age as a number
 
-JsonObject: TypeAlias = dict[str, Any]  # as decoded; each field is checked where it is read
+JsonObject: TypeAlias = dict[str, Any]  # decoded but not validated; each field is checked where it is read
 
 
 class KeyValueClient:
-    """Requests to the key-value store, with what is known about its health.
+    """Sends requests to the key-value store and tracks whether the store answers.
 
     Attributes:
-        limits: of the store, from the settings.
-        max_transaction_changes: changes of one transaction that fit the limits of now and those announced.
-        max_value_bytes: bytes of JSON of one value that fit both.
+        limits: the limits of the store, from the settings.
+        max_transaction_changes: the number of changes in one transaction that both the current and the announced limits
+            allow.
+        max_value_bytes: the bytes of JSON in one value that both the current and the announced limits allow.
         last_response_at: when the store last answered, on this node's clock.
         failing_since: when the store stopped answering, or None while it answers.
         rate_shares: this node's share of the store's limits.
@@ -87,7 +88,7 @@
         """Prepare requests to `host:port` for one of `node_count` nodes that share the limits."""
         self.base_url = f"http://{address}"
         self.limits = limits
-        # What is written fits the limits of now and those that come without notice.
+        # Every write fits the current limits as well as the announced limits, which come into force without notice.
         self.max_transaction_changes = limits.lowest_txn_ops()
         self.max_value_bytes = usable_value_bytes(limits.lowest_value_kb())
         self.clock = clock
@@ -98,26 +99,26 @@
         self.rate_shares = RateShares(limits, node_count, clock)
 
     async def open(self) -> None:
-        """Open the session of persistent connections, which the caller closes."""
+        """Open the HTTP session with persistent connections; the caller closes the session."""
         self.session = open_session(CONNECTIONS)
 
     def max_plain_value_bytes(self) -> int:
-        """Bytes a value may have while older programs, which don't know of the limits to come, read it."""
+        """The size limit in bytes of a value while older programs, which do not know the announced limits, read it."""
         if self.rate_shares.limits_lowered:
             return self.max_value_bytes
         return usable_value_bytes(self.limits.value_kb)
 
     def batch_size(self) -> int:
-        """How many keys to put into one transaction: what the rate limit lets through in half a second."""
-        return max(1, min(self.max_transaction_changes, int(self.rate_shares.changes.rate * BATCH_S)))
+        """The number of keys to put into one transaction: at most what the rate limit allows in half a second."""
+        return max(1, min(self.max_transaction_changes, int(self.rate_shares.changes.rate * BATCH_WINDOW_S)))
 
     def has_spare_changes(self) -> bool:
-        """Whether changes are left over for what is not pressing."""
+        """Whether the rate limit leaves changes for writes that are not urgent."""
         changes = self.rate_shares.changes
-        return changes.available() > SPARE_SHARE * changes.burst
+        return changes.available() > SPARE_CHANGES_SHARE * changes.burst
 
     def has_recent_response(self) -> bool:
-        """Whether the store has answered this node within the last moments."""
+        """Whether the store answers and last answered this node less than `RECENT_RESPONSE_S` ago."""
         return self.healthy() and self.clock() - self.last_response_at < RECENT_RESPONSE_S
 
     def healthy(self) -> bool:
@@ -125,11 +126,11 @@
         return self.failing_since is None
 
     async def read(self, key: str) -> VersionedValue:
-        """A key as it was at some moment between the request and its response, which may come late.
+        """Read a key as it was at some moment between the request and the response; the response may arrive late.
 
         Raises:
             RequestRejectedError: the store did not execute the request.
-            OutcomeUnknownError: no usable response.
+            OutcomeUnknownError: the store gave no usable response.
         """
         status, body = await self._send("GET", f"/store/{key}")
         absent = status == HTTPStatus.NOT_FOUND
@@ -141,12 +142,12 @@
         return VersionedValue(body.get(wire_format.VALUE), revision, revision)
 
     async def get(self, key: str) -> StoredValue | None:
-        """Value and version of a key, or None if it is absent; raises as `read` does."""
+        """Return the value and version of a key, or None if the key is absent; raises the same errors as `read`."""
         current = await self.read(key)
         return StoredValue(current.value, current.version) if current.version else None
 
     async def scan(self, prefix: str) -> ScanResult:
-        """All keys below a prefix, page by page; raises as `read` does."""
+        """Read all keys below a prefix, page by page; raises the same errors as `read`."""
         found: list[KeyValueEntry] = []
         first_revision: int | None = None
         after = ""
@@ -169,20 +170,20 @@
         timeout: float = REQUEST_TIMEOUT_S,
         delete: Sequence[str] = (),
     ) -> int:
-        """Execute a transaction, or, without `put` and `delete`, only compare versions; gives the store's revision.
+        """Execute a transaction and return the store's revision; without `put` and `delete`, only compare versions.
 
         Args:
-            preconditions: keys and the versions that they must have.
+            preconditions: the keys to compare and the versions that they must have.
             put: keys and values to write.
-            hold: the session lease whose end deletes the written keys; None: they stay.
+            hold: the session lease at whose end the written keys are deleted; None: the keys stay.
             timeout: seconds to wait for the response.
             delete: keys to delete.
 
         Raises:
-            PreconditionFailedError: not executed, as some keys had other versions.
-            RequestTooLargeError: not executed, as it is over the store's limits.
-            RequestRejectedError: not executed.
-            OutcomeUnknownError: it may have been executed, or may be later.
+            PreconditionFailedError: the transaction was not executed, as some keys had other versions.
+            RequestTooLargeError: the transaction was not executed, as it exceeds the store's limits.
+            RequestRejectedError: the transaction was not executed.
+            OutcomeUnknownError: the transaction may have been executed, or may still be executed.
         """
         request = wire_format.transaction(preconditions, put, delete, hold)
         status, body = await self._send("POST", "/commit", request, timeout, changes=len(put) + len(delete))
@@ -197,7 +198,7 @@
         return _revision(status, body, "commit: ")
 
     async def grant_session_lease(self, ttl_s: float) -> int:
-        """A new session lease, whose keys are deleted when it has not been renewed for `ttl_s` seconds."""
+        """Create a session lease, whose keys are deleted when it has not been renewed for `ttl_s` seconds."""
         status, body = await self._send("POST", "/holds", {wire_format.SESSION_LEASE_TTL_MS: int(ttl_s * 1000)})
         lease = body.get(wire_format.SESSION_LEASE)
         if status != HTTPStatus.OK or not isinstance(lease, int):
@@ -205,7 +206,7 @@
         return lease
 
     async def renew_session_lease(self, lease: int) -> bool:
-        """Renew a session lease; False if it has ended."""
+        """Renew a session lease; returns False if the lease has ended."""
         status, _ = await self._send("POST", f"/holds/{lease}/extend", {}, timeout=LEASE_TIMEOUT_S)
         return status == HTTPStatus.OK
 
@@ -214,12 +215,12 @@
         await self._send("DELETE", f"/holds/{lease}", timeout=LEASE_TIMEOUT_S)
 
     async def read_changes(self, after: int, wait_s: float) -> ChangeBatch:
-        """Changes below the root since the revision `after`; the store waits up to `wait_s` seconds for one.
+        """Read the changes below the root since the revision `after`; the store waits up to `wait_s` seconds for one.
 
         Raises:
-            RevisionCompactedError: the store has dropped some of them.
+            RevisionCompactedError: the store has dropped some of these changes.
             RequestRejectedError: the store did not execute the request.
-            OutcomeUnknownError: no usable response.
+            OutcomeUnknownError: the store gave no usable response.
         """
         path = wire_format.changes_path(keys.ROOT, after, wait_s)
         status, body = await self._send("GET", path, timeout=wait_s + CHANGES_TIMEOUT_MARGIN_S)
@@ -231,7 +232,7 @@
     async def _send(
         self, method: str, path: str, body: object = None, timeout: float = REQUEST_TIMEOUT_S, changes: int = 0
     ) -> tuple[int, JsonObject]:
-        """Status and decoded body of one request, once the rate limits allow it."""
+        """Send one request as soon as the rate limits allow it, and return the status and the decoded body."""
         await self._wait_for_rate_limit(changes)
         try:
             status, raw = await self.send_request(self.session, method, self.base_url + path, body, timeout)
@@ -271,7 +272,7 @@
 
 
 def _decode_body(raw: bytes) -> JsonObject | None:
-    """The JSON object of a response, empty where there is none; None: the body is something else."""
+    """Decode the JSON object of a response: empty if there is no body, None if the body is anything else."""
     try:
         body = msgspec.json.decode(raw) if raw else {}
     except msgspec.DecodeError:
@@ -280,7 +281,7 @@
 
 
 def _revision(status: int, body: JsonObject, request: str) -> int:
-    """The revision that a successful response names."""
+    """Return the revision that a successful response names; any other response raises OutcomeUnknownError."""
     revision = body.get(wire_format.REVISION)
     if status != HTTPStatus.OK or not isinstance(revision, int):
         raise OutcomeUnknownError(f"{request}status {status} {body.get(wire_format.ERROR, '')}".rstrip())
--- a/hookwall/storage/entries.py
+++ b/hookwall/storage/entries.py
@@ -9,7 +9,7 @@
 
 
 class Precondition(NamedTuple):
-    """A transaction is executed only if the key has this version; 0: only if the key is absent."""
+    """A transaction is executed only if the key has this version, or, for version 0, only if the key is absent."""
 
     key: str
     version: int
@@ -45,14 +45,14 @@
 
 
 class ScanResult(NamedTuple):
-    """All keys below a prefix. Watching from this revision misses nothing after it."""
+    """All keys below a prefix. A watch that starts at this revision misses no later change."""
 
     entries: list[KeyValueEntry]
     revision: int
 
 
 class ChangeBatch(NamedTuple):
-    """Changes in the order in which they happened, and the revision up to which there are no others."""
+    """Changes in the order in which they happened, and the revision up to which the batch is complete."""
 
     changes: list[KeyValueEntry | DeletedKey]
     revision: int
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VersionedValue:
-    """A key as read: value and version, or version 0 where it was absent at this revision."""
+    """A key as read: its value and version, or version 0 if the key was absent at this revision."""
 
     value: object
     version: int
--- a/hookwall/storage/errors.py
+++ b/hookwall/storage/errors.py
@@ -1,10 +1,13 @@
-"""Errors of the key-value store: rejected means not executed, unknown means that it may have been, or may be later."""
+"""Errors of the key-value store.
+
+A rejected request was not executed; a request of unknown outcome may have been executed, or may still be executed.
+"""
 
 from hookwall.errors import HookwallError
 
 
 class KeyValueStoreError(HookwallError):
-    """A request to the key-value store did not give what was asked for."""
+    """A request to the key-value store did not return the requested result."""
 
 
 class RequestRejectedError(KeyValueStoreError):
@@ -12,15 +15,15 @@
 
 
 class RequestTooLargeError(RequestRejectedError):
-    """A value or a transaction is over the store's limits; it was not executed."""
+    """A value or a transaction exceeds the store's limits; the request was not executed."""
 
 
 class OutcomeUnknownError(KeyValueStoreError):
-    """No usable response: the request may have been executed, or may be later."""
+    """The store gave no usable response: the request may have been executed, or may still be executed."""
 
 
 class RevisionCompactedError(KeyValueStoreError):
-    """The store no longer has the changes asked for; read the keys again."""
+    """The store no longer has the requested changes; the keys must be read again."""
 
 
 class PreconditionFailedError(KeyValueStoreError):
@@ -28,12 +31,12 @@
 
     Attributes:
         keys: the keys that the store names; it may name only some.
-        revision: at which the store compared the versions; 0: not stated.
+        revision: the revision at which the store compared the versions; 0 if the store did not state it.
     """
 
     def __init__(self, keys: list[str], revision: int = 0) -> None:
-        """Name the keys and the revision of the comparison."""
-        super().__init__(f"changed keys: {', '.join(keys)}")
+        """Create the error for these keys and the revision of the comparison."""
+        super().__init__(f"precondition failed: keys={', '.join(keys)}")
         self.keys = keys
         self.revision = revision
 
@@ -51,13 +54,13 @@
 
 
 class MissingChunksError(RecordError):
-    """The record names chunks that are not known (yet).
+    """The record names chunks that are not available (yet).
 
     Attributes:
-        keys: the keys of those chunks.
+        keys: the keys of the missing chunks.
     """
 
     def __init__(self, keys: list[str]) -> None:
-        """Name the keys."""
-        super().__init__(f"unknown chunks: {', '.join(keys)}")
+        """Create the error for the chunks with these keys."""
+        super().__init__(f"chunks missing: keys={', '.join(keys)}")
         self.keys = keys
--- a/hookwall/storage/job_records.py
+++ b/hookwall/storage/job_records.py
@@ -1,12 +1,12 @@
 """Encoding of job records for the key-value store.
 
 A record is one value below `hookwall/job/`. Its *plain* form is the one that every version reads. A record that does
-not fit a value is *packed*: the description and the changing state are compressed, and whatever does not fit beside the
-rest goes into *chunks*, values of their own below `hookwall/part/<job>/`.
+not fit into a value is *packed*: the description and the changing state are compressed, and a compressed part that does
+not fit into the record's value is split into *chunks*, which are separate values below `hookwall/part/<job>/`.
 
-Invariant: a record that can be read names chunks that are there. A chunk is named after its content and never changes,
-so a write of it that is carried out late or twice does no harm, and a record is written in the same transaction as its
-new chunks, or after them.
+Invariant: all chunks that a readable record names are stored. A chunk is named after its content and never changes, so
+a write of a chunk that is executed late or twice is harmless. A record is written in the same transaction as its new
+chunks, or after them.
 """
 
 import hashlib
@@ -46,13 +46,13 @@
     "usable_value_bytes",
 ]
 
-USABLE_SHARE = 0.9  # of a value's size limit: the store may count other white space than we write
-USABLE_MARGIN_BYTES = 64  # a cancellation changes the phase of a record in place
+USABLE_SHARE = 0.9  # of a value's size limit, as the store may count other white space than this client writes
+USABLE_MARGIN_BYTES = 64  # room for a cancellation, which changes the phase of a record in place
 MIN_USABLE_BYTES = 256
 CHUNK_NAME_BYTES = 12
-PLAIN_SHARE = 0.75  # of a value, for a record in its plain form
-DESCRIPTION_BYTES = 700
-FRAME_BYTES = 64  # of JSON around the packed texts
+PLAIN_SHARE = 0.75  # of a value's size limit, for a record in its plain form
+PLAIN_DESCRIPTION_BYTES = 700  # reserved for the job's description
+JSON_OVERHEAD_BYTES = 64  # of JSON around the compressed texts
 
 # Stored names, which never change.
 PHASE = "phase"
@@ -65,16 +65,16 @@
 PACKED_STATE = "state"
 
 T = TypeVar("T")
-ChunkLookup = Callable[[str], str | None]  # a chunk's text by its key, or None if it is not known
+ChunkLookup = Callable[[str], str | None]  # returns a chunk's text by its key, or None if the chunk is not available
 
 
-StoredAllocation = tuple[str, int, int, str]  # machine, epoch of its agent, attempt, ranges of tasks
+StoredAllocation = tuple[str, int, int, str]  # machine, epoch of the machine's agent, attempt, ranges of tasks
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What is stored about a job.
+    """The stored state of a job.
 
-    `submitted_at` and `finished_at` are times of day in seconds, the latter of when its last task was found done.
+    `submitted_at` and `finished_at` are times of day in seconds; `finished_at` is when the last task was found done.
     `done_tasks` are ranges of tasks (`encode_ranges`).
     """
 
@@ -90,24 +90,24 @@
 
 @dataclass(slots=True)
 class EncodedRecord:
-    """A record as it is written: the value of its own key, and the chunks that the value names, by their keys."""
+    """A record as it is written: the value of the record's key, and the chunks that the value names, by their keys."""
 
     value: dict[str, object]
     chunks: dict[str, str] = field(default_factory=dict)
 
 
 def usable_value_bytes(value_kb: float) -> int:
-    """How many bytes of JSON a value may have, with some room left, under a limit of so many KiB."""
+    """The number of bytes of JSON that a value may have under a limit of `value_kb` KiB, less a safety margin."""
     return max(MIN_USABLE_BYTES, int(value_kb * 1024 * USABLE_SHARE) - USABLE_MARGIN_BYTES)
 
 
 def plain_allocations_bytes(value_kb: float) -> float:
-    """How many bytes of a value that holds a record in its plain form are left for its allocations."""
-    return value_kb * 1024 * PLAIN_SHARE - DESCRIPTION_BYTES
+    """The number of bytes left for the allocations in a value that holds a record in its plain form."""
+    return value_kb * 1024 * PLAIN_SHARE - PLAIN_DESCRIPTION_BYTES
 
 
 def encode_plain(record: JobRecord) -> dict[str, object]:
-    """The form that every version reads; it has the allocations even where there are none."""
+    """Encode the plain form, which every version reads; it has a list of allocations even if the list is empty."""
     value: dict[str, object] = msgspec.to_builtins(record)
     value.setdefault(TASK_COUNT, record.task_count)
     value.setdefault(PHASE, record.phase)
@@ -117,7 +117,7 @@
 
 
 def json_bytes(value: object) -> int:
-    """Bytes of a value's JSON."""
+    """The size in bytes of a value's JSON."""
     return len(msgspec.json.encode(value))
 
 
@@ -126,26 +126,26 @@
     return f"{keys.CHUNK_PREFIX}{job_id}/{hashlib.blake2b(text.encode(), digest_size=CHUNK_NAME_BYTES).hexdigest()}"
 
 
-def _split(job_id: str, text: str, limit: int) -> dict[str, str]:
-    """A text as chunks that fit, in order."""
-    step = limit - FRAME_BYTES
+def _split_into_chunks(job_id: str, text: str, limit: int) -> dict[str, str]:
+    """Split a text into chunks that each fit into `limit` bytes, in order."""
+    step = limit - JSON_OVERHEAD_BYTES
     texts = [text[start : start + step] for start in range(0, len(text), step)]
     return {chunk_key(job_id, chunk): chunk for chunk in texts}
 
 
-def _names(chunks: dict[str, str]) -> list[str]:
+def _chunk_names(chunks: dict[str, str]) -> list[str]:
     return [key.rpartition("/")[2] for key in chunks]
 
 
 def encode_record(job_id: str, record: JobRecord, limit: int | None) -> EncodedRecord:
-    """The shortest form that fits `limit` bytes a value; None: the plain form, whatever its size.
+    """Encode a record in the simplest form whose values fit `limit` bytes each; None: in the plain form of any size.
 
     Raises:
-        RecordTooLargeError: no form fits.
+        RecordTooLargeError: no form of the record fits.
     """
     value = encode_plain(record)
     if limit is None:
-        value.pop(FINISHED_AT, None)  # older programs drop it
+        value.pop(FINISHED_AT, None)  # older programs drop this field
         return EncodedRecord(value)
     if json_bytes(value) <= limit:
         return EncodedRecord(value)
@@ -153,33 +153,35 @@
 
 
 def _encode_packed(job_id: str, record: JobRecord, limit: int) -> EncodedRecord:
-    """The shortest packed form that fits."""
-    head: dict[str, object] = {
+    """Encode a record in the packed form with the fewest chunked parts that fits."""
+    unpacked_fields: dict[str, object] = {
         PHASE: record.phase, TASK_COUNT: record.task_count, NEXT_ATTEMPT: record.next_attempt,
     }  # fmt: skip
     if record.finished_at is not None:
-        head[FINISHED_AT] = record.finished_at
+        unpacked_fields[FINISHED_AT] = record.finished_at
     description = compress([record.spec, record.submitted_at])
     state = compress([record.allocations, record.done_tasks])
-    room = limit - json_bytes(head) - FRAME_BYTES
+    room = limit - json_bytes(unpacked_fields) - JSON_OVERHEAD_BYTES
     if len(description) + len(state) <= room:
-        return EncodedRecord(_packed(head, description, state))
+        return EncodedRecord(_packed_value(unpacked_fields, description, state))
     # The description never changes, so its chunks are written once.
-    description_chunks = _split(job_id, description, limit)
-    names = _names(description_chunks)
+    description_chunks = _split_into_chunks(job_id, description, limit)
+    names = _chunk_names(description_chunks)
     room -= json_bytes(names)
     if len(state) <= room:
-        return EncodedRecord(_packed(head, names, state), description_chunks)
-    state_chunks = _split(job_id, state, limit)
-    state_names = _names(state_chunks)
+        return EncodedRecord(_packed_value(unpacked_fields, names, state), description_chunks)
+    state_chunks = _split_into_chunks(job_id, state, limit)
+    state_names = _chunk_names(state_chunks)
     if json_bytes(state_names) > room:
         raise RecordTooLargeError(job_id)
-    return EncodedRecord(_packed(head, names, state_names), {**description_chunks, **state_chunks})
+    return EncodedRecord(_packed_value(unpacked_fields, names, state_names), {**description_chunks, **state_chunks})
 
 
-def _packed(head: dict[str, object], description: str | list[str], state: str | list[str]) -> dict[str, object]:
-    """The value of a packed record; each part is a text, or the names of the chunks that it is in."""
-    return {**head, PACKED: {PACKED_DESCRIPTION: description, PACKED_STATE: state}}
+def _packed_value(
+    unpacked_fields: dict[str, object], description: str | list[str], state: str | list[str]
+) -> dict[str, object]:
+    """The value of a packed record; each part is a text, or the names of the chunks that hold the text."""
+    return {**unpacked_fields, PACKED: {PACKED_DESCRIPTION: description, PACKED_STATE: state}}
 
 
 def chunk_keys(job_id: str, value: object) -> list[str]:
@@ -195,11 +197,11 @@
 
 
 def decode_record(job_id: str, value: object, chunk: ChunkLookup) -> JobRecord:
-    """A stored record in any form.
+    """Decode a stored record in any form.
 
     Raises:
-        MissingChunksError: it names chunks that `chunk` does not know.
-        MalformedRecordError: it can't be read.
+        MissingChunksError: the record names chunks for which `chunk` returns None.
+        MalformedRecordError: the record can't be decoded.
     """
     missing = [key for key in chunk_keys(job_id, value) if chunk(key) is None]
     if missing:
@@ -217,10 +219,10 @@
     return record
 
 
-def _unpack(job_id: str, text: object, chunk: ChunkLookup, kind: type[T]) -> T:
-    """One packed text, inline or in chunks."""
+def _unpack(job_id: str, text: object, chunk: ChunkLookup, value_type: type[T]) -> T:
+    """Decode one packed part, whose text is inline or in chunks."""
     if isinstance(text, list):
         text = "".join(chunk(f"{keys.CHUNK_PREFIX}{job_id}/{name}") or "" for name in text)
     if not isinstance(text, str):
-        raise MalformedRecordError("packed text is missing")
-    return decompress(text, kind)
+        raise MalformedRecordError("packed part is neither a text nor a list of chunk names")
+    return decompress(text, value_type)
--- a/hookwall/storage/rate_limit.py
+++ b/hookwall/storage/rate_limit.py
@@ -1,26 +1,26 @@
-"""Rate limits of requests to services that reject what comes too fast.
+"""Client-side rate limits for services that reject requests above a limit.
 
-Invariant: a reservation that is refused costs nothing, so retries never push later requests further back.
+Invariant: a refused reservation takes no tokens, so retries never delay later requests further.
 """
 
 import math
 from collections.abc import Callable
 
-DEMAND_WINDOW_S = 2.0  # over which time the demand for requests and changes is smoothed
+DEMAND_WINDOW_S = 2.0  # time over which the demand for requests and changes is smoothed
 
 
 class TokenBucket:
-    """Paces requests: `rate` a second with a burst, first come first served.
+    """Paces requests at `rate` per second with a burst, in the order of their reservations.
 
     Attributes:
-        rate: tokens a second.
-        burst: tokens that it holds at most.
-        tokens: what it held at `updated_at`; below zero, requests are waiting for their turn.
-        updated_at: when `tokens` was computed, on the clock.
+        rate: tokens added per second.
+        burst: the largest number of tokens in the bucket.
+        tokens: the number of tokens at `updated_at`; it is negative while requests wait for their turn.
+        updated_at: when `tokens` was computed, on `clock`.
     """
 
     def __init__(self, rate: float, burst: float, clock: Callable[[], float]) -> None:
-        """Start with a full burst."""
+        """Start with a full bucket."""
         self.rate = rate
         self.burst = burst
         self.clock = clock
@@ -28,10 +28,11 @@
         self.updated_at = clock()
 
     def reserve(self, cost: float, max_wait_s: float = math.inf) -> float | None:
-        """Reserve `cost` tokens and give the seconds to wait first; None, and nothing reserved, if over `max_wait_s`.
+        """Reserve `cost` tokens and return the seconds to wait before the request is sent.
 
-        A refusal must cost nothing: when it did, a leader that retried a large write each quarter of
-        a second sank ever deeper into debt and never wrote again.
+        Returns None and reserves nothing if the wait would exceed `max_wait_s`. A refusal must take no tokens: when it
+        did, the deficit of a leader that retried a large write every quarter of a second kept growing, and the leader
+        never wrote again.
         """
         now = self.clock()
         self.tokens = self.available()
@@ -47,21 +48,21 @@
         self.tokens += cost
 
     def exhaust(self) -> None:
-        """Drop the tokens that are left, as the service has no room for a burst."""
+        """Discard the remaining tokens, as the service can't accept a burst now."""
         self.tokens = min(self.tokens, 0.0)
 
     def available(self) -> float:
-        """Tokens that could be reserved at once."""
+        """The number of tokens that can be reserved without a wait; negative while requests wait."""
         return min(self.burst, self.tokens + (self.clock() - self.updated_at) * self.rate)
 
     def set_share(self, rate: float, burst: float) -> None:
-        """Change the rate and the burst; what has been reserved stays reserved."""
+        """Change the rate and the burst; existing reservations are kept."""
         self.rate = rate
         self.burst = burst
 
 
 class DemandEstimate:
-    """Requests and changes a second that this node would make, those included that its rate limit refused."""
+    """Estimates the requests and changes per second that this node wants to send, including those that were refused."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """Start without any demand."""
@@ -70,13 +71,13 @@
         self._rates = [0.0, 0.0]
 
     def record(self, requests: float, changes: float) -> None:
-        """Count requests and changes that are wanted now."""
+        """Count requests and changes that this node wants to send now."""
         self._rates = [
             rate + count / DEMAND_WINDOW_S for rate, count in zip(self.rates_per_s(), (requests, changes), strict=True)
         ]
 
     def rates_per_s(self) -> list[float]:
-        """Requests and changes a second, decayed up to this moment, as peers are sent them."""
+        """Return the requests and changes per second, decayed up to now, in the form that is sent to peers."""
         now = self.clock()
         decay = math.exp(-max(0.0, now - self.updated_at) / DEMAND_WINDOW_S)
         self.updated_at = now
--- a/hookwall/storage/read_confirmation.py
+++ b/hookwall/storage/read_confirmation.py
@@ -1,7 +1,7 @@
 """Confirmation with the key-value store that cached versions are current.
 
-Invariant: a response from the cache that is not final leaves a node only after the store has confirmed its version; it
-could be older than what another node has answered the same user.
+Invariant: a node sends a response from its cache that is not final only after the store has confirmed the cached
+version. Without the confirmation, the response could be older than one that another node has sent to the same user.
 """
 
 import asyncio
@@ -19,35 +19,35 @@
 
 CONFIRM_TIMEOUT_S = 1.5
 COMPARE_TIMEOUT_S = 1.0
-BATCHING_DELAY_S = 0.03  # in which more keys come together for one comparison
+BATCHING_DELAY_S = 0.03  # time in which further keys are collected for one comparison
 
 
 @dataclass(slots=True)
 class PendingConfirmation:
-    """A key's version that is to be confirmed, and the waiters for the outcome."""
+    """A version of a key that is to be confirmed, and the waiters for the outcome."""
 
     version: int
     waiters: list[asyncio.Future[bool]] = field(default_factory=list)
 
     def resolve(self, current: bool) -> None:
-        """All waiters get whether the version is current."""
+        """Tell all waiters whether the version is current."""
         for waiter in self.waiters:
             if not waiter.done():
                 waiter.set_result(current)
 
     def fail(self, error: KeyValueStoreError) -> None:
-        """All waiters get the error: neither is known."""
+        """Pass the error to all waiters, as it is unknown whether the version is current."""
         for waiter in self.waiters:
             if not waiter.done():
                 waiter.set_exception(error)
 
 
 class ReadConfirmation:
-    """Confirms that cached versions are still current, many in one comparison.
+    """Confirms that cached versions are still current, with many versions in one comparison.
 
     Attributes:
-        refresh: reads a key again, whose version is not current.
-        max_batch_size: how many versions one comparison may have.
+        refresh: reads a key again whose cached version is not current.
+        max_batch_size: the largest number of versions in one comparison.
     """
 
     def __init__(self, store: KeyValueClient, refresh: Callable[[str], Awaitable[None]]) -> None:
@@ -59,14 +59,14 @@
         self._requested = asyncio.Event()
 
     async def confirm(self, key: str, version: int) -> bool:
-        """Whether the key still has this version; where it has not, the key was read again.
+        """Return whether the key still has this version; if not, the key has been read again.
 
         Raises:
-            RequestRejectedError, OutcomeUnknownError, TimeoutError: neither is known.
+            RequestRejectedError, OutcomeUnknownError, TimeoutError: it is unknown whether the version is current.
         """
         pending = self.pending.get(key)
         if pending is not None and pending.version != version:
-            # Another version of the same key is being confirmed; a read settles both.
+            # Another version of the same key is being confirmed; a read settles both versions.
             await self.refresh(key)
             return False
         waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -79,7 +79,7 @@
             return await waiter
 
     async def run(self) -> None:
-        """Confirm what is pending, batch after batch, for ever."""
+        """Confirm pending versions, batch by batch, until the task is cancelled."""
         while True:
             await self._requested.wait()
             await asyncio.sleep(BATCHING_DELAY_S)
@@ -89,7 +89,7 @@
                 await self._confirm_batch(batch)
 
     async def _confirm_batch(self, batch: dict[str, PendingConfirmation]) -> None:
-        """Compare the versions of a batch until all are settled."""
+        """Compare the versions of a batch with the store, repeatedly until all are settled."""
         try:
             while batch:
                 await self._compare(batch)
@@ -98,15 +98,15 @@
                 pending.fail(error)
 
     async def _compare(self, batch: dict[str, PendingConfirmation]) -> None:
-        """Compare once, and remove the keys that this settles from the batch."""
+        """Compare once, and remove the keys that the comparison settles from the batch."""
         preconditions = [Precondition(key, pending.version) for key, pending in batch.items()]
         try:
             await self.store.commit(preconditions, timeout=COMPARE_TIMEOUT_S)
         except PreconditionFailedError as error:
             changed = [key for key in error.keys if key in batch]
             if not changed:
-                raise OutcomeUnknownError("a precondition failed, no key is named") from error
-            # The list might name only some of the keys, so the rest are compared again.
+                raise OutcomeUnknownError("a precondition failed, but the store named no compared key") from error
+            # The store may name only some of the changed keys, so the other keys are compared again.
             await self._refresh_changed(batch, changed)
             return
         for pending in batch.values():
--- a/hookwall/storage/storage_version.py
+++ b/hookwall/storage/storage_version.py
@@ -1,15 +1,16 @@
 """Which storage versions may be written while a rolling upgrade replaces the nodes' programs.
 
-Versions are numbered, and a program that knows one knows all before it. Each node's program stores a marker with the
-newest version that it knows, under a key that programs of version 1 ignore. A node never goes back to an older program
-once it has run a newer one, so when all nodes are marked with a version no program that lacks it can write or read any
-more, whether all nodes are up at that moment or not. Transactions of older programs that are carried out late still
-fail on the versions of the keys that are their preconditions.
+Storage versions are numbered, and a program that supports a version supports all earlier ones. Each node's program
+stores a marker with the newest version that it supports, under a key that programs of version 1 ignore. A node never
+returns to an older program once it has run a newer one. So once all nodes are marked with a version, no program without
+support for that version can write or read any more, whether or not all nodes are up at that moment. Transactions of
+older programs that are executed late still fail on their preconditions, which are versions of keys.
 
-A node that the key-value store rejects can't store its marker. Nodes state their version in their messages too, and
-whoever receives that stores the marker for the other: what a program states of itself stays true.
+A node whose requests the key-value store rejects can't store its marker. Nodes therefore state their version in their
+messages too, and a node that receives such a message stores the marker for the sender: what a program states about
+itself stays true.
 
-Invariant: a storage version that all nodes support stays supported, whatever is read later.
+Invariant: once all nodes support a storage version, it stays supported, whatever this node reads later.
 """
 
 import asyncio
@@ -26,11 +27,11 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.5
-MARKER_FIELD = "format"  # of the stored value
+MARKER_FIELD = "format"  # the field of the stored value that holds the version
 
 
 class StorageVersion(IntEnum):
-    """What programs may write, each with what it added."""
+    """The versions of the stored data, each with the data that it added."""
 
     PLAIN = 1  # no markers, plain records only
     DEPENDENCIES = 2  # dependent jobs, packed records, packed keys of lease delegates
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Marker:
-    """The newest storage version that a node's program knows, as stored at this version of its key; 0: not stored."""
+    """The newest storage version that a node's program supports, and the version of the marker's key; 0: not stored."""
 
     storage_version: int = 0
     version: int = 0
@@ -53,26 +54,28 @@
 
 
 class StorageVersionGate:
-    """What this node knows about the programs of all nodes.
+    """Tracks which storage versions the programs of all nodes support.
 
     Attributes:
-        current_version: the newest storage version that this program knows.
-        nodes: all nodes, this one included.
-        markers: what is stored of each node.
-        reported_versions: the newest version that each node's program has stated.
+        current_version: the newest storage version that this program supports.
+        nodes: all nodes, including this node.
+        markers: the stored marker of each node.
+        reported_versions: the newest version that each node's program has reported.
     """
 
-    def __init__(self, me: str, nodes: Iterable[str], store: KeyValueClient, current: int = CURRENT_VERSION) -> None:
-        """Start without any marker; `nodes` are the peers of `me`."""
+    def __init__(
+        self, node_name: str, peers: Iterable[str], store: KeyValueClient, current: int = CURRENT_VERSION
+    ) -> None:
+        """Start without any marker; `peers` are the other nodes."""
         self.store = store
         self.current_version = int(current)
-        self.nodes = frozenset((me, *nodes))
+        self.nodes = frozenset((node_name, *peers))
         self.markers: dict[str, Marker] = {}
-        self.reported_versions = {me: self.current_version}
+        self.reported_versions = {node_name: self.current_version}
         self._marker_missing = asyncio.Event()
 
     def supported_by_all(self, wanted: int) -> bool:
-        """Whether every node that may read or write knows a storage version."""
+        """Whether every node that may read or write supports the storage version `wanted`."""
         return all(node in self.markers and self.markers[node].storage_version >= wanted for node in self.nodes)
 
     def allows_dependencies(self) -> bool:
@@ -84,30 +87,30 @@
         return self.supported_by_all(StorageVersion.NUMBERED_MACHINES)
 
     def allows_drains(self) -> bool:
-        """Whether drains may be carried out: programs that don't know them place work on machines that are drained."""
+        """Whether drains may be carried out: programs without support for drains place work on draining machines."""
         return self.supported_by_all(StorageVersion.DRAINS)
 
     def apply_marker(self, key: str, value: object, version: int) -> None:
-        """Apply a marker as stored. An older state of it changes nothing."""
+        """Apply a stored marker; an older state of the marker is ignored."""
         node = key[len(keys.STORAGE_VERSION_PREFIX) :]
         stated = value.get(MARKER_FIELD) if isinstance(value, dict) else None
         before = self.markers.get(node, NO_MARKER)
         if node not in self.nodes or not isinstance(stated, int) or version <= before.version:
             return
         was_complete = self.supported_by_all(self.current_version)
-        # What a program has once stated to know stays known, whatever a later value says.
+        # A version that a program has once stated stays supported, whatever a later value says.
         self.markers[node] = Marker(max(stated, before.storage_version), version)
         if not was_complete and self.supported_by_all(self.current_version):
             log.info("storage version supported by all nodes: version=%d", self.current_version)
 
     def record_reported_version(self, node: str, known: object) -> None:
-        """A node has stated which storage version it knows; programs of version 1 state nothing."""
+        """Record the storage version that a node reports in a message; programs of version 1 report none."""
         if isinstance(known, int) and node in self.nodes and known > self.reported_versions.get(node, 0):
             self.reported_versions[node] = known
             self._marker_missing.set()
 
     async def run(self) -> None:
-        """Store the markers that are missing or too low, as far as this node can vouch for more, for ever."""
+        """Store each marker that is missing or lower than the reported version, until the task is cancelled."""
         while True:
             for node, known in sorted(self.reported_versions.items()):
                 if known > self.markers.get(node, NO_MARKER).storage_version:
@@ -117,11 +120,11 @@
                 async with asyncio.timeout(None if complete else RETRY_S):
                     await self._marker_missing.wait()
             except TimeoutError:
-                pass  # the markers of others may be missing still
+                pass  # markers of other nodes may still be missing
             self._marker_missing.clear()
 
     async def _store_marker(self, node: str, known: int) -> None:
-        """Store a marker on the precondition that nobody else has meanwhile."""
+        """Store a marker, on the precondition that no other node has written the marker in the meantime."""
         key = keys.STORAGE_VERSION_PREFIX + node
         value = {MARKER_FIELD: known}
         stored_version = self.markers.get(node, NO_MARKER).version
@@ -135,7 +138,7 @@
             self.apply_marker(key, value, version)
 
     async def _reload_marker(self, key: str) -> None:
-        """Read a marker that somebody else has stored."""
+        """Read and apply a marker that another node has stored."""
         try:
             stored = await self.store.get(key)
         except (RequestRejectedError, OutcomeUnknownError) as error:
--- a/hookwall/storage/task_ranges.py
+++ b/hookwall/storage/task_ranges.py
@@ -1,10 +1,10 @@
-"""Task numbers as a short text: a job of 100,000 tasks has to fit one value of the key-value store."""
+"""Encoding of task numbers as a short text, as a job of 100,000 tasks has to fit one value of the key-value store."""
 
 from collections.abc import Iterable
 
 
 def encode_ranges(numbers: Iterable[int]) -> str:
-    """Task numbers as ascending ranges: `0-3,7`."""
+    """Encode task numbers as ascending ranges: `0-3,7`."""
     ranges: list[str] = []
     start = last = -2
     for number in sorted(numbers):
@@ -24,7 +24,7 @@
 
 
 def decode_ranges(text: str) -> list[int]:
-    """The numbers that `encode_ranges` was given."""
+    """Decode the task numbers from a text of `encode_ranges`."""
     numbers: list[int] = []
     for part in text.split(",") if text else ():
         first, _, last = part.partition("-")
--- a/hookwall/storage/watch.py
+++ b/hookwall/storage/watch.py
@@ -1,6 +1,6 @@
-"""Follows every key below the root: a full read, then the changes from its revision on.
+"""Watches every key below the root: a full read, then the changes after the revision of that read.
 
-Invariant: an observer is given every change after the last full read, in order; after a gap all keys are read again.
+Invariant: an observer receives every change after the last full read, in order; after a gap all keys are read again.
 """
 
 import asyncio
@@ -15,29 +15,29 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_S = 3.0  # a watch that is quiet for long says nothing about how current this node is
-LEADER_PAUSE_S = 0.1  # frequent changes come in batches, which cost few requests
+WATCH_TIMEOUT_S = 3.0  # kept short, as a request that waits for changes does not show how current this node is
+LEADER_PAUSE_S = 0.1  # with a pause, frequent changes arrive in batches, which need few requests
 FOLLOWER_PAUSE_S = 0.25
 RETRY_S = 0.4
 
 
 class KeyObserver(Protocol):
-    """What the watch asks of whoever applies the keys."""
+    """The interface of the component that applies the watched keys."""
 
     async def read_all(self) -> None:
-        """Read and apply every key; sets `watched_revision` and `loaded` of the progress."""
+        """Read and apply every key, and set `watched_revision` and `loaded` of the progress."""
 
     def apply_key(self, key: str, value: object, version: int) -> None:
-        """A key was set."""
+        """Apply a key that was set."""
 
     def apply_deletion(self, key: str, revision: int) -> None:
-        """A key was deleted."""
+        """Apply the deletion of a key."""
 
     def confirm_current(self, as_of: float) -> None:
-        """All that was stored before this moment, on this node's clock, has been applied."""
+        """Record that everything stored before `as_of`, on this node's clock, has been applied."""
 
     def is_leader(self) -> bool:
-        """Whether this node leads, and so needs changes sooner."""
+        """Whether this node leads and therefore needs changes with less delay."""
 
 
 @dataclass(slots=True)
@@ -46,8 +46,8 @@
 
     Attributes:
         loaded: whether all keys have been read since the last gap.
-        watched_revision: up to which the watch has given all changes to the observer.
-        scanned_revision: of the last full read by a new leader.
+        watched_revision: the revision up to which the watch has passed all changes to the observer.
+        scanned_revision: the revision of the last full read that this node made as a new leader.
     """
 
     loaded: bool = False
@@ -55,29 +55,29 @@
     scanned_revision: int = 0
 
     def known_revision(self) -> int:
-        """Up to which revision this node has read the records."""
+        """The revision up to which this node has read the records."""
         return max(self.watched_revision, self.scanned_revision)
 
 
 class Watch:
-    """Gives an observer every change of the stored keys."""
+    """Passes every change of the stored keys to an observer."""
 
     def __init__(
         self, store: KeyValueClient, progress: WatchProgress, observer: KeyObserver, clock: Callable[[], float]
     ) -> None:
-        """Follow this store, and note in `progress` how far."""
+        """Watch the keys of `store` and record in `progress` which changes have been applied."""
         self.store = store
         self.progress = progress
         self.observer = observer
         self.clock = clock
 
     async def run(self) -> None:
-        """Give the observer every change, for ever."""
+        """Pass every change to the observer until the task is cancelled."""
         while True:
             try:
                 if not self.progress.loaded:
                     await self.observer.read_all()
-                await self._follow()
+                await self._apply_next_changes()
                 await asyncio.sleep(LEADER_PAUSE_S if self.observer.is_leader() else FOLLOWER_PAUSE_S)
             except RevisionCompactedError:
                 self.progress.loaded = False
@@ -85,10 +85,10 @@
                 log.debug("key watch failed: error=%s", error)
                 await asyncio.sleep(RETRY_S)
 
-    async def _follow(self) -> None:
+    async def _apply_next_changes(self) -> None:
         """Apply one batch of changes."""
         sent_at = self.clock()
-        changes, revision = await self.store.read_changes(self.progress.watched_revision, WATCH_S)
+        changes, revision = await self.store.read_changes(self.progress.watched_revision, WATCH_TIMEOUT_S)
         for change in changes:
             if isinstance(change, KeyValueEntry):
                 self.observer.apply_key(*change)
--- a/hookwall/storage/wire_format.py
+++ b/hookwall/storage/wire_format.py
@@ -1,6 +1,6 @@
-"""Bodies of requests to the key-value store and of its responses: the store's own names stand only here.
+"""Request and response bodies of the key-value store; the store's own field names appear only in this module.
 
-What can't be read in a response is passed over, as the store may add to what it sends.
+Unreadable entries of a response are skipped, as the store may extend its responses.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -24,7 +24,7 @@
 ERROR = "error"
 ERROR_NO_SUCH_LEASE = "no such lease"
 
-PAGE_ENTRIES = 1000  # of a scan
+PAGE_ENTRIES = 1000  # entries per page of a scan
 
 
 def transaction(
@@ -33,7 +33,7 @@
     deletes: Sequence[str],
     session_lease: int | None,
 ) -> dict[str, object]:
-    """The body of a transaction; without puts and deletes, of a comparison."""
+    """Build the body of a transaction, or of a comparison of versions if there are no puts and deletes."""
     body: dict[str, object] = {PRECONDITIONS: [{KEY: key, VERSION: version} for key, version in preconditions]}
     if puts or deletes:
         lease = {} if session_lease is None else {SESSION_LEASE: session_lease}
@@ -43,17 +43,17 @@
 
 
 def scan_path(prefix: str, after: str) -> str:
-    """The path of one page of the keys below a prefix; `after` is the last key of the page before, or empty."""
+    """The path of one page of the keys below a prefix; `after` is the last key of the previous page, or empty."""
     return f"/store?under={prefix}&most={PAGE_ENTRIES}" + (f"&after={after}" if after else "")
 
 
 def changes_path(prefix: str, after: int, wait_s: float) -> str:
-    """The path of the changes below a prefix since a revision, which may wait so long for the first."""
+    """The path of the changes below a prefix since a revision; the store waits up to `wait_s` for the first change."""
     return f"/changes?under={prefix}&after={after}&blockMs={int(wait_s * 1000)}"
 
 
 def parse_entries(raw: Iterable[object]) -> list[KeyValueEntry]:
-    """The entries of a page, without those that can't be read."""
+    """Parse the entries of a page; unreadable entries are skipped."""
     return [
         KeyValueEntry(entry[KEY], entry.get(VALUE), entry[VERSION])
         for entry in raw
@@ -62,7 +62,7 @@
 
 
 def parse_changes(raw: Iterable[object]) -> list[KeyValueEntry | DeletedKey]:
-    """The changes of a log, without those that can't be read."""
+    """Parse the changes of a change log; unreadable changes are skipped."""
     parsed = (_parse_change(entry) for entry in raw if isinstance(entry, dict))
     return [change for change in parsed if change is not None]
 
@@ -81,5 +81,5 @@
 
 
 def parse_changed_keys(raw: Iterable[object]) -> list[str]:
-    """The keys that failed a transaction's preconditions."""
+    """Parse the keys whose preconditions failed in a transaction."""
     return [key for key in raw if isinstance(key, str)]
