--- a/tests/node/test_cost.py
+++ b/tests/node/test_cost.py
@@ -1,4 +1,4 @@
-"""What one heartbeat, poll, hint or list costs must not grow with the fleet: operations are counted, not seconds."""
+"""The cost of one heartbeat, poll, hint or list must not grow with the fleet. Tests count calls instead of seconds."""
 
 import sys
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from hookwall.leadership.peer_transport import MAX_FRAME_BYTES, encode_frame
 from hookwall.node.node import Node
 
-FLEETS = (400, 4000)
+FLEET_SIZES = (400, 4000)
 
 
-def operations(work: Callable[[], object]) -> int:
-    """How many calls of Python and built-in functions `work` makes."""
+def count_calls(action: Callable[[], object]) -> int:
+    """Return how many calls of Python and built-in functions `action` makes."""
     count = 0
 
     def profile(_frame: FrameType, event: str, _argument: object) -> None:
@@ -25,7 +25,7 @@
 
     sys.setprofile(profile)
     try:
-        work()
+        action()
     finally:
         sys.setprofile(None)
     return count
@@ -34,39 +34,39 @@
 @pytest.fixture
 def fleets(params: PlatformParameters, clock: Clock) -> list[Node]:
     """Leaders of a small and of a large fleet."""
-    return [leading(params, clock, machines) for machines in FLEETS]
+    return [leading(params, clock, machines) for machines in FLEET_SIZES]
 
 
-def test_a_heartbeat_costs_the_same_in_any_fleet(fleets):
-    small, large = (operations(lambda node=node: node.heartbeat_router.respond(report(7, 2))) for node in fleets)
+def test_heartbeat_cost_does_not_grow_with_fleet_size(fleets):
+    small, large = (count_calls(lambda node=node: node.heartbeat_router.respond(report(7, 2))) for node in fleets)
     assert 0 < large <= small
 
 
-def test_a_poll_costs_the_same_in_any_fleet(fleets):
+def test_job_poll_cost_does_not_grow_with_fleet_size(fleets):
     def poll(node: Node) -> None:
-        answer = node.job_service.job_response(node.job_table.jobs["run-000007"])
+        response = node.job_service.job_response(node.job_table.jobs["run-000007"])
         with pytest.raises(StopIteration):
-            answer.send(None)
+            response.send(None)
 
-    small, large = (operations(lambda node=node: poll(node)) for node in fleets)
+    small, large = (count_calls(lambda node=node: poll(node)) for node in fleets)
     assert 0 < large <= small
 
 
-def test_a_response_to_a_ping_costs_the_same_in_any_fleet(fleets):
+def test_peer_heartbeat_cost_does_not_grow_with_fleet_size(fleets):
     ping = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3}
-    small, large = (operations(lambda node=node: node.leadership.handle_peer_message(ping)) for node in fleets)
+    small, large = (count_calls(lambda node=node: node.leadership.handle_peer_message(ping)) for node in fleets)
     assert 0 < large <= small
 
 
-def test_a_delegated_lease_costs_the_same_in_any_fleet(fleets):
-    """A lease delegate looks up a worker that its key already names."""
+def test_delegated_lease_lookup_cost_does_not_grow_with_fleet_size(fleets):
+    """A lease delegate looks up a worker that the delegate's key already names."""
     for node in fleets:
         node.lease_delegate.delegated = set(node.fleet.machines)
-    small, large = (operations(lambda node=node: node.lease_delegate.covers("vm-000007")) for node in fleets)
+    small, large = (count_calls(lambda node=node: node.lease_delegate.covers("vm-000007")) for node in fleets)
     assert 0 < large <= small
 
 
-def test_the_machine_list_uses_half_of_the_cloud_s_requests_at_most(fleets, params: PlatformParameters):
+def test_machine_listing_uses_at_most_half_of_the_cloud_request_limit(fleets, params: PlatformParameters):
     for node in fleets:
         inventory = node.scale_out.inventory
         pages = -(-len(node.fleet.machines) // inventory.client.page_size)
@@ -74,16 +74,16 @@
     assert fleets[0].scale_out.inventory.interval_s() == 4.0, "small fleets are listed as often as before"
 
 
-def test_lease_expiry_in_a_full_fleet_costs_a_few_operations_a_machine(fleets):
-    """What a scheduling round does for each machine before it places; the rest is bounded by its budget of time."""
+def test_lease_expiry_makes_at_most_five_calls_per_machine(fleets):
+    """A scheduling round does this for each machine before placement; a time budget bounds the rest of the round."""
     costs = []
     for node in fleets:
         node.fleet.expire_leases(node.clock())
-        costs.append(operations(lambda node=node: node.fleet.expire_leases(node.clock())))
-    assert costs[1] <= 5 * FLEETS[1]
+        costs.append(count_calls(lambda node=node: node.fleet.expire_leases(node.clock())))
+    assert costs[1] <= 5 * FLEET_SIZES[1]
 
 
-def test_hints_to_the_next_leader_have_a_bounded_size(fleets):
+def test_successor_hints_fit_into_one_peer_message(fleets):
     for node in fleets:
         for machine in node.fleet.machines.values():
             for image in range(12):
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""A whole node without its loops: what it answers to heartbeats while it leads, follows or has lost contact."""
+"""A complete node without running loops: its responses to heartbeats while it leads, follows or has lost contact."""
 
 import asyncio
 
@@ -35,7 +35,7 @@
 
 
 def begin_leading(node: Node, clock: Clock, fencing_token: int = 5) -> None:
-    """The node becomes a valid leader and has read the records."""
+    """Make the node a valid leader that has read the records."""
     make_leader(node, clock, fencing_token)
     node.fleet.reset(fencing_token)
     node.cancellations.confirm_records_read(clock())
@@ -45,15 +45,15 @@
     begin_leading(node, clock)
     status, body = asyncio.run(node.respond_to_heartbeat(heartbeat(1)))
     assert status == 200 and msgspec.json.decode(body)["mandate"] == 5
-    # Nothing but workers reaches it: neither the quorum lease nor the session lease is renewed.
+    # Only workers reach the leader, so neither its quorum lease nor its session lease is renewed.
     clock.tick(QUORUM_LEASE_S)
     status, body = asyncio.run(node.respond_to_heartbeat(heartbeat(2, fencing_token=5)))
     assert (status, body) == (503, b"{}")
-    # A refusal is no response: this worker's lease still counts from the first one.
+    # A 503 does not count as a response: the lease of this worker still counts from the first response.
     assert node.fleet.machines["vm-1"].last_response_at == clock() - QUORUM_LEASE_S
 
 
-def test_a_late_duplicate_of_a_heartbeat_does_not_renew_the_lease(node: Node, clock: Clock):
+def test_a_delayed_older_heartbeat_does_not_renew_the_lease(node: Node, clock: Clock):
     begin_leading(node, clock)
     assert asyncio.run(node.respond_to_heartbeat(heartbeat(3, fencing_token=5)))[0] == 200
     clock.tick(2.0)
@@ -71,8 +71,12 @@
     assert status == 421 and msgspec.json.decode(body) == {"overseer": "n1"}
 
 
-def test_a_leader_that_missed_changes_assumes_every_lease_was_renewed_until_now(node: Node, clock: Clock):
-    """The store has the last 10,000 changes: a delegate's key may have come and gone among those before."""
+def test_a_leader_that_missed_changes_assumes_that_every_lease_was_renewed_until_now(node: Node, clock: Clock):
+    """Guards against acting on expired leases after the watch has missed changes.
+
+    The store keeps the last 10,000 changes only. A lease delegate's key may have been created and deleted among the
+    changes before those.
+    """
     begin_leading(node, clock)
     clock.tick(100.0)
 
@@ -89,13 +93,13 @@
     assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes, "what was decided meanwhile is void"
 
 
-def test_leases_count_from_the_start_of_uninterrupted_validity(node: Node, clock: Clock):
+def test_leases_count_from_the_start_of_the_current_validity_period(node: Node, clock: Clock):
     begin_leading(node, clock)
     assert asyncio.run(node.respond_to_heartbeat(heartbeat(1)))[0] == 200
-    began = node.fleet.valid_since
+    previous_valid_since = node.fleet.valid_since
     clock.tick(QUORUM_LEASE_S + 1.0)
     node.leadership.report_validity_lapse()
     node.leadership.quorum_acks["n1"] = clock()
     node.leadership.vote_grant.expires_at = clock() + QUORUM_LEASE_S
     assert asyncio.run(node.respond_to_heartbeat(heartbeat(2, fencing_token=5)))[0] == 200
-    assert node.fleet.valid_since == clock() > began
+    assert node.fleet.valid_since == clock() > previous_valid_since
--- a/tests/storage/key_value_stub.py
+++ b/tests/storage/key_value_stub.py
@@ -1,4 +1,4 @@
-"""Clients of a key-value store that gives scripted responses."""
+"""Clients of a key-value store stub that returns scripted responses."""
 
 from collections.abc import Callable
 
@@ -13,10 +13,10 @@
 
 
 def store_with(limits: StoreLimits, clock: Callable[[], float], *responses: tuple[int, bytes]) -> KeyValueClient:
-    """A client that gets these responses, in order."""
-    left = list(responses)
+    """Return a client that receives these responses in order."""
+    remaining = list(responses)
 
     async def send_request(session: object, method: str, url: str, body: object, timeout: float) -> tuple[int, bytes]:
-        return left.pop(0)
+        return remaining.pop(0)
 
     return KeyValueClient("h:1", limits, NODES, clock, send_request)
--- a/tests/storage/test_client.py
+++ b/tests/storage/test_client.py
@@ -1,4 +1,4 @@
-"""Responses of the key-value store, well-formed and not, and the sizes of what is written."""
+"""Well-formed and malformed responses of the key-value store, and the size limits of writes."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
         (None, OutcomeUnknownError),
     ],
 )
-def test_an_unusable_response_is_rejected_or_of_unknown_outcome(
+def test_an_unusable_response_raises_rejected_or_outcome_unknown(
     params: PlatformParameters, clock: Clock, response, error
 ):
     async def send_request(session, method, url, body, timeout):
@@ -40,19 +40,19 @@
         asyncio.run(store.scan("a"))
 
 
-def test_malformed_entries_of_a_page_are_passed_over(params: PlatformParameters, clock: Clock):
+def test_malformed_entries_of_a_page_are_skipped(params: PlatformParameters, clock: Clock):
     page = b'{"epoch":4,"entries":[3,{"k":"a","stamp":2,"value":1},{"k":5},{}],"more":false}'
     assert asyncio.run(store_with(params.state, clock, (200, page)).scan("a")) == ([("a", 1, 2)], 4)
 
 
-def test_what_is_written_fits_the_limits_of_now_and_those_to_come(clock: Clock):
+def test_writes_fit_both_the_current_and_the_announced_limits(clock: Clock):
     store = store_with(LOWER_LIMITS, clock)
     store.rate_shares.set_leading(True)
     assert store.max_transaction_changes == 4 and store.batch_size() <= 4 and store.max_value_bytes < 2048
     assert store_with(StoreLimits(100.0, 30.0, 16.0, 12), clock).max_transaction_changes == 12
 
 
-def test_a_lease_that_has_ended_is_distinguished_from_a_size_that_is_refused(clock: Clock):
+def test_status_400_for_an_ended_lease_differs_from_status_400_for_size(clock: Clock):
     responses = ((400, b'{"error":"no such lease"}'), (400, b'{"error":"size"}'))
     store = store_with(LOWER_LIMITS, clock, *responses)
     with pytest.raises(OutcomeUnknownError):
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -1,4 +1,7 @@
-"""Old and new versions on each other's data: golden samples were made by the own code of versions in production."""
+"""Compatibility of this program with the data and messages of older storage versions, and the reverse.
+
+The golden samples were made by the code of the programs of storage versions 1 and 2 that were in production.
+"""
 
 import json
 from pathlib import Path
@@ -19,30 +22,30 @@
 from hookwall.workers.delegation_record import decode_machines
 
 SAMPLES = Path(__file__).parent.parent / "golden"
-GOLDEN = json.loads((SAMPLES / "format_1.json").read_text(encoding="utf-8"))
+GOLDEN_1 = json.loads((SAMPLES / "format_1.json").read_text(encoding="utf-8"))
 GOLDEN_2 = json.loads((SAMPLES / "format_2.json").read_text(encoding="utf-8"))
 
 
 def stored(value: object) -> object:
-    """A value as the key-value store returns it."""
+    """Return a value as the key-value store returns it after a write."""
     return json.loads(json.dumps(value))
 
 
-def test_keys_are_those_of_production():
-    assert GOLDEN["keys"] == {
+def test_keys_are_those_of_version_1():
+    assert GOLDEN_1["keys"] == {
         "jobs": keys.JOB_PREFIX,
         "leader": keys.LEADER_KEY,
         "catalog": keys.CATALOG_KEY,
         "keep": keys.LEASE_DELEGATE_PREFIX,
     }
     for new in (keys.STORAGE_VERSION_PREFIX, keys.CHUNK_PREFIX):
-        # Production applies no other keys below the root that it reads and watches.
-        assert new.startswith(keys.ROOT) and not new.startswith(tuple(GOLDEN["keys"].values()))
+        # Programs of storage version 1 apply no other keys below the root that they read and watch.
+        assert new.startswith(keys.ROOT) and not new.startswith(tuple(GOLDEN_1["keys"].values()))
 
 
-@pytest.mark.parametrize("name", sorted(GOLDEN["jobs"]))
-def test_a_record_of_production_is_read_and_written_back_the_same(name, clock: Clock):
-    value = GOLDEN["jobs"][name]
+@pytest.mark.parametrize("name", sorted(GOLDEN_1["jobs"]))
+def test_a_version_1_record_is_read_and_written_back_unchanged(name, clock: Clock):
+    value = GOLDEN_1["jobs"][name]
     assert misread(value) == []
     job_id = "run-000003"
     record = job_records.decode_record(job_id, value, lambda key: None)
@@ -60,47 +63,47 @@
         assert stored(job_records.encode_record(job_id, job.record(), None).value) == value
 
 
-def test_what_is_under_way_is_known_from_a_record_of_production(clock: Clock):
+def test_running_and_pending_tasks_are_read_from_a_version_1_record(clock: Clock):
     table = JobTable(clock)
-    table.apply_record(keys.JOB_PREFIX + "run-000003", GOLDEN["jobs"]["under_way"], 7)
+    table.apply_record(keys.JOB_PREFIX + "run-000003", GOLDEN_1["jobs"]["under_way"], 7)
     job = table.jobs["run-000003"]
     assert job.stored_starts == {3: ("vm-000231", 2), 4: ("vm-000231", 2), 7: ("vm-000300", 3)}
     assert job.pending_tasks(20) == [5, 6, 8] and job.submitted_at == 1_700_000_000.25
 
 
-def test_no_field_that_production_would_lose_is_written_in_the_old_format(clock: Clock):
+def test_version_1_records_contain_no_field_that_version_1_programs_drop(clock: Clock):
     table = JobTable(clock)
-    table.apply_record(keys.JOB_PREFIX + "run-000001", GOLDEN["jobs"]["accepted"], 7)
+    table.apply_record(keys.JOB_PREFIX + "run-000001", GOLDEN_1["jobs"]["accepted"], 7)
     job = table.jobs["run-000001"]
     for task in range(job.task_count):
         job.mark_task_done(task)
     job.phase, job.finished_at = "done", 1_700_000_100.0
-    assert job_records.encode_record(job.job_id, job.record(), None).value == GOLDEN["jobs"]["done"]
-    # What the description of its decoder calls lost is what the new formats add.
+    assert job_records.encode_record(job.job_id, job.record(), None).value == GOLDEN_1["jobs"]["done"]
+    # The fields that `misread` reports as lost are those that newer storage versions add.
     assert misread(job_records.encode_record(job.job_id, job.record(), 4096).value) == ["unknown field ended"]
     spec = msgspec.convert(description(2, awaits=["run-000001"]), job_messages.JobSpec)
     record = job_records.JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks="")
     assert misread(job_records.encode_plain(record)) == ["unknown field spec.awaits"]
 
 
-def test_the_keys_of_leader_lease_delegates_and_catalog_are_read(clock: Clock, state: FakeState):
+def test_version_1_keys_of_leader_lease_delegates_and_catalog_are_read(clock: Clock, state: FakeState):
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.observe_leader_key(GOLDEN["leader_key"], 9)
+    lead.observe_leader_key(GOLDEN_1["leader_key"], 9)
     assert (lead.leader_key.leader, lead.leader_key.version, lead.leader_key.lease_mode) == (
         "n0",
         9,
         LeaseMode.QUORUM_LEASE,
     )
     delegated = DelegatedLeases(clock)
-    delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n0", GOLDEN["keep"], 3)
+    delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n0", GOLDEN_1["keep"], 3)
     assert delegated.is_delegated("vm-000231") and delegated.is_delegated("vm-000300")
-    catalog = json_messages.convert_message(GOLDEN["catalog"], cloud_messages.Catalog)
-    assert msgspec.to_builtins(catalog) == GOLDEN["catalog"]
-    assert GOLDEN["hire"] == "hw-41-3"
+    catalog = json_messages.convert_message(GOLDEN_1["catalog"], cloud_messages.Catalog)
+    assert msgspec.to_builtins(catalog) == GOLDEN_1["catalog"]
+    assert GOLDEN_1["hire"] == "hw-41-3"
 
 
-@pytest.mark.parametrize("kind", sorted(GOLDEN["messages"]))
-def test_messages_of_production_are_answered_in_a_way_that_it_reads(kind, clock: Clock, state: FakeState):
+@pytest.mark.parametrize("kind", sorted(GOLDEN_1["messages"]))
+def test_responses_to_version_1_messages_are_readable_by_version_1(kind, clock: Clock, state: FakeState):
     state.last_response_at = clock()
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.exchange.local_status = lambda: PeerStatus(2, False)
@@ -108,28 +111,32 @@
     lead.exchange.on_cancellations_announced = lambda jobs: False
     lead.exchange.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
     clock.tick(6.0)
-    answer = lead.handle_peer_message(GOLDEN["messages"][kind])
-    golden = GOLDEN["answers"][kind]
+    answer = lead.handle_peer_message(GOLDEN_1["messages"][kind])
+    golden = GOLDEN_1["answers"][kind]
     assert golden.keys() <= answer.keys()
     for name, value in golden.items():
         if value is not None and name != "want":
             assert isinstance(answer[name], type(value)) or {type(value), type(answer[name])} <= {int, float}
 
 
-def test_answers_of_production_are_taken(clock: Clock, state: FakeState):
+def test_version_1_responses_are_accepted(clock: Clock, state: FakeState):
     lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
-    told: list[PeerStatus] = []
-    lead.exchange.on_peer_status = lambda node, about: told.append(about)
+    reported_statuses: list[PeerStatus] = []
+    lead.exchange.on_peer_status = lambda node, status: reported_statuses.append(status)
 
     class Peer:
         name = "n1"
 
-    for answer in GOLDEN["answers"].values():
+    for answer in GOLDEN_1["answers"].values():
         lead.record_peer_answer(Peer, decode_response(answer))
-    assert lead.peer_rate_demand["n1"][1] == [2.0, 0.5] and told and all(about == PeerStatus() for about in told)
+    assert (
+        lead.peer_rate_demand["n1"][1] == [2.0, 0.5]
+        and reported_statuses
+        and all(status == PeerStatus() for status in reported_statuses)
+    )
 
 
-def test_a_lease_delegates_key_names_machines_in_either_form():
+def test_a_lease_delegates_key_may_name_machines_in_packed_form():
     names = [f"vm-{n:06d}" for n in range(300)]
     assert decode_machines({"token": 5, "packed": job_records.compress(names)}) == frozenset(names)
     assert decode_machines({"token": 5, "packed": "nonsense"}) is None, "any lease may be delegated"
@@ -138,7 +145,7 @@
 # -- storage version 2 ------------------------------------------------------------------------------------
 
 
-def test_keys_are_those_of_format_2():
+def test_keys_are_those_of_version_2():
     names = {
         "leader": keys.LEADER_KEY,
         "catalog": keys.CATALOG_KEY,
@@ -154,15 +161,15 @@
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN_2["jobs"]))
-def test_a_record_of_format_2_is_read_and_written_back_with_the_same_content(name, clock: Clock):
+def test_a_version_2_record_is_read_and_written_back_with_the_same_content(name, clock: Clock):
     value = GOLDEN_2["jobs"][name]
-    job_id = "run-000006"  # the one whose record is in chunks
+    job_id = "run-000006"  # the job whose record is in chunks
     record = job_records.decode_record(job_id, value, GOLDEN_2["parts"].get)
     if "packed" not in value:
         assert stored(job_records.encode_record(job_id, record, 4096).value) == value
-    again = job_records.encode_record(job_id, record, job_records.usable_value_bytes(1.0))
-    assert job_records.decode_record(job_id, stored(again.value), again.chunks.get) == record
-    assert set(job_records.chunk_keys(job_id, again.value)) == set(job_records.chunk_keys(job_id, value)), (
+    encoded_again = job_records.encode_record(job_id, record, job_records.usable_value_bytes(1.0))
+    assert job_records.decode_record(job_id, stored(encoded_again.value), encoded_again.chunks.get) == record
+    assert set(job_records.chunk_keys(job_id, encoded_again.value)) == set(job_records.chunk_keys(job_id, value)), (
         "chunks are written once"
     )
     table = JobTable(clock)
@@ -179,7 +186,7 @@
     assert not job.record_unreadable
 
 
-def test_the_content_of_a_record_of_format_2_is_known(clock: Clock):
+def test_the_content_of_version_2_records_is_read(clock: Clock):
     table = JobTable(clock)
     for number, name in enumerate(("done", "dependent", "under_way"), 1):
         table.apply_record(f"{keys.JOB_PREFIX}run-{number:06d}", GOLDEN_2["jobs"][name], 7 + number)
@@ -188,7 +195,7 @@
     assert table.jobs["run-000003"].stored_starts == {task: (f"vm-{231 + task:06d}", 2) for task in (1, 4, 7)}
 
 
-def test_the_other_keys_of_format_2_are_read(clock: Clock, state: FakeState):
+def test_version_2_keys_of_leader_lease_delegates_markers_and_catalog_are_read(clock: Clock, state: FakeState):
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.observe_leader_key(GOLDEN_2["leader_key"], 9)
     assert (lead.leader_key.leader, lead.leader_key.version, lead.leader_key.lease_mode) == (
@@ -208,7 +215,7 @@
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN_2["messages"]))
-def test_messages_of_format_2_are_answered_in_a_way_that_it_reads(kind, clock: Clock, state: FakeState):
+def test_responses_to_version_2_messages_are_readable_by_version_2(kind, clock: Clock, state: FakeState):
     state.last_response_at = clock()
     lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
     lead.exchange.local_status = lambda: PeerStatus(3, False)
@@ -223,6 +230,6 @@
         assert isinstance(answer[name], type(value)) or {type(value), type(answer[name])} <= {int, float}
 
 
-def test_a_marker_of_this_version_is_one_for_format_2_too():
-    """It counts a node as marked from its own number on, and ignores markers of unknown nodes."""
+def test_a_marker_of_the_current_version_is_valid_for_version_2():
+    """Programs of version 2 accept markers of version 2 or later, and ignore markers of unknown nodes."""
     assert GOLDEN_2["marker"]["format"] <= CURRENT_VERSION
--- a/tests/storage/test_job_records.py
+++ b/tests/storage/test_job_records.py
@@ -1,4 +1,4 @@
-"""Job records in all their forms: each fits its limit and decodes to the same."""
+"""Encoding of job records: every form fits its limit and decodes to the original record."""
 
 import random
 
@@ -30,7 +30,7 @@
     return [f"run-{rng.randrange(10 ** (digits - 1), 10**digits)}" for _ in range(count)]
 
 
-SCATTERED = job_records.encode_ranges(random.Random(5).sample(range(100_000), 3000))
+SCATTERED_DONE_TASKS = job_records.encode_ranges(random.Random(5).sample(range(100_000), 3000))
 
 
 @pytest.mark.parametrize(
@@ -39,13 +39,13 @@
         (record(), (dict, dict, 0)),
         (record(starts=90, tasks=200), (str, str, 0)),
         (record(starts=50, tasks=200, awaits=job_ids(120, 12)), (list, str, None)),
-        (record(starts=400, tasks=100_000, done=SCATTERED), (list, list, None)),
+        (record(starts=400, tasks=100_000, done=SCATTERED_DONE_TASKS), (list, list, None)),
         (record(awaits=job_ids(2500, 18), bundle="i" * 120, hulls=["t" * 120 + str(n) for n in range(64)]),
          (list, str, None)),
     ],
     ids=["plain", "packed", "description in chunks", "both in chunks", "longest submission"],
 )  # fmt: skip
-def test_a_record_fits_its_limit_and_is_read_again(value, forms):
+def test_every_form_fits_the_limit_and_decodes_to_the_same_record(value, forms):
     encoded = job_records.encode_record(JOB_ID, value, LIMIT)
     description_form, state_form, chunks = forms
     packed = encoded.value.get("packed", {"fixed": {}, "state": {}})
@@ -57,32 +57,32 @@
     assert all(len(key) <= 200 and " " not in key for key in encoded.chunks)
 
 
-def test_the_description_is_written_once_while_the_state_changes():
+def test_a_change_of_state_leaves_the_chunks_of_the_description_unchanged():
     first = job_records.encode_record(JOB_ID, record(starts=200, tasks=400, awaits=job_ids(120, 12)), LIMIT)
     second = job_records.encode_record(JOB_ID, record(starts=250, tasks=400, awaits=job_ids(120, 12)), LIMIT)
     assert first.value["packed"]["fixed"] == second.value["packed"]["fixed"]
     assert first.value["packed"]["state"] != second.value["packed"]["state"]
 
 
-def test_a_record_whose_chunks_are_not_known_names_them():
+def test_decoding_a_record_without_a_chunk_raises_an_error_that_names_the_chunk():
     encoded = job_records.encode_record(JOB_ID, record(awaits=job_ids(300, 18)), LIMIT)
-    some = dict(list(encoded.chunks.items())[1:])
+    incomplete_chunks = dict(list(encoded.chunks.items())[1:])
     with pytest.raises(MissingChunksError) as error:
-        job_records.decode_record(JOB_ID, encoded.value, some.get)
+        job_records.decode_record(JOB_ID, encoded.value, incomplete_chunks.get)
     assert error.value.keys == [next(iter(encoded.chunks))]
 
 
-def test_a_phase_that_is_changed_in_place_still_fits():
+def test_a_packed_record_still_fits_after_a_change_of_phase():
     encoded = job_records.encode_record(JOB_ID, record(starts=90, tasks=200), LIMIT)
     assert job_records.json_bytes({**encoded.value, "phase": "withdrawn"}) <= 2048
 
 
-def test_what_fits_in_no_form_is_refused():
+def test_a_record_that_fits_in_no_form_is_refused():
     with pytest.raises(RecordTooLargeError):
         job_records.encode_record(JOB_ID, record(awaits=job_ids(2500, 18)), job_records.usable_value_bytes(0.5))
 
 
-def test_without_a_limit_the_form_is_the_one_that_every_version_reads():
+def test_without_a_limit_a_record_is_encoded_in_its_plain_form():
     assert "packed" not in job_records.encode_record(JOB_ID, record(starts=400, tasks=1000), None).value
 
 
@@ -98,13 +98,13 @@
         {"packed": {"fixed": job_records.compress([None, None])[:-8], "state": job_records.compress([[], None])}},
     ],
 )
-def test_a_malformed_record_is_an_error_of_its_own(value):
+def test_decoding_a_malformed_record_raises_malformed_record_error(value):
     with pytest.raises(MalformedRecordError):
         job_records.decode_record(JOB_ID, value, lambda key: None)
 
 
-def test_a_chunk_that_was_written_again_since_its_removal_stays():
-    """The watch may give the removal after this node has written the chunk anew."""
+def test_a_chunk_written_again_after_its_removal_is_kept():
+    """The watch may deliver the removal of a chunk after this node has written the chunk again."""
     chunks = ChunkTable()
     key = f"{keys.CHUNK_PREFIX}run-000001/abc"
     chunks.add(key, "text", 5)
--- a/tests/storage/test_rate_shares.py
+++ b/tests/storage/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""Rate limits towards the key-value store, and the shares of them that nodes have and lend."""
+"""Rate limits for the key-value store, and the shares of these limits that nodes use and lend."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from hookwall.storage.rate_limit import TokenBucket
 
 
-def test_a_refused_reservation_costs_nothing(clock: Clock):
+def test_a_refused_reservation_takes_no_tokens(clock: Clock):
     bucket = TokenBucket(10.0, 5.0, clock)
     assert bucket.reserve(5.0) == 0.0
     for _ in range(100):
@@ -20,15 +20,16 @@
     assert bucket.reserve(5.0, max_wait_s=1.0) == 0.0
 
 
-def test_all_nodes_together_stay_below_the_limits(params: PlatformParameters, clock: Clock):
+def test_the_shares_of_all_nodes_together_stay_below_the_limits(params: PlatformParameters, clock: Clock):
     shares = [store_with(params.state, clock).rate_shares for _ in range(NODES)]
     shares[0].set_leading(True)
     assert sum(share.changes.rate for share in shares) < params.state.write_rps
     assert sum(share.requests.rate for share in shares) < params.state.rps
 
 
-def test_a_leader_lends_what_a_follower_wants_and_has_it_back(params: PlatformParameters, clock: Clock):
-    # All users came to one follower after the other nodes had crashed, whose tenth of the changes took 20 s.
+def test_a_leader_lends_rates_on_demand_and_gets_them_back_on_expiry(params: PlatformParameters, clock: Clock):
+    # Guards against slow intake on a follower. After the other nodes had crashed, all users connected to one follower,
+    # and with its tenth of the changes new jobs were accepted 20 s late.
     leader, busy, idle = shares = [store_with(params.state, clock).rate_shares for _ in range(NODES)]
     leader.set_leading(True)
     own = busy.changes.rate
@@ -41,30 +42,30 @@
     assert sum(share.changes.rate for share in shares) < params.state.write_rps
     assert sum(share.requests.rate for share in shares) < params.state.rps
     assert leader.changes.rate >= 0.4 * params.state.write_rps - 1e-6
-    # No peer asks for more: a follower stops first, and then the leader has its share again.
+    # No peer asks for another loan: the follower stops using the lent rates first, then the leader gets its share back.
     clock.tick(2.6)
     for share in shares:
         share._end_expired_loans()
     assert busy.changes.rate == own and leader.changes.rate > 0.7 * params.state.write_rps
-    # A new role starts from its own share.
+    # A node that changes its role starts without borrowed rates.
     busy.borrow_rates([5.0, 5.0])
     busy.set_leading(False)
     assert busy.changes.rate == own
 
 
-@pytest.mark.parametrize("nonsense", [None, 3, [1.0], ["a", "b"], [float("nan"), float("inf")], [-1.0, -1.0]])
-def test_a_peers_nonsense_about_shares_changes_none(params: PlatformParameters, clock: Clock, nonsense):
+@pytest.mark.parametrize("malformed", [None, 3, [1.0], ["a", "b"], [float("nan"), float("inf")], [-1.0, -1.0]])
+def test_malformed_rates_from_a_peer_are_ignored(params: PlatformParameters, clock: Clock, malformed):
     share = store_with(params.state, clock).rate_shares
     share.set_leading(True)
     before = share.changes.rate
-    assert share.lend_rates("peer", nonsense) == [0.0, 0.0] and share.changes.rate == before
+    assert share.lend_rates("peer", malformed) == [0.0, 0.0] and share.changes.rate == before
     share.set_leading(False)
     before = share.changes.rate
-    share.borrow_rates(nonsense)
+    share.borrow_rates(malformed)
     assert share.changes.rate == before
 
 
-def test_a_batch_is_no_larger_than_the_rate_limit_lets_through(params: PlatformParameters, clock: Clock):
+def test_a_batch_is_no_larger_than_the_rate_limit_allows(params: PlatformParameters, clock: Clock):
     store = store_with(params.state, clock)
     store.rate_shares.set_leading(True)
     changes = store.rate_shares.changes
@@ -73,7 +74,7 @@
 
 
 @pytest.mark.parametrize("response", [(429, b""), (400, b'{"error":"value too large"}')])
-def test_the_first_refusal_by_a_limit_sets_the_rates_of_the_limits_to_come(clock: Clock, response):
+def test_the_first_rejection_by_a_limit_applies_the_announced_limits(clock: Clock, response):
     store = store_with(LOWER_LIMITS, clock, response)
     store.rate_shares.set_leading(True)
     before = store.rate_shares.changes.rate
@@ -85,6 +86,6 @@
     for other in shares:
         other.apply_lower_limits("a peer reports them")
     assert sum(share.changes.rate for share in shares) < 12.0
-    # The second that is used up is waited for; requests of leadership go on, a change waits its turn.
+    # The limit of the current second is used up: changes wait for their turn, while leadership requests continue.
     assert store.rate_shares.changes.available() <= 0.0
     assert store.rate_shares.requests.reserve(1.0, 1.0) is not None
--- a/tests/storage/test_storage_version.py
+++ b/tests/storage/test_storage_version.py
@@ -1,4 +1,4 @@
-"""Markers of what each node's program knows, and what may be written with them."""
+"""Markers of the storage version that each node's program supports, and the versions that may be written."""
 
 import asyncio
 
@@ -21,13 +21,13 @@
         gate.apply_marker(f"{KEY}n{number}", {"format": version}, 10 + number)
 
 
-async def for_a_moment(work):
-    task = asyncio.get_running_loop().create_task(work)
+async def run_briefly(coroutine):
+    task = asyncio.get_running_loop().create_task(coroutine)
     await asyncio.sleep(0.01)
     task.cancel()
 
 
-def test_a_storage_version_may_be_written_once_all_nodes_know_it(gate: StorageVersionGate):
+def test_a_storage_version_may_be_written_once_all_nodes_support_it(gate: StorageVersionGate):
     apply_markers(gate, CURRENT_VERSION, StorageVersion.DEPENDENCIES)
     assert not gate.allows_dependencies()
     gate.apply_marker(KEY + "n2", {"format": 2}, 12)
@@ -38,11 +38,14 @@
 
 
 def test_a_marker_of_an_older_program_is_raised_and_never_lowered(gate: StorageVersionGate, state: FakeState):
-    """A program of version 2 has marked the node; it left such a marker as it was, whatever a program stated."""
+    """A program of version 2 has stored the node's marker.
+
+    Programs of version 2 left an existing marker unchanged, whatever version a node's program stated.
+    """
     state.epoch = 20
     state.keys[KEY + "n0"] = ({"format": 2}, 10)
     apply_markers(gate, 2, 2, 2)
-    asyncio.run(for_a_moment(gate.run()))
+    asyncio.run(run_briefly(gate.run()))
     assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
     assert gate.markers["n0"].storage_version == CURRENT_VERSION
     gate.apply_marker(KEY + "n0", {"format": 2}, 99)
@@ -51,30 +54,32 @@
     assert gate.markers["n0"].version == 99, "an older state of it changes nothing"
 
 
-def test_a_marker_that_is_not_known_is_read_before_it_is_raised(gate: StorageVersionGate, state: FakeState):
+def test_an_unread_marker_is_read_before_it_is_raised(gate: StorageVersionGate, state: FakeState):
     state.epoch = 20
     state.keys[KEY + "n0"] = ({"format": 2}, 10)
 
-    async def twice():
+    async def store_marker_twice():
         await gate._store_marker("n0", CURRENT_VERSION)
         assert gate.markers["n0"].storage_version == 2
         await gate._store_marker("n0", CURRENT_VERSION)
 
-    asyncio.run(twice())
+    asyncio.run(store_marker_twice())
     assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
 
 
-def test_a_node_that_states_its_version_is_vouched_for_with_just_that(gate: StorageVersionGate, state: FakeState):
+def test_the_marker_stored_for_a_peer_holds_the_version_that_the_peer_reported(
+    gate: StorageVersionGate, state: FakeState
+):
     gate.record_reported_version("n1", 2)
     gate.record_reported_version("n2", 3)
     gate.record_reported_version("stranger", 3)
     gate.record_reported_version("n1", "3")
-    asyncio.run(for_a_moment(gate.run()))
+    asyncio.run(run_briefly(gate.run()))
     stored = {key: value["format"] for key, (value, _) in state.keys.items()}
     assert stored == {KEY + "n0": CURRENT_VERSION, KEY + "n1": 2, KEY + "n2": 3}
 
 
-def test_a_marker_that_can_t_be_read_marks_nothing(gate: StorageVersionGate):
+def test_a_malformed_marker_is_ignored(gate: StorageVersionGate):
     for value in (None, "3", {"format": "3"}, {}):
         gate.apply_marker(KEY + "n0", value, 11)
     assert not gate.markers
--- a/tests/storage/test_watch.py
+++ b/tests/storage/test_watch.py
@@ -1,4 +1,4 @@
-"""What the watch gives its observer."""
+"""The events that the watch passes to its observer."""
 
 import asyncio
 import json
@@ -11,8 +11,8 @@
 from hookwall.storage.watch import Watch, WatchProgress
 
 
-class Observer:
-    """Notes what it is given; a full read ends at revision 5."""
+class RecordingObserver:
+    """Records the events that it receives; a full read ends at revision 5."""
 
     def __init__(self, progress: WatchProgress) -> None:
         self.progress = progress
@@ -36,17 +36,17 @@
         return True
 
 
-def watch_all(params: PlatformParameters, clock: Clock, *responses: tuple[int, bytes]):
-    """How far the watch gets, and what its observer is given, until the responses are used up."""
+def run_watch(params: PlatformParameters, clock: Clock, *responses: tuple[int, bytes]):
+    """Run the watch until the responses are used up; returns its progress and the events of its observer."""
     progress = WatchProgress()
-    observer = Observer(progress)
+    observer = RecordingObserver(progress)
     watch = Watch(store_with(params.state, clock, *responses), progress, observer, clock)
     with pytest.raises(IndexError):
         asyncio.run(watch.run())
     return progress, observer.events
 
 
-def test_changes_are_given_in_order_and_unreadable_ones_are_passed_over(params: PlatformParameters, clock: Clock):
+def test_changes_are_delivered_in_order_and_malformed_changes_are_skipped(params: PlatformParameters, clock: Clock):
     log = [
         {"set": "a", "value": 1, "stamp": 6},
         3,
@@ -54,13 +54,13 @@
         {"stamp": 6},
         {"delete": "a", "stamp": 7},
     ]
-    progress, events = watch_all(params, clock, (200, json.dumps({"epoch": 8, "log": log}).encode()))
+    progress, events = run_watch(params, clock, (200, json.dumps({"epoch": 8, "log": log}).encode()))
     assert events == [("read all",), ("set", "a", 1, 6), ("deleted", "a", 7), ("current", clock())]
     assert progress.known_revision() == 8
 
 
-def test_all_keys_are_read_again_after_changes_were_compacted(params: PlatformParameters, clock: Clock):
+def test_all_keys_are_read_again_after_the_store_compacted_changes(params: PlatformParameters, clock: Clock):
     responses = ((200, b'{"epoch":9,"log":[]}'), (410, b"{}"), (200, b'{"epoch":6,"log":[]}'))
-    progress, events = watch_all(params, clock, *responses)
+    progress, events = run_watch(params, clock, *responses)
     assert events == [("read all",), ("current", clock()), ("read all",), ("current", clock())]
     assert progress.watched_revision == 6
