--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -1,8 +1,8 @@
 """Composition of a controller node: every subsystem receives its dependencies in its constructor.
 
-The subsystems are constructed in a fixed order. Invariant: no attribute of a subsystem is assigned after construction.
-Where two subsystems depend on each other, the one that is constructed first receives a function that looks up the other
-one.
+The subsystems are constructed in a fixed order. Invariant: no dependency is assigned to a subsystem after its
+construction. Where two subsystems depend on each other, the one that is constructed first receives a function that
+looks up the other one.
 """
 
 import asyncio
