--- a/hookwall/workers/delegated_leases.py
+++ b/hookwall/workers/delegated_leases.py
@@ -1,7 +1,7 @@
-"""What the leader knows of the leases that followers renew for it.
+"""The leader's knowledge of the worker leases that followers renew on its behalf.
 
-Invariant: a machine counts as delegated from before its lease can be renewed by a follower, and a renewal that may
-have gone unseen counts for every machine.
+Invariant: a machine counts as delegated before any follower can renew its lease. If a delegation may have begun and
+ended without being observed, the lease of every machine counts as possibly renewed.
 """
 
 from collections.abc import Callable
@@ -13,21 +13,21 @@
 
 
 class Delegation(NamedTuple):
-    """One lease delegate's key. `machines` is None where any machine may be meant."""
+    """The stored key of one lease delegate. `machines` is None if the key may name any machine."""
 
     version: int
     machines: frozenset[str] | None
 
 
 def ignore_delegation(_machines: frozenset[str] | None) -> None:
-    """For whoever makes no decisions that rest on expired leases."""
+    """Does nothing; the default for owners that make no decisions based on expired leases."""
 
 
 class DelegatedLeases:
     """The leader's view of the leases that followers renew.
 
-    `on_machines_delegated` is called with machines that a key is seen to name and that it did not name before: what
-    was decided while their leases seemed to have expired rests on a belief that may have been wrong. None: any.
+    `on_machines_delegated` is called with the machines that a key names and did not name before, or with None if the
+    key may name any machine. Decisions that treated the leases of these machines as expired may have been wrong.
     """
 
     def __init__(
@@ -35,52 +35,55 @@
         clock: Callable[[], float],
         on_machines_delegated: Callable[[frozenset[str] | None], None] = ignore_delegation,
     ) -> None:
-        """No key is known yet."""
+        """Starts without any known key."""
         self.clock = clock
         self.on_machines_delegated = on_machines_delegated
         self.delegations: dict[str, Delegation] = {}
-        self.released_at: dict[str, float] = {}  # machine -> when its delegation was seen to have ended
+        self.released_at: dict[str, float] = {}  # machine -> when the end of its delegation was observed
         self.all_released_at = NEVER
 
     def apply_key(self, key: str, value: object, version: int) -> None:
-        """A lease delegate's key as read or watched; version 0: it is deleted. Older versions are ignored."""
+        """Applies a lease delegate's key as read or watched; version 0 means that the key is deleted.
+
+        Versions that are not newer than the known one are ignored.
+        """
         known = self.delegations.get(key)
         if version and known is not None and version <= known.version:
             return
-        before = known.machines if known is not None else frozenset()
+        previous = known.machines if known is not None else frozenset()
         machines = decode_machines(value) if version else frozenset()
-        self._release(before, machines)
+        self._record_ended_delegations(previous, machines)
         if version:
             self.delegations[key] = Delegation(version, machines)
         else:
             self.delegations.pop(key, None)
         if machines is None:
             self.on_machines_delegated(None)
-        elif added := machines - (before or frozenset()):
+        elif added := machines - (previous or frozenset()):
             self.on_machines_delegated(added)
 
-    def _release(self, before: frozenset[str] | None, machines: frozenset[str] | None) -> None:
-        """Leases of machines that a key no longer names may have been renewed until now."""
-        if before is None:
+    def _record_ended_delegations(self, previous: frozenset[str] | None, machines: frozenset[str] | None) -> None:
+        """Records that the leases of machines which a key no longer names may have been renewed until now."""
+        if previous is None:
             self.record_missed_changes()
         elif machines is not None:
             now = self.clock()
-            self.released_at.update((name, now) for name in before - machines)
+            self.released_at.update((name, now) for name in previous - machines)
 
     def record_missed_changes(self) -> None:
-        """A key may have come and gone unseen: any lease may have been renewed until now."""
+        """Records that keys may have appeared and disappeared unobserved: any lease may have been renewed until now."""
         self.all_released_at = self.clock()
 
     def is_delegated(self, machine: str) -> bool:
-        """Whether some key names the machine now."""
+        """Whether any key names the machine now."""
         return any(
             delegation.machines is None or machine in delegation.machines for delegation in self.delegations.values()
         )
 
     def last_possible_renewal(self, machine: str) -> float:
-        """Until when a follower may have renewed the machine's lease, as far as its delegation has ended."""
+        """Returns the latest time at which a follower may have renewed the lease under a delegation that has ended."""
         return max(self.all_released_at, self.released_at.get(machine, NEVER))
 
     def preconditions(self, keys: list[str]) -> list[Precondition]:
-        """The versions of the keys on which each write of the leader is conditional; 0: no such key."""
+        """Returns the key versions on which each write of the leader is conditional; 0 means that the key is absent."""
         return [Precondition(key, self.delegations[key].version if key in self.delegations else 0) for key in keys]
--- a/hookwall/workers/delegation_guard.py
+++ b/hookwall/workers/delegation_guard.py
@@ -1,6 +1,6 @@
-"""The lease delegates' keys as preconditions of the leader's writes, and what follows if they have changed.
+"""Makes the leader's writes conditional on the lease delegates' keys, and voids decisions if those keys have changed.
 
-Invariant: a decision is stored only under the versions of these keys that were known when it was made.
+Invariant: a decision is stored only if these keys still have the versions that were known when it was made.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_WAIT_S = 0.5  # for the watch to deliver what a write found changed
+WATCH_TIMEOUT_S = 0.5  # limit on waiting for the watch to deliver key changes that made a write fail
 WATCH_POLL_S = 0.02
 
 
-def _nothing_watched() -> int:
+def _no_watched_revision() -> int:
     return 0
 
 
 class DelegationGuard:
-    """Voids decisions of the leader that rest on leases which a follower turns out to renew."""
+    """Voids decisions of the leader that treated a lease as expired although a follower may have renewed it."""
 
     def __init__(
         self,
@@ -32,9 +32,9 @@
         delegated_leases: DelegatedLeases,
         delegation_keys: list[str],
         clock: Callable[[], float],
-        watched_revision: Callable[[], int] = _nothing_watched,
+        watched_revision: Callable[[], int] = _no_watched_revision,
     ) -> None:
-        """`watched_revision` is the revision up to which the watch has delivered all changes."""
+        """`watched_revision` returns the revision up to which the watch has delivered all changes."""
         self.table = table
         self.store = store
         self.delegated_leases = delegated_leases
@@ -43,42 +43,46 @@
         self.watched_revision = watched_revision
 
     def preconditions(self) -> list[tuple[str, int]]:
-        """The keys with the versions that are known here."""
+        """Returns the keys with the versions that this node knows."""
         return [*self.delegated_leases.preconditions(self.delegation_keys)]
 
     async def handle_changed_keys(self, changed: list[str], revision: int) -> None:
-        """A follower renews leases that this leader did not know of: what seemed to have expired may not have.
+        """Voids unsaved decisions after a write failed because lease delegates' keys had changed.
 
-        The watch delivers each value that a key has had, so it is waited for. A read shows the last one only, and
-        machines that another value named meanwhile had their leases renewed as well.
+        A follower renews leases without this leader's knowledge, so leases that seemed to have expired may be valid.
+        The watch delivers every value that a key has had, so this method waits for it. A read returns only the latest
+        value, but leases of machines that an intermediate value named were renewed as well.
         """
         log.info("lease delegations changed; unsaved decisions are void: keys=%s", ",".join(changed))
-        if await self._watch_reaches(revision):
+        if await self._wait_for_watch(revision):
             self.table.revert_unsaved()
             return
-        await self._read(changed)
+        await self._read_keys(changed)
         self.void_decisions()
 
     def void_decisions(self) -> None:
-        """Keys may have come and gone unseen: what was decided on leases that seemed to have expired is void."""
+        """Voids all unsaved decisions, because delegates' keys may have appeared and disappeared unobserved."""
         self.delegated_leases.record_missed_changes()
         self.table.revert_unsaved()
 
-    async def _watch_reaches(self, revision: int) -> bool:
-        """Wait for the watch to deliver all changes up to a revision; False if it takes too long."""
-        deadline = self.clock() + WATCH_WAIT_S
+    async def _wait_for_watch(self, revision: int) -> bool:
+        """Waits for the watch to deliver all changes up to `revision`.
+
+        Returns False if the watch does not reach it in time, or if the revision is unknown (0).
+        """
+        deadline = self.clock() + WATCH_TIMEOUT_S
         while self.watched_revision() < revision and self.clock() < deadline:  # noqa: ASYNC110 - the watch has no event
             await asyncio.sleep(WATCH_POLL_S)
         return self.watched_revision() >= revision > 0
 
-    async def _read(self, changed: list[str]) -> None:
-        """Read keys that the watch has not delivered."""
+    async def _read_keys(self, changed: list[str]) -> None:
+        """Reads the keys that the watch has not delivered in time."""
         for key in changed:
             try:
-                found = await self.store.get(key)
+                entry = await self.store.get(key)
             except (RequestRejectedError, OutcomeUnknownError):
                 continue
-            if found is not None:
-                self.delegated_leases.apply_key(key, *found)
+            if entry is not None:
+                self.delegated_leases.apply_key(key, *entry)
             elif key in self.delegated_leases.delegations:
                 self.delegated_leases.apply_key(key, None, 0)
--- a/hookwall/workers/delegation_record.py
+++ b/hookwall/workers/delegation_record.py
@@ -1,6 +1,7 @@
-"""The value of a lease delegate's key: the machines whose leases the node renews, in three forms.
+"""The stored value of a lease delegate's key: the machines whose leases the node renews, in one of three forms.
 
-Invariant: what can't be read stands for any machine, so that no lease that a follower renews counts as expired.
+Invariant: a value that can't be decoded stands for any machine, so that no lease that a follower renews counts as
+expired.
 """
 
 import logging
@@ -23,7 +24,7 @@
 
 
 class NameForm(Enum):
-    """The most compact form of machine names that all nodes read. Short lists stay plain in each."""
+    """The most compact form of machine names that all nodes can read. Lists that fit in plain form stay plain."""
 
     PLAIN = "plain"
     PACKED = "packed"
@@ -31,26 +32,26 @@
 
 
 class EncodedDelegation(NamedTuple):
-    """A value that fits, and the machines that it names."""
+    """A value within the size limit, and the machines that it names."""
 
     value: dict[str, object]
     machines: list[str]
 
 
 def encode_machines(fencing_token: int, machines: Sequence[str], form: NameForm, max_bytes: int) -> EncodedDelegation:
-    """The value that names the machines; where it would exceed `max_bytes`, as many of the first ones as fit."""
+    """Encodes the machine names; drops names from the end of the list until the value fits into `max_bytes`."""
     names = list(machines)
-    value = _encode_all(fencing_token, names, form, max_bytes)
+    value = _encode_if_fits(fencing_token, names, form, max_bytes)
     while value is None:
         del names[len(names) * 3 // 4 :]
-        value = _encode_all(fencing_token, names, form, max_bytes)
+        value = _encode_if_fits(fencing_token, names, form, max_bytes)
     if len(names) < len(machines):
         log.error("lease delegation truncated to the value limit: named=%d requested=%d", len(names), len(machines))
     return EncodedDelegation(value, names)
 
 
-def _encode_all(fencing_token: int, names: list[str], form: NameForm, max_bytes: int) -> dict[str, object] | None:
-    """The first form that is small enough, or None."""
+def _encode_if_fits(fencing_token: int, names: list[str], form: NameForm, max_bytes: int) -> dict[str, object] | None:
+    """Returns the plain form if it fits into `max_bytes`, else the compact form `form` if that fits, else None."""
     value: dict[str, object] = {_FENCING_TOKEN: fencing_token, _MACHINES: names}
     if json_bytes(value) <= max_bytes:
         return value
@@ -64,9 +65,9 @@
 
 
 def decode_machines(value: object) -> frozenset[str] | None:
-    """The machines that a stored value names; None, which stands for any, where that can't be read."""
+    """Returns the machines that a stored value names, or None, which stands for any machine, if it is malformed."""
     if not isinstance(value, dict):
-        log.error("malformed lease delegation reason=not an object")
+        log.error("malformed lease delegation: reason=not an object")
         return None
     names = value.get(_MACHINES)
     try:
@@ -78,6 +79,6 @@
         log.error("malformed lease delegation: reason=%s", error)
         return None
     if not isinstance(names, list):
-        log.error("malformed lease delegation reason=no machines")
+        log.error("malformed lease delegation: reason=no list of machines")
         return None
     return frozenset(str(name) for name in names)
--- a/hookwall/workers/fleet.py
+++ b/hookwall/workers/fleet.py
@@ -1,14 +1,15 @@
-"""The fleet of a leader: its machines as their workers' heartbeats show them, and the commands that answer those.
+"""The leader's view of the fleet: the state of machines as heartbeats report it, and the commands sent in response.
 
-The leader's picture of a machine is what the records say may be on it (`Machine.allocations`), and what its worker
-last reported. An allocation is released only when it was shown to be gone:
+The leader's view of a machine consists of the tasks that may run on it according to the job records
+(`Machine.allocations`) and of the last report of its worker. An allocation is released only after its task is proven to
+be gone by one of the following:
 
 - the worker reports the task as exited, or
 - the worker is in a later epoch than the one in which the start was decided, or
-- a heartbeat that is newer than the launch, with our fencing token, does not contain it, or
-- the cloud has confirmed the machine's deletion with a 200, or
-- no node can have answered the worker for longer than its lease, drift and a margin: neither this leader, nor one
-  before it, nor a follower that renews leases for the leader (see `lease_delegate`).
+- a heartbeat that is newer than the launch and carries the leader's fencing token does not report the task, or
+- the cloud has confirmed the deletion of the machine with status 200, or
+- no node can have answered the worker for longer than its lease, clock drift and a margin. This covers the current
+  leader, earlier leaders, and followers that renew leases on behalf of the leader (see `lease_delegate`).
 """
 
 from collections.abc import Callable
@@ -25,7 +26,7 @@
 
 
 class Fleet(FleetTransitions):
-    """The leader's picture of all machines. A new leader starts with an empty one."""
+    """The leader's view of all machines. A new leader starts with an empty fleet."""
 
     def __init__(
         self,
@@ -35,9 +36,10 @@
         on_change: Callable[[], None] = ignore_change,
         on_machines_delegated: Callable[[frozenset[str] | None], None] = ignore_delegation,
     ) -> None:
-        """An empty fleet for the jobs of `table`.
+        """Creates an empty fleet for the jobs of `table`.
 
-        `on_change` is called when a round may find something to do; `on_machines_delegated` as `DelegatedLeases` says.
+        `on_change` is called after changes that may give a scheduling round work to do. `on_machines_delegated` is
+        passed to `DelegatedLeases`.
         """
         super().__init__(params, table, clock, on_change)
         self.delegated_leases = DelegatedLeases(clock, on_machines_delegated)
@@ -46,7 +48,10 @@
         self.heartbeat_handler = HeartbeatHandler(self, self.successor_hints)
 
     def reset(self, token: int) -> None:
-        """Forget everything: a new leader believes records, lists and heartbeats only."""
+        """Discards what is known of the machines.
+
+        A new leader relies only on job records, the cloud's machine lists and heartbeats.
+        """
         for machine in self.machines.values():
             self.set_unrecorded_tasks(machine, set())
         self.machines.clear()
@@ -59,17 +64,17 @@
             self.attach_allocations(job)
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
-        """Apply a heartbeat and return the response's commands. None: too old to be answered."""
+        """Applies a heartbeat and returns the commands of the response, or None if the heartbeat is outdated."""
         return self.heartbeat_handler.process_heartbeat(heartbeat)
 
     def expire_leases(self, now: float) -> None:
-        """Release everything on machines whose worker can't have a lease any more."""
+        """Releases all allocations on machines whose workers' leases must have expired."""
         self.lease_expiry.expire_leases(now)
 
     def confirm_deletion(self, machine: Machine, reason: str) -> None:
-        """The cloud has confirmed that the machine is deleted."""
+        """Removes a machine after the cloud has confirmed its deletion."""
         self.release_all_allocations(machine, reason)
         self.transition_to(machine, MachinePhase.DELETED, reason)
         self.machines.pop(machine.name, None)
         self.deleted_names.add(machine.name)
-        self.lease_expiry.expired_machines.discard(machine.name)  # whoever renewed its lease, nothing runs there
+        self.lease_expiry.expired_machines.discard(machine.name)  # even if its lease was renewed, nothing runs on it
--- a/hookwall/workers/fleet_state.py
+++ b/hookwall/workers/fleet_state.py
@@ -1,8 +1,8 @@
-"""What the leader knows of all machines, machine types and names.
+"""The leader's state of all machines, machine types and name indices.
 
-Invariant: `machines` holds each machine that records, heartbeats or the cloud's list name and whose deletion the cloud
-has not confirmed; a machine's index in `machines_by_index` never changes within a leadership. Nothing here decides:
-`fleet_transitions` changes phases and allocations.
+Invariant: `machines` holds each machine that is named by job records, heartbeats or the cloud's list and whose deletion
+the cloud has not confirmed. A machine's index in `machines_by_index` never changes within a leadership. This module
+makes no decisions; `fleet_transitions` changes phases and allocations.
 """
 
 from collections.abc import Callable
@@ -14,10 +14,10 @@
 
 
 class FleetState:
-    """Machines, machine types and the indices of names, with look-ups on them."""
+    """Holds machines, machine types and name indices, and provides look-ups on them."""
 
     def __init__(self, params: PlatformParameters, clock: Callable[[], float]) -> None:
-        """No machines and no catalog; zones and teams of the settings have the lowest indices."""
+        """Starts without machines and catalog; zones and teams from the settings get the lowest indices."""
         self.params = params
         self.clock = clock
         self.type_names = NameIndex()
@@ -32,28 +32,28 @@
         self.machine_types: list[MachineType | None] = []
         self.machines: dict[str, Machine] = {}
         self.machines_by_index: list[Machine] = []
-        self.deleted_names: set[str] = set()  # deletion confirmed; the cloud's late lists still name them
-        self.on_demand_images: set[int] = set()  # of jobs that can't run on spot instances
-        self.cordoned: set[str] = set()  # machines that get no new work, since they are being drained (drains/)
-        self.in_maintenance: set[str] = set()  # those of them that are empty: their workers may be unresponsive
+        self.deleted_names: set[str] = set()  # deletion is confirmed; outdated lists of the cloud may still name them
+        self.on_demand_images: set[int] = set()  # images of jobs that can't run on spot instances
+        self.cordoned: set[str] = set()  # machines that get no new work because they are being drained (drains/)
+        self.in_maintenance: set[str] = set()  # cordoned machines that are empty; their workers may be unresponsive
         self.fencing_token = 0
-        self.valid_since: float | None = None  # since when no other node can have answered a worker
+        self.valid_since: float | None = None  # time since which no other node can have answered a worker
 
-    # -- this leadership -----------------------------------------------------------------------
+    # -- leadership validity -------------------------------------------------------------------
 
     def begin_validity(self, now: float) -> None:
-        """From now on no other node can answer a worker; leases are counted from here."""
+        """Starts counting leases, because from now on no other node can answer a worker."""
         if self.valid_since is None:
             self.valid_since = now
 
     def end_validity(self) -> None:
-        """This leader was not valid for a while, so another node may have answered workers meanwhile."""
+        """Stops counting leases, because another node may have answered workers while this leader was not valid."""
         self.valid_since = None
 
     # -- machine types -------------------------------------------------------------------------
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Replace what is known of the machine types."""
+        """Replaces the catalog of machine types."""
         self.catalog = catalog
         for machine_type in catalog.types:
             index = self.type_names.index_of(machine_type.name)
@@ -63,23 +63,26 @@
         self.invalidate_free_capacity()
 
     def invalidate_free_capacity(self) -> None:
-        """What free capacity is computed from has changed on all machines: rare, unlike rounds."""
+        """Drops the cached free capacity of all machines after a change that affects each of them.
+
+        Such changes are rare compared to scheduling rounds.
+        """
         for machine in self.machines.values():
             machine.free_capacity = None
 
     def machine_type(self, type_: int) -> MachineType | None:
-        """The machine type with this index; None while the catalog does not have it."""
+        """Returns the machine type with this index, or None while the catalog does not contain it."""
         return self.machine_types[type_] if 0 <= type_ < len(self.machine_types) else None
 
     def image_fetch_s(self, type_: int, gb: float) -> float:
-        """Seconds that a machine of the type takes to fetch an image; 0 where the catalog names no rate."""
+        """Returns the seconds that a machine of the type takes to fetch an image; 0 if the catalog gives no rate."""
         info = self.machine_type(type_)
         return gb / info.image_pull_gb_per_s if info is not None and info.image_pull_gb_per_s > 0 else 0.0
 
     # -- machines ------------------------------------------------------------------------------
 
     def ensure_machine(self, name: str, type_: str, zone: str, spot: bool) -> Machine:
-        """The machine of this name, new if nothing has named it before. An empty `type_` is not known."""
+        """Returns the machine of this name and creates it if necessary. An empty `type_` means that it is unknown."""
         machine = self.machines.get(name)
         if machine is None:
             machine = Machine(
@@ -102,7 +105,7 @@
         return machine
 
     def zone_of(self, name: str) -> int:
-        """The zone of a machine, or UNKNOWN_ZONE while only records name it."""
+        """Returns the zone of a machine, or UNKNOWN_ZONE while only job records name the machine."""
         machine = self.machines.get(name)
         return machine.zone if machine is not None and self.zone_names.names[machine.zone] else UNKNOWN_ZONE
 
@@ -120,7 +123,10 @@
         )
 
     def free_capacity(self, machine: Machine) -> FreeCapacity:
-        """What is free on a machine whose type is known. Cached until something there changes: rounds are frequent."""
+        """Returns the free capacity of a machine whose type is known.
+
+        The result is cached until something on the machine changes, because scheduling rounds are frequent.
+        """
         if machine.free_capacity is not None:
             return machine.free_capacity
         info = self.machine_type(machine.type)
@@ -135,7 +141,7 @@
                 free.cpus -= spec.cpus
                 free.gpus -= spec.gpus
                 free.memory -= spec.memory_gb
-                images.add(job.image_index)  # being fetched: one fetch serves all tasks that wait for it
+                images.add(job.image_index)  # being fetched; one fetch serves all tasks that wait for the image
         free.price = info.spot_price if machine.spot else info.price
         free.penalty = float(machine.consecutive_errors)
         free.cached_images = images
@@ -146,11 +152,11 @@
     # -- images --------------------------------------------------------------------------------
 
     def on_demand_image_gb(self, machine: Machine) -> float:
-        """GB of cached images on the machine that jobs which can't run on spot instances use."""
+        """Returns the GB of images cached on the machine that belong to jobs which can't run on spot instances."""
         return sum(gb for image, gb in machine.cached_images.items() if image in self.on_demand_images)
 
     def record_image_use(self, machine: Machine, image: int, gb: float) -> None:
-        """The machine has used an image just now; least recently used ones beyond the cache's size are evicted."""
+        """Records that the machine has just used an image, and evicts least recently used images from a full cache."""
         machine.cached_images.pop(image, None)
         machine.cached_images[image] = gb
         machine.free_capacity = None
--- a/hookwall/workers/fleet_transitions.py
+++ b/hookwall/workers/fleet_transitions.py
@@ -1,7 +1,7 @@
-"""Every change of a machine's phase and of the allocations on it.
+"""All changes of machine phases and of the allocations on machines.
 
-Invariant: an allocation is in its job and on its machine, or in neither, and it is released only when it was shown to
-be gone (see `fleet`).
+Invariant: an allocation is registered both with its job and with its machine, or with neither. It is released only
+after its task is proven to be gone (see `fleet`).
 """
 
 import logging
@@ -19,19 +19,19 @@
 
 
 def ignore_change() -> None:
-    """For whoever runs no rounds."""
+    """Does nothing; the default for owners that run no scheduling rounds."""
 
 
 def _ignore_stop(_job: Job) -> None:
-    """While no drain is known."""
+    """Does nothing; the default until a drain is requested."""
 
 
 def _ignore_release(_job: Job, _allocation: Allocation) -> None:
-    """While no drain is known."""
+    """Does nothing; the default until a drain is requested."""
 
 
 class FleetTransitions(FleetState):
-    """The state of the fleet with the transitions on it; each that matters to a round calls `on_change`."""
+    """The state of the fleet and its transitions. Transitions that affect scheduling rounds call `on_change`."""
 
     def __init__(
         self,
@@ -40,16 +40,16 @@
         clock: Callable[[], float],
         on_change: Callable[[], None] = ignore_change,
     ) -> None:
-        """An empty fleet for the jobs of `table`."""
+        """Creates an empty fleet for the jobs of `table`."""
         super().__init__(params, clock)
         self.table = table
         self.on_change = on_change
-        # Set by the drains, which exist only once a drain was requested: they charge the disruption to a budget.
+        # Set by the drain controller, which exists only after a drain was requested. It charges disruptions to budgets.
         self.on_stop_requested: Callable[[Job], None] = _ignore_stop
         self.on_allocation_released: Callable[[Job, Allocation], None] = _ignore_release
 
     def transition_to(self, machine: Machine, phase: MachinePhase, reason: str) -> None:
-        """The one function for every change of a machine's phase."""
+        """Changes the phase of a machine. No other function does so."""
         if machine.phase is phase:
             return
         log.info(
@@ -62,7 +62,7 @@
     # -- allocations ---------------------------------------------------------------------------
 
     def attach_allocations(self, job: Job) -> None:
-        """Fill in a job's indices, and add its allocations to their machines."""
+        """Sets a job's name indices and adds its allocations to their machines."""
         spec = job.spec
         if spec is None:
             return
@@ -81,9 +81,9 @@
             machine = self.ensure_machine(allocation.machine, "", "", False)
             self._attach(job, allocation, machine)
 
-    def replace_allocations(self, job: Job, before: Iterable[Allocation]) -> None:
-        """A job's record was replaced by another node's write: its allocations are those of the new record."""
-        for allocation in before:
+    def replace_allocations(self, job: Job, previous: Iterable[Allocation]) -> None:
+        """Replaces a job's allocations on the machines after another node's write has replaced the job's record."""
+        for allocation in previous:
             machine = self.machines.get(allocation.machine)
             key = TaskId(job.job_id, allocation.task)
             if machine is not None and machine.allocations.pop(key, None) is not None:
@@ -92,7 +92,7 @@
         self.on_change()
 
     def allocate(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> Allocation:
-        """Decide to start a task on a machine; no launch is sent before the decision is stored."""
+        """Allocates a machine to a task; no launch command is sent before this decision is stored."""
         allocation = Allocation(task, machine.name, machine.epoch, attempt, now)
         job.allocations[task] = allocation
         job.has_unsaved_changes = True
@@ -105,7 +105,7 @@
         machine.free_capacity = None
 
     def release_allocation(self, job: Job, allocation: Allocation, reason: str) -> None:
-        """An allocation is shown to be gone: its task is pending again unless it is done."""
+        """Releases an allocation that is proven to be gone; its task becomes pending again unless it is done."""
         machine = self.machines.get(allocation.machine)
         if machine is not None:
             if job.spec is not None and not job.spec.spot:
@@ -123,15 +123,16 @@
         self.on_change()
 
     def release_all_allocations(self, machine: Machine, reason: str) -> None:
-        """Everything on a machine is shown to be gone."""
+        """Releases all allocations and unrecorded tasks of a machine; all of them are proven to be gone."""
         for job, allocation in list(machine.allocations.values()):
             self.release_allocation(job, allocation, reason)
         self.set_unrecorded_tasks(machine, set())
 
     def set_unrecorded_tasks(self, machine: Machine, tasks: set[TaskId]) -> None:
-        """Replace the tasks that a worker reports and that no allocation known here explains.
+        """Replaces the set of tasks that a worker reports without a matching allocation known to this leader.
 
-        However that came about, they are there: they are not started anywhere else until they are shown gone.
+        Whatever the cause, these tasks are on the machine, so they are not started on another machine until they are
+        proven to be gone.
         """
         for job_id, task in machine.unrecorded_tasks - tasks:
             if job_id in self.table.jobs:
@@ -142,14 +143,17 @@
         machine.unrecorded_tasks = tasks
 
     def request_stop(self, job: Job, allocation: Allocation, grace_s: float, reason: str) -> None:
-        """Have a task stopped in order, or all tasks of a gang. Commands follow in heartbeat responses."""
+        """Requests a graceful stop of a task, or of all tasks if the job is a gang.
+
+        Heartbeat responses carry the stop commands.
+        """
         if allocation.stop_grace_s is not None:
             return
         self.on_stop_requested(job)
         stopped = job.allocations.values() if job.spec is not None and job.spec.gang else (allocation,)
-        for each in stopped:
-            if each.stop_grace_s is None:
-                each.stop_grace_s = grace_s
+        for stopped_allocation in stopped:
+            if stopped_allocation.stop_grace_s is None:
+                stopped_allocation.stop_grace_s = grace_s
         log.debug(
             "stop requested: job=%s task=%d machine=%s reason=%s",
             job.job_id, allocation.task, allocation.machine, reason,
--- a/hookwall/workers/heartbeat_handler.py
+++ b/hookwall/workers/heartbeat_handler.py
@@ -1,7 +1,7 @@
-"""Workers' heartbeats: what they show of a machine and its worker, and the commands that answer them.
+"""Applies workers' heartbeats to the leader's view of the fleet and builds the commands of the responses.
 
-Invariant: a heartbeat is applied only if it is newer than all that is known of the machine; a late copy changes
-nothing and gets no answer.
+Invariant: a heartbeat is applied only if it is newer than everything known about the machine. A delayed or duplicated
+heartbeat changes nothing and gets no commands.
 """
 
 import logging
@@ -16,29 +16,30 @@
 log = logging.getLogger(__name__)
 
 MAX_COMMANDS = 300
-UNACKNOWLEDGED_S = 4.5  # a worker waits 4 s for a response, and a second later sends its heartbeat to another node
+# A worker waits 4 s for a response, and sends its heartbeat to another node a second later.
+ACKNOWLEDGEMENT_TIMEOUT_S = 4.5
 PREEMPTIBLE_PHASES = (MachinePhase.UP, MachinePhase.QUARANTINED, MachinePhase.DRAINING)
 
 
 class HeartbeatHandler:
-    """Applies heartbeats to the leader's picture of the fleet."""
+    """Applies heartbeats to the leader's view of the fleet."""
 
     def __init__(self, fleet: FleetTransitions, hints: SuccessorHints) -> None:
-        """`hints` names the images that a machine had under the last leader."""
+        """`hints` provides the images that a machine had cached under the previous leader."""
         self.fleet = fleet
         self.hints = hints
         self.tasks = TaskReconciliation(fleet)
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
-        """Apply a heartbeat and return the response's commands. None: too old to be answered."""
+        """Applies a heartbeat and returns the commands of the response, or None if the heartbeat is outdated."""
         now = self.fleet.clock()
         if heartbeat.machine in self.fleet.deleted_names:
-            return None  # a late copy must not bring back a machine that is deleted
+            return None  # a delayed heartbeat must not bring back a deleted machine
         machine = self.fleet.ensure_machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
         if _is_outdated(machine, heartbeat):
             return None
         if machine.phase is MachinePhase.BOOTING:
-            self._begin_service(machine, now)
+            self._handle_first_heartbeat(machine, now)
         self._track_acknowledgement(machine, heartbeat, now)
         if heartbeat.epoch > machine.epoch:
             self._begin_epoch(machine, heartbeat.epoch)
@@ -51,8 +52,8 @@
             self._stop_before_preemption(machine)
         return commands[:MAX_COMMANDS]
 
-    def _begin_service(self, machine: Machine, now: float) -> None:
-        """The first heartbeat of a machine that this leader has seen."""
+    def _handle_first_heartbeat(self, machine: Machine, now: float) -> None:
+        """Handles the first heartbeat that this leader receives from a machine."""
         machine.first_heartbeat_at = now
         machine.free_capacity = None
         self.hints.restore_images(machine)
@@ -60,7 +61,7 @@
         self.fleet.transition_to(machine, MachinePhase.UP, f"first heartbeat after {elapsed_s:.1f} s")
 
     def _begin_epoch(self, machine: Machine, epoch: int) -> None:
-        """The worker has begun a later epoch: it has ended everything that was started in earlier ones."""
+        """Releases the allocations of earlier epochs: a worker that begins an epoch has ended all earlier tasks."""
         machine.may_run_cancelled_tasks = False
         for job, allocation in list(machine.allocations.values()):
             if allocation.epoch < epoch:
@@ -68,22 +69,23 @@
         machine.epoch = epoch
 
     def _track_acknowledgement(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Follow whether our responses reach the worker; while they don't it gets no new work.
+        """Tracks whether responses reach the worker; a worker that they don't reach gets no new work.
 
-        Its heartbeats may arrive all the same, as may late copies of them, so that it looks alive while its lease runs
-        out. What shows that a response arrived is our fencing token, in the epoch of the heartbeat before, and sooner
-        than a worker sends one that has waited for a response in vain.
+        Heartbeats, or delayed copies of them, may arrive even though responses are lost, so a worker may look alive
+        while its lease runs out. A heartbeat proves that a response arrived if it carries this leader's fencing token,
+        belongs to the same epoch as the previous heartbeat, and arrives sooner than it could if the worker had waited
+        for a response in vain.
         """
         if heartbeat.fencing_token != self.fleet.fencing_token or heartbeat.epoch != machine.epoch:
             if machine.acknowledges:
                 log.info("heartbeat shows no response received: machine=%s", machine.name)
-            # The first heartbeat of all: it has had no chance yet. A worker that has just begun, as one that
-            # has seen no token has, is trusted to get the response, and finds its first tasks in the next:
-            # half a second later instead of three, of the 60 in which urgent work is to begin.
+            # A worker can't have received a response before its first heartbeat. A worker that has just started has no
+            # fencing token yet (0). It is assumed to receive this response, so that the next one can launch its first
+            # tasks: half a second later instead of three seconds later. Urgent work is to begin within 60 s.
             machine.acknowledges = machine.epoch == 0 and heartbeat.epoch == 1 and heartbeat.fencing_token == 0
             if machine.epoch == 0:
                 machine.acknowledged_at = now
-        elif now - machine.last_response_at < UNACKNOWLEDGED_S:
+        elif now - machine.last_response_at < ACKNOWLEDGEMENT_TIMEOUT_S:
             machine.acknowledged_at = now
             if machine.unresponsive:
                 log.info("machine responsive again: machine=%s", machine.name)
@@ -93,7 +95,7 @@
                 self.fleet.on_change()
 
     def _apply_preemption_notice(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """The first notice counts: the cloud takes the machine that many seconds after it."""
+        """Records the first preemption notice: the cloud preempts the machine `preemption_notice_s` seconds later."""
         notice_s = heartbeat.preemption_notice_s
         if notice_s is None or machine.preemption_at is not None:
             return
@@ -102,7 +104,7 @@
             self.fleet.transition_to(machine, MachinePhase.PREEMPTION_NOTICED, f"preemption in {notice_s:.1f} s")
 
     def _stop_before_preemption(self, machine: Machine) -> None:
-        """Stop what writes checkpoints, in time for one."""
+        """Requests a stop of all tasks that write checkpoints, so that they can write one before the preemption."""
         for job, allocation in machine.allocations.values():
             spec = job.spec
             if spec is None or allocation.stop_grace_s is not None or spec.checkpoint_interval_s <= 0:
@@ -111,9 +113,9 @@
 
 
 def _is_outdated(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat is a late copy."""
+    """Whether a heartbeat is a delayed or duplicated one, older than what is known of the machine."""
     if (heartbeat.epoch, heartbeat.sequence) <= (machine.epoch, machine.sequence):
         return True
-    # A copy from before the epoch in which the records have started something there: a new leader that
-    # had seen nothing newer took the difference for the end of those tasks.
+    # According to the records, tasks were started on the machine in a later epoch than that of the heartbeat. A new
+    # leader that had seen no newer heartbeat concluded from the different epoch that those tasks had ended.
     return any(allocation.epoch > heartbeat.epoch for _, allocation in machine.allocations.values())
--- a/hookwall/workers/heartbeat_router.py
+++ b/hookwall/workers/heartbeat_router.py
@@ -1,7 +1,7 @@
-"""Workers' heartbeats as they reach a node: a leader answers, a follower renews a lease for it or redirects.
+"""Routes workers' heartbeats on a node: a leader answers them, a follower renews the lease or redirects the worker.
 
-Invariant: a lease is renewed only by a valid leader or by a covered lease delegate, and only while this node's
-knowledge of cancellations is recent enough.
+Invariant: a lease is renewed only by a valid leader, or by a lease delegate whose stored key names the machine, and
+only while this node's knowledge of cancellations is recent enough.
 """
 
 import logging
@@ -33,11 +33,11 @@
 
 
 def _ignore_heartbeat() -> None:
-    """For whoever writes no decisions."""
+    """Does nothing; the default for owners that store no decisions."""
 
 
 class HeartbeatRouter:
-    """Decides which response a heartbeat gets on this node."""
+    """Chooses the response to each heartbeat that reaches this node."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         clock: Callable[[], float],
         on_heartbeat_processed: Callable[[], None] = _ignore_heartbeat,
     ) -> None:
-        """`on_heartbeat_processed` is called when a heartbeat may have changed what has to be stored."""
+        """`on_heartbeat_processed` is called after a heartbeat that may have caused changes to be stored."""
         self.leadership = leadership
         self.fleet = fleet
         self.lease_delegate = lease_delegate
@@ -57,7 +57,11 @@
         self.on_heartbeat_processed = on_heartbeat_processed
 
     def respond(self, body: bytes) -> HeartbeatReply | Awaitable[HeartbeatReply]:
-        """The response to a heartbeat. A leader has it at once; a lease delegate may have to store its key first."""
+        """Returns the response to a heartbeat.
+
+        A leader returns it immediately. A lease delegate may have to store its key first, so a follower may return an
+        awaitable.
+        """
         try:
             heartbeat = heartbeat_messages.decode_heartbeat(body)
         except MalformedMessageError as error:
@@ -74,9 +78,9 @@
         return self._redirect(target) if target is not None else self._renew_lease(heartbeat)
 
     def _respond_as_leader(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """The response of a valid leader."""
+        """Returns the response of a valid leader."""
         if not self.cancellations.may_renew_leases():
-            return UNAVAILABLE  # too long without news of cancellations: this lease has to end in time
+            return UNAVAILABLE  # knowledge of cancellations is too old; the lease must expire in time
         self.fleet.begin_validity(self.clock())
         commands = self.fleet.process_heartbeat(heartbeat)
         if commands is None:
@@ -85,13 +89,13 @@
         return HeartbeatReply(200, msgspec.json.encode(HeartbeatResponse(self.leadership.fencing_token, commands)))
 
     async def _renew_lease(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Renew the lease of a worker that has lost its leader, or redirect it."""
+        """Renews the lease of a worker that has lost contact with the leader, or redirects the worker."""
         commands = await self.lease_delegate.renew_lease(heartbeat)
         if commands is None:
             return self._redirect(self.leadership.leader_name())
         return HeartbeatReply(200, msgspec.json.encode(HeartbeatResponse(self.lease_delegate.fencing_token, commands)))
 
     def _redirect(self, leader: str | None) -> HeartbeatReply:
-        """Name the leader to a worker, if one is known."""
+        """Returns a redirect that names the leader, if another node is known to lead."""
         target = {"overseer": leader} if leader and leader != self.leadership.node_name else {}
         return HeartbeatReply(421, msgspec.json.encode(target))
--- a/hookwall/workers/lease_expiry.py
+++ b/hookwall/workers/lease_expiry.py
@@ -1,7 +1,7 @@
-"""Expiry of workers' leases: from when on no node can have renewed one for longer than it lasts.
+"""Expiry of workers' leases: a lease has expired once no node can have renewed it for longer than its duration.
 
-Invariant: nothing on a machine is released here before its lease, the clocks' drift and a margin have passed since the
-last response that this leader, one before it or a follower can have sent it.
+Invariant: allocations are released here only after the lease duration, the clock drift and a margin have passed since
+the last response that this leader, an earlier leader or a follower can have sent to the machine.
 """
 
 import logging
@@ -15,31 +15,31 @@
 log = logging.getLogger(__name__)
 
 LEASE_MARGIN_S = 0.5
-UNRESPONSIVE_HEARTBEATS = 3  # so many heartbeat periods without an acknowledgement
+UNRESPONSIVE_HEARTBEAT_PERIODS = 3  # periods without an acknowledgement until a machine counts as unresponsive
 
 
 class LeaseExpiry:
-    """Follows when each worker can last have been answered, by this leader or by a follower."""
+    """Determines when each worker can last have been answered, by a leader or by a follower."""
 
     def __init__(self, fleet: FleetTransitions, delegated_leases: DelegatedLeases) -> None:
-        """For the machines of `fleet`, whose leases followers may renew as `delegated_leases` says."""
+        """Watches the machines of `fleet`; `delegated_leases` tells which leases followers may renew."""
         self.fleet = fleet
         self.delegated_leases = delegated_leases
         workers = fleet.params.workers
         self.expiry_s = workers.lease_s * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_S
-        self.unresponsive_s = workers.report_s * UNRESPONSIVE_HEARTBEATS
-        # Machines whose allocations were released since no node can have renewed their leases.
+        self.unresponsive_s = workers.report_s * UNRESPONSIVE_HEARTBEAT_PERIODS
+        # Machines whose allocations were released because no node can have renewed their leases.
         self.expired_machines: set[str] = set()
 
     def expire_leases(self, now: float) -> None:
-        """Release everything on machines whose worker can't have a lease any more."""
+        """Releases all allocations on machines whose workers' leases must have expired."""
         valid_since = self.fleet.valid_since
         if valid_since is None:
             return
-        soon = min(self.expiry_s, self.unresponsive_s)
+        min_timeout_s = min(self.expiry_s, self.unresponsive_s)
         for machine in list(self.fleet.machines.values()):
-            # Most were answered a moment ago: whatever could be over counts from later.
-            if now - machine.last_response_at <= soon and now - machine.acknowledged_at <= soon:
+            # Fast path: most machines were answered recently, so none of their timeouts can have passed.
+            if now - machine.last_response_at <= min_timeout_s and now - machine.acknowledged_at <= min_timeout_s:
                 continue
             if not machine.unresponsive and self._is_unresponsive(machine, valid_since, now):
                 machine.unresponsive = True
@@ -50,14 +50,17 @@
                 self._expire(machine)
 
     def retract_expiry(self, delegated: frozenset[str] | None) -> bool:
-        """Whether some expired lease is one of those that a follower turns out to renew; None: any may be."""
-        wrong = self.expired_machines if delegated is None else self.expired_machines & delegated
-        found = bool(wrong)
-        self.expired_machines -= set(wrong)
-        return found
+        """Returns whether any of the delegated machines was treated as expired, and no longer counts them as expired.
+
+        `delegated` is None if it may be any machine.
+        """
+        wrongly_expired = self.expired_machines if delegated is None else self.expired_machines & delegated
+        any_wrongly_expired = bool(wrongly_expired)
+        self.expired_machines -= set(wrongly_expired)
+        return any_wrongly_expired
 
     def _has_expired(self, machine: Machine, valid_since: float, now: float) -> bool:
-        """Whether something may be on the machine whose lease no node can have renewed in time."""
+        """Whether tasks may be on the machine and no node can have renewed its lease in time."""
         if not machine.allocations and not machine.unrecorded_tasks:
             return False
         if now - max(machine.last_response_at, valid_since) <= self.expiry_s:
@@ -67,9 +70,9 @@
         return now - self.delegated_leases.last_possible_renewal(machine.name) > self.expiry_s
 
     def _expire(self, machine: Machine) -> None:
-        """Release everything on a machine."""
+        """Releases all allocations on a machine whose lease has expired."""
         log.info("lease expired: machine=%s tasks=%d", machine.name, len(machine.allocations))
-        # A machine that hangs ends its tasks only when it goes on; cancelled ones must be gone before.
+        # A hanging machine ends its tasks only after it resumes, but cancelled tasks must be gone earlier.
         machine.may_run_cancelled_tasks = machine.may_run_cancelled_tasks or any(
             job.phase == CANCELLED for job, _ in machine.allocations.values()
         )
@@ -77,7 +80,10 @@
         self.fleet.release_all_allocations(machine, "lease expired")
 
     def _is_unresponsive(self, machine: Machine, valid_since: float, now: float) -> bool:
-        """Whether heartbeats that should come don't. A machine that has not come to a new leader has a lease's time."""
+        """Whether the expected heartbeats or acknowledgements of the machine are missing.
+
+        A machine that has sent no heartbeat to this leader yet has as much time for it as a lease takes to expire.
+        """
         if machine.first_heartbeat_at >= 0:
             return now - machine.acknowledged_at > self.unresponsive_s
         return machine.listed_running_at >= 0 and now - max(machine.listed_running_at, valid_since) > self.expiry_s
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -1,6 +1,6 @@
-"""One machine as the leader knows it, and the dense indices of names.
+"""The leader's state of one machine, and dense indices of names.
 
-Invariant: a task is in `Machine.allocations` or `Machine.unrecorded_tasks` for as long as it may run there.
+Invariant: a task is in `Machine.allocations` or `Machine.unrecorded_tasks` for as long as it may run on the machine.
 """
 
 from collections import OrderedDict
@@ -12,19 +12,19 @@
 from hookwall.protocol.heartbeat_messages import TaskId
 from hookwall.workers.resources import FreeCapacity
 
-NEVER = -1e9  # before any time of the clock: a time that has not come yet, where a hot path compares it
+# Earlier than any time of the clock. Stands for an event that has not happened, in fields that hot paths compare.
+NEVER = -1e9
 
 
 class NameIndex:
     """Dense indices of names, in the order in which the names first appeared."""
 
     def __init__(self) -> None:
-        """Begin without any name."""
         self.index_by_name: dict[str, int] = {}
         self.names: list[str] = []
 
     def index_of(self, name: str) -> int:
-        """The index of a name; a new name gets the next one."""
+        """Returns the index of a name; a new name gets the next free index."""
         index = self.index_by_name.get(name)
         if index is None:
             index = self.index_by_name[name] = len(self.names)
@@ -33,14 +33,14 @@
 
 
 class MachinePhase(Enum):
-    """Where a machine is in its life. `FleetTransitions.transition_to` makes each change."""
+    """The lifecycle phase of a machine. `FleetTransitions.transition_to` makes each change."""
 
     BOOTING = "booting"  # provisioned; its worker has sent no heartbeat yet
     UP = "up"
-    PREEMPTION_NOTICED = "preemption_noticed"  # the cloud has announced that it takes the machine
-    QUARANTINED = "quarantined"  # fails its tasks; gets no more and is deleted
-    DRAINING = "draining"  # to be deleted once its tasks have written their checkpoints
-    DELETING = "deleting"  # a deletion was sent or is about to be
+    PREEMPTION_NOTICED = "preemption_noticed"  # the cloud has announced the preemption of the machine
+    QUARANTINED = "quarantined"  # tasks failed on it repeatedly; gets no more tasks and is deleted
+    DRAINING = "draining"  # will be deleted after its tasks have written their checkpoints
+    DELETING = "deleting"  # a deletion request was sent or is about to be sent
     DELETED = "deleted"
 
 
@@ -48,14 +48,14 @@
 
 
 class AllocatedTask(NamedTuple):
-    """A start of a task that a record or a decision names on a machine."""
+    """An allocation of a machine to a task, from a job record or from a decision of this leader, and its job."""
 
     job: Job
     allocation: Allocation
 
 
 class MachineDescription(NamedTuple):
-    """What a heartbeat or the cloud's list says of a machine; empty texts where only records name it."""
+    """A machine as a heartbeat or the cloud's list describes it; strings are empty if only job records name it."""
 
     type: str
     zone: str
@@ -63,7 +63,10 @@
 
 
 class Machine:
-    """One machine: its identity, its worker's heartbeats, and what may run on it. Times are those of the clock."""
+    """One machine: its identity, its worker's heartbeats, and the tasks that may run on it.
+
+    Times are readings of the node's clock in seconds.
+    """
 
     __slots__ = (
         "acknowledged_at",
@@ -100,7 +103,7 @@
     )  # fmt: skip
 
     def __init__(self, name: str, index: int, type_: int, zone: int, spot: bool, now: float) -> None:
-        """A machine that was heard of just now; `type_` and `zone` are indices of their names."""
+        """Creates a machine that became known at `now`; `type_` and `zone` are name indices."""
         self.name = name
         self.index = index
         self.type = type_
@@ -108,41 +111,41 @@
         self.spot = spot
         self.described_as = MachineDescription("", "", False)
         self.phase = MachinePhase.BOOTING
-        self.reserved_for = ""  # the job for which it is set aside
+        self.reserved_for = ""  # the job for which the machine is reserved
         self._init_cloud_state(now)
         self._init_worker_state()
         self._init_tasks()
 
     def _init_cloud_state(self, now: float) -> None:
-        """What the cloud says of the machine."""
+        """Initializes the state that the cloud reports."""
         self.first_known_at = now
         self.provisioned_at = now
-        self.last_listed_at = NEVER  # when the cloud last listed it; never for one that only records name
-        self.listed_running_at = -1.0  # when it was first listed as running
-        self.preemption_at: float | None = None  # when the cloud takes it, as announced
+        self.last_listed_at = NEVER  # when the cloud last listed it; stays NEVER if only job records name it
+        self.listed_running_at = -1.0  # when it was first listed as running; negative: not yet
+        self.preemption_at: float | None = None  # announced time of the preemption
         self.provisioning_failed = False
 
     def _init_worker_state(self) -> None:
-        """What the worker's heartbeats say."""
+        """Initializes the state that the worker's heartbeats report."""
         self.first_heartbeat_at = -1.0
         self.epoch = 0
         self.sequence = -1
         self.fencing_token = 0
         self.last_response_at = NEVER  # when this leader last answered a heartbeat
-        self.acknowledges = False  # whether its heartbeats show that our responses reach it
-        self.acknowledged_at = NEVER  # when one last did
+        self.acknowledges = False  # whether its heartbeats show that this leader's responses reach it
+        self.acknowledged_at = NEVER  # when a heartbeat last showed that
         self.unresponsive = False
 
     def _init_tasks(self) -> None:
-        """What may run on the machine, and what is free there."""
+        """Initializes the tasks that may run on the machine, and its free capacity."""
         self.allocations: dict[TaskId, AllocatedTask] = {}
-        # Tasks that its worker reports and that no allocation known here explains.
+        # Tasks that its worker reports without a matching allocation known to this leader.
         self.unrecorded_tasks: set[TaskId] = set()
-        # Its lease expired with cancelled tasks there, and its worker has not begun a new epoch since.
+        # Whether its lease expired while it had cancelled tasks, and its worker has not begun a new epoch since.
         self.may_run_cancelled_tasks = False
         self.cached_images: OrderedDict[int, float] = OrderedDict()  # image -> GB, most recently used last
         self.consecutive_errors = 0
         self.jobs_with_errors: set[str] = set()
         self.rejects_tasks_until = NEVER
-        self.free_capacity: FreeCapacity | None = None  # None: to be computed anew
-        self.last_on_demand_work_at = NEVER  # when it last had work that can't run on spot instances
+        self.free_capacity: FreeCapacity | None = None  # None: has to be computed again
+        self.last_on_demand_work_at = NEVER  # when it last had tasks that can't run on spot instances
--- a/hookwall/workers/name_codec.py
+++ b/hookwall/workers/name_codec.py
@@ -1,9 +1,10 @@
-"""A compact form of many machine names, which mostly differ in a number at the end.
+"""A compact encoding of many machine names, most of which differ only in a number at the end.
 
-Names with the same text before the number, and as many digits, are stored together: as the gaps between their numbers
-in ascending order, a byte for a small gap, compressed. 2,000 of a fleet's 4,000 machines fit in a kilobyte.
+Names with the same prefix and the same number of digits form a group. A group stores the gaps between its numbers in
+ascending order, with one byte for a small gap, and compresses them. 2,000 names out of a fleet of 4,000 machines fit
+into a kilobyte.
 
-Invariant: `decode` gives back all names that `encode` got, of whatever kind they are.
+Invariant: `decode` returns all names that were passed to `encode`, whatever form they have.
 """
 
 import re
@@ -19,7 +20,7 @@
 
 
 class NameGroup(msgspec.Struct, array_like=True):
-    """Names that differ in their number only: the text before it, its digits, and the packed gaps."""
+    """Names that differ only in their number: the prefix, the number of digits, and the packed gaps."""
 
     prefix: str
     digits: int
@@ -27,14 +28,14 @@
 
 
 class NumberedNames(msgspec.Struct):
-    """All names as they are stored: those in groups, and those that end in no number."""
+    """The stored form of all names: the groups, and the names that don't end in a number."""
 
     groups: list[NameGroup]
     others: list[str]
 
 
 def encode(names: Iterable[str]) -> dict[str, object]:
-    """The names, in a form that `decode` reads; their order is not kept."""
+    """Encodes the names for `decode`; their order is not preserved."""
     numbers: dict[tuple[str, int], set[int]] = {}
     others: list[str] = []
     for name in names:
@@ -44,15 +45,15 @@
             continue
         prefix, digits = match.groups()
         numbers.setdefault((prefix, len(digits)), set()).add(int(digits))
-    groups = [NameGroup(prefix, digits, _pack(group)) for (prefix, digits), group in sorted(numbers.items())]
+    groups = [NameGroup(prefix, digits, _pack_numbers(group)) for (prefix, digits), group in sorted(numbers.items())]
     value: dict[str, object] = msgspec.to_builtins(NumberedNames(groups, sorted(others)))
     return value
 
 
 def decode(value: object) -> list[str]:
-    """The names that `encode` was given.
+    """Returns the names that were passed to `encode`.
 
-    Raises MalformedRecordError for anything else.
+    Raises MalformedRecordError if `value` is not an encoding of names.
     """
     try:
         numbered = msgspec.convert(value, NumberedNames)
@@ -60,12 +61,12 @@
         raise MalformedRecordError(str(error)) from error
     names = list(numbered.others)
     for group in numbered.groups:
-        names.extend(f"{group.prefix}{number:0{group.digits}d}" for number in _unpack(group.gaps))
+        names.extend(f"{group.prefix}{number:0{group.digits}d}" for number in _unpack_numbers(group.gaps))
     return names
 
 
-def _pack(numbers: set[int]) -> str:
-    """Distinct numbers as the gaps between them, the first from -1."""
+def _pack_numbers(numbers: set[int]) -> str:
+    """Encodes distinct numbers as the gaps between them; the first gap counts from -1."""
     gaps: list[int] = []
     last = -1
     for number in sorted(numbers):
@@ -74,14 +75,14 @@
     return compression.compress_bytes(msgspec.msgpack.encode(gaps))
 
 
-def _unpack(text: str) -> list[int]:
-    """The numbers that `_pack` was given."""
+def _unpack_numbers(text: str) -> list[int]:
+    """Returns the numbers that were passed to `_pack_numbers`."""
     try:
         gaps = msgspec.msgpack.decode(compression.decompress_bytes(text), type=list[int])
     except msgspec.DecodeError as error:
         raise MalformedRecordError(str(error)) from error
     if len(gaps) > MAX_NAMES or any(gap < 1 for gap in gaps):
-        raise MalformedRecordError("gaps between numbers of machines")
+        raise MalformedRecordError("invalid gaps between numbers of machines")
     numbers: list[int] = []
     last = -1
     for gap in gaps:
--- a/hookwall/workers/redirect_schedule.py
+++ b/hookwall/workers/redirect_schedule.py
@@ -1,26 +1,28 @@
-"""When a worker whose lease a follower renews is redirected to a leader that it has not met.
+"""Schedule for redirecting workers, whose leases a follower renews, to a leader that they have not contacted yet.
 
-Invariant: a worker is redirected at most once a period, and never to a leader whose fencing token it brought along.
+Invariant: a worker is redirected at most once per period, and never to a leader whose fencing token it already had when
+it first arrived at the follower.
 """
 
 REDIRECT_PERIOD_S = 20.0
 
 
 class RedirectSchedule:
-    """The redirects of one lease delegate."""
+    """Tracks and limits the redirects that one lease delegate sends."""
 
     def __init__(self) -> None:
-        """Nobody has come yet."""
-        # The token with which each worker first came: the delegate's responses bring it the leader's.
+        """Starts without any known worker."""
+        # The fencing token of each worker's first heartbeat here. Later heartbeats may carry the current leader's token
+        # only because the delegate's responses contain it.
         self.first_fencing_token: dict[str, int] = {}
         self.redirected_at: dict[str, float] = {}
 
-    def record_arrival(self, machine: str, fencing_token: int) -> None:
-        """A worker came with this token; only its first one counts."""
+    def record_first_token(self, machine: str, fencing_token: int) -> None:
+        """Records the fencing token of a worker's first heartbeat; later calls for the worker have no effect."""
         self.first_fencing_token.setdefault(machine, fencing_token)
 
-    def begin_if_due(self, machine: str, leader_token: int, now: float) -> bool:
-        """Whether a worker that has come before should try the leader now; if so, its next period begins."""
+    def begin_redirect_if_due(self, machine: str, leader_token: int, now: float) -> bool:
+        """Whether to redirect a recorded worker to the leader now; if so, the worker's next period begins."""
         if self.first_fencing_token[machine] >= leader_token:
             return False
         redirected_at = self.redirected_at.get(machine)
@@ -30,6 +32,6 @@
         return True
 
     def clear(self) -> None:
-        """The delegation has ended: whoever comes again comes for the first time."""
+        """Forgets all workers at the end of a delegation."""
         self.first_fencing_token.clear()
         self.redirected_at.clear()
--- a/hookwall/workers/resources.py
+++ b/hookwall/workers/resources.py
@@ -1,18 +1,19 @@
-"""What a machine has free and what a job requests, and whether the one holds the other: the terms of bin packing.
+"""The terms of bin packing: free resources of a machine, resource requests of a job, and whether a request fits.
 
-Invariant: nothing here knows of jobs, the fleet or time; all that a round compares is CPUs, GPUs and GB of memory.
+Invariant: this module does not depend on jobs, the fleet or time. A scheduling round compares only CPUs, GPUs and GB of
+memory.
 """
 
 from dataclasses import dataclass, field
 
-EPSILON = 1e-6  # of free capacity, which is summed up and has rounding errors
-ROUNDING = 1e-9  # of figures that are compared as configured
-UNKNOWN_ZONE = -1  # the zone of a machine that only records name
+EPSILON = 1e-6  # tolerance for free capacity, in which rounding errors accumulate
+ROUNDING = 1e-9  # tolerance for values that are compared as configured
+UNKNOWN_ZONE = -1  # the zone of a machine that only job records name
 
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """The free resources of one machine: CPUs, GPUs, and memory in GB. `cached_images` are the images it has."""
+    """The free CPUs, GPUs and GB of memory of one machine. `cached_images` contains indices of the images it has."""
 
     index: int
     type: int
@@ -24,11 +25,14 @@
     price: float = 0.0
     penalty: float = 0.0
     cached_images: frozenset[int] | set[int] = frozenset()
-    on_demand_image_gb: float = 0.0  # GB of cached images that jobs use which can't run on spot instances
+    on_demand_image_gb: float = 0.0  # GB of cached images of jobs that can't run on spot instances
     has_whole_machine_task: bool | None = None  # None: not determined yet
 
     def allocate(self, request: "ResourceRequest", task_count: int) -> None:
-        """Subtract what so many tasks of a request use; this may be a copy or an estimate, so nothing is checked."""
+        """Subtracts the resources of `task_count` tasks.
+
+        There is no check that the tasks fit, because this object may be a copy or an estimate.
+        """
         self.cpus -= task_count * request.cpus
         self.gpus -= task_count * request.gpus
         self.memory -= task_count * request.memory
@@ -36,9 +40,10 @@
 
 @dataclass(slots=True)
 class ResourceRequest:
-    """What one job asks for now: `count` tasks of its `total`, each with these CPUs, GPUs and GB of memory.
+    """The current request of one job: `count` of its `total` tasks, each with these CPUs, GPUs and GB of memory.
 
-    `tasks_by_zone` counts its tasks that may already be on machines; those whose zone is not known: UNKNOWN_ZONE.
+    `tasks_by_zone` counts the tasks of the job that may already be on machines; tasks in an unknown zone are counted
+    under UNKNOWN_ZONE.
     """
 
     count: int
@@ -58,7 +63,7 @@
 
 
 def placeable_task_count(request: ResourceRequest, machine: FreeCapacity) -> int:
-    """How many of the requested tasks fit into the machine's free capacity."""
+    """Returns how many of the requested tasks fit into the machine's free capacity."""
     count = request.count
     if request.gpus > 0:
         count = min(count, int((machine.gpus + EPSILON) / request.gpus))
@@ -70,7 +75,7 @@
 
 
 def satisfies_constraints(request: ResourceRequest, machine: FreeCapacity) -> bool:
-    """Whether the job's constraints on type, zone and spot instances admit the machine."""
+    """Whether the machine satisfies the job's constraints on type, zone and spot instances."""
     return (
         (request.types is None or machine.type in request.types)
         and (request.zone < 0 or machine.zone == request.zone)
--- a/hookwall/workers/successor_hints.py
+++ b/hookwall/workers/successor_hints.py
@@ -1,30 +1,30 @@
-"""What the leader tells its peers for the next leader: which images each machine has, and how fast jobs arrive.
+"""Hints that the leader sends to its peers for the next leader: each machine's cached images, and job arrival rates.
 
-Invariant: no rule rests on a hint; one that is lost or old costs a fetch of an image.
+Invariant: correctness never depends on a hint; a lost or outdated hint only costs an image fetch.
 """
 
 from hookwall.workers.machine import Machine, MachinePhase, NameIndex
 
-MAX_IMAGES_PER_MESSAGE = 6000  # a message may have 256 KiB
+MAX_IMAGES_PER_MESSAGE = 6000  # keeps messages below their limit of 256 KiB
 
-ImageSizes = list[tuple[str, float]]  # names and GB
+ImageSizes = list[tuple[str, float]]  # image names and sizes in GB
 
 
 class SuccessorHints:
-    """What this leader tells its peers, and what this node has received."""
+    """Creates the hints of this node while it leads, and holds the hints that it has received from a leader."""
 
     def __init__(self, machines: list[Machine], images: NameIndex) -> None:
-        """For the machines by index of a fleet, and its indices of images."""
+        """Uses a fleet's machines, ordered by index, and its image name indices."""
         self.machines = machines
         self.images = images
-        self.next_index = 0  # the index of the machine with which the next message begins
+        self.next_index = 0  # index of the first machine in the next message
         self.arrival_rates: tuple[float, float] = (0.0, 0.0)
         self.received_rates: tuple[float, float] | None = None
-        self.received_images: dict[str, ImageSizes] = {}  # since the leader last began with the first machine
-        self.previous_images: dict[str, ImageSizes] = {}  # the time before
+        self.received_images: dict[str, ImageSizes] = {}  # in the current pass of the leader over all machines
+        self.previous_images: dict[str, ImageSizes] = {}  # in the previous pass
 
     def next_message(self) -> dict[str, object]:
-        """The next message. A large fleet takes several, each of which goes on where the last one ended."""
+        """Returns the next message. A large fleet takes several messages; each continues where the last one ended."""
         start = self.next_index if self.next_index < len(self.machines) else 0
         cached: dict[str, ImageSizes] = {}
         image_count = 0
@@ -39,7 +39,7 @@
         return {"warm": cached, "rate": self.arrival_rates, "first": start == 0}
 
     def apply_message(self, message: object) -> None:
-        """Record what a leader tells; whatever is malformed is ignored."""
+        """Records the hints of a leader's message; malformed parts are ignored."""
         if not isinstance(message, dict):
             return
         cached = message.get("warm")
@@ -53,7 +53,7 @@
             self.received_rates = (float(rates[0]), float(rates[1]))
 
     def restore_images(self, machine: Machine) -> None:
-        """Add the images that the last leader named for a machine that this one has just had a heartbeat of."""
+        """Adds the cached images that the previous leader's hints name for a machine, at its first heartbeat here."""
         for item in self.received_images.get(machine.name) or self.previous_images.get(machine.name) or ():
             try:
                 name, gb = item
--- a/hookwall/workers/task_exits.py
+++ b/hookwall/workers/task_exits.py
@@ -1,7 +1,7 @@
-"""What the end of a task says of its job and its machine.
+"""The effects of task exits on jobs and machines.
 
 Invariant: an exit releases its allocation exactly once. A machine is quarantined only for errors that its jobs don't
-have on other machines as well.
+also have on other machines.
 """
 
 import logging
@@ -13,31 +13,31 @@
 
 log = logging.getLogger(__name__)
 
-FULL_MACHINE_PAUSE_S = 4.0  # no new tasks on a machine whose worker had no room for one
-UNKNOWN_IMAGE_PAUSE_S = 5.0  # no new start of a job of which the worker does not know the image
-MACHINES_THAT_CLEAR_A_MACHINE = 3  # a job that failed on so many is at fault itself
+FULL_MACHINE_BACKOFF_S = 4.0  # no new tasks for this time on a machine whose worker had no room for a task
+UNKNOWN_IMAGE_BACKOFF_S = 5.0  # no new start for this time of a job whose image is unknown to a worker
+FAILED_MACHINES_FOR_JOB_FAULT = 3  # a job that failed on this many machines is at fault itself
 MAX_BACKOFF_S = 60.0
 MAX_BACKOFF_EXPONENT = 6
 ERRORS_FOR_QUARANTINE = 2
 
 
 class TaskExits:
-    """Applies exits that workers report."""
+    """Applies the task exits that workers report."""
 
     def __init__(self, fleet: FleetTransitions) -> None:
-        """For the machines of `fleet`."""
+        """Applies exits to the machines of `fleet`."""
         self.fleet = fleet
 
     def apply_exit(self, machine: Machine, job: Job, allocation: Allocation, cause: str) -> None:
-        """A task has ended for `cause`, a word of the platform."""
+        """Applies the end of a task; `cause` is an exit cause of the worker protocol."""
         if cause == "done":
             self._apply_success(machine, job, allocation)
         elif cause == "error":
             self._apply_error(machine, job)
         elif cause == "full":
-            machine.rejects_tasks_until = self.fleet.clock() + FULL_MACHINE_PAUSE_S
+            machine.rejects_tasks_until = self.fleet.clock() + FULL_MACHINE_BACKOFF_S
         elif cause == "no_such":
-            job.retry_not_before = self.fleet.clock() + UNKNOWN_IMAGE_PAUSE_S
+            job.retry_not_before = self.fleet.clock() + UNKNOWN_IMAGE_BACKOFF_S
         if cause not in ("done", "halted") and job.phase == OPEN:
             log.info(
                 "task ended: job=%s task=%d attempt=%d machine=%s cause=%s",
@@ -46,7 +46,7 @@
         self.fleet.release_allocation(job, allocation, cause)
 
     def _apply_success(self, machine: Machine, job: Job, allocation: Allocation) -> None:
-        """A task is done; the tasks of a gang complete together."""
+        """Applies the success of a task; it completes all tasks of a gang."""
         machine.consecutive_errors = 0
         machine.free_capacity = None
         machine.jobs_with_errors.clear()
@@ -60,13 +60,13 @@
         job.mark_task_done(allocation.task)
 
     def _apply_error(self, machine: Machine, job: Job) -> None:
-        """A task failed: either the machine is faulty, or the job fails wherever it runs."""
+        """Applies an error exit: either the machine is faulty, or the job fails on every machine."""
         now = self.fleet.clock()
         job.failures_by_machine[machine.name] = job.failures_by_machine.get(machine.name, 0) + 1
         job.last_failure_at = now
         machines = len(job.failures_by_machine)
-        if machines >= MACHINES_THAT_CLEAR_A_MACHINE:
-            # More tries would only cost other jobs their machines.
+        if machines >= FAILED_MACHINES_FOR_JOB_FAULT:
+            # The job itself is at fault. Immediate retries would only take machines away from other jobs.
             job.retry_not_before = now + min(MAX_BACKOFF_S, 2.0 ** min(machines, MAX_BACKOFF_EXPONENT))
             return
         machine.consecutive_errors += 1
--- a/hookwall/workers/task_reconciliation.py
+++ b/hookwall/workers/task_reconciliation.py
@@ -1,7 +1,7 @@
-"""Squares the tasks that a heartbeat reports with the allocations that records and decisions name.
+"""Reconciles the tasks that a heartbeat reports with the allocations from job records and from decisions.
 
-Invariant: a launch is sent only for an allocation that is stored and that no other machine may be running, and a task
-is forgotten by its worker only once no record names it.
+Invariant: a launch command is sent only for a stored allocation whose task no other machine may be running. A worker is
+told to forget a task only after the job record no longer names it.
 """
 
 import logging
@@ -20,15 +20,15 @@
 
 
 class TaskReconciliation:
-    """Decides the commands that answer a heartbeat, and releases allocations that it shows to be gone."""
+    """Chooses the commands of the response to a heartbeat, and releases allocations that it proves to be gone."""
 
     def __init__(self, fleet: FleetTransitions) -> None:
-        """For the machines of `fleet`."""
+        """Reconciles the machines of `fleet`."""
         self.fleet = fleet
         self.exits = TaskExits(fleet)
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Apply all task statuses of a heartbeat, and what it does not report; returns the commands."""
+        """Applies the reported tasks of a heartbeat and the absence of the others; returns the commands to send."""
         commands: list[Command] = []
         present: set[TaskId] = set()
         unrecorded: set[TaskId] = set()
@@ -38,7 +38,7 @@
                 continue
             allocated = machine.allocations.get(task_id)
             if allocated is not None and allocated.allocation.attempt != status.attempt:
-                allocated = None  # the records name another start of this task
+                allocated = None  # the allocation is for another attempt of this task
             if status.phase == "exited":
                 if self._apply_exit(machine, task_id, status, allocated, commands):
                     present.add(task_id)
@@ -50,16 +50,16 @@
             else:
                 self._apply_status(machine, status, allocated, commands, now)
         self.fleet.set_unrecorded_tasks(machine, unrecorded)
-        has_our_token = heartbeat.fencing_token == self.fleet.fencing_token
+        has_current_token = heartbeat.fencing_token == self.fleet.fencing_token
         for task_id, (job, allocation) in list(machine.allocations.items()):
             if task_id not in present:
-                self._reconcile_absent(machine, job, allocation, has_our_token, commands)
+                self._reconcile_absent(machine, job, allocation, has_current_token, commands)
         return commands
 
     def _apply_status(
         self, machine: Machine, status: TaskStatus, allocated: AllocatedTask, commands: list[Command], now: float
     ) -> None:
-        """A task that is there as the records say."""
+        """Applies the status of a reported task that matches its allocation."""
         job, allocation = allocated
         if status.phase != allocation.reported_phase:
             self._apply_phase(machine, status, allocated, now)
@@ -74,7 +74,7 @@
             commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, allocation.stop_grace_s))
 
     def _apply_phase(self, machine: Machine, status: TaskStatus, allocated: AllocatedTask, now: float) -> None:
-        """A task has gone on to another phase."""
+        """Applies a change of the reported phase of a task."""
         job, allocation = allocated
         log.debug(
             "task phase changed: task=%s attempt=%d machine=%s phase=%s",
@@ -95,24 +95,28 @@
         allocated: AllocatedTask | None,
         commands: list[Command],
     ) -> bool:
-        """A task has ended. False if no record names it and its worker forgets it with the response."""
+        """Applies the reported end of a task.
+
+        Returns False if no record or allocation names the task and the response makes the worker forget it.
+        """
         if allocated is not None:
             self.exits.apply_exit(machine, allocated.job, allocated.allocation, status.cause or "")
         job = self.fleet.table.jobs.get(task_id.job_id)
         if job is not None and job.stored_starts.get(task_id.task) == (machine.name, status.attempt):
             return True
-        # Only once the record no longer names this start: a leader that forgot it would
-        # otherwise launch the same attempt again.
+        # The worker may forget the task only after the record no longer names this start. Otherwise, a leader without
+        # knowledge of the exit would launch the same attempt again.
         commands.append(heartbeat_messages.forget_command(status.task_id, status.attempt))
         return allocated is not None
 
     def _reconcile_absent(
-        self, machine: Machine, job: Job, allocation: Allocation, has_our_token: bool, commands: list[Command]
+        self, machine: Machine, job: Job, allocation: Allocation, has_current_token: bool, commands: list[Command]
     ) -> None:
-        """An allocation that the heartbeat does not report."""
-        if not self._is_wanted(machine, job, allocation):
-            # The heartbeat answers none of our launches and the worker drops older leaders' responses.
-            if has_our_token:
+        """Releases or launches an allocation whose task the heartbeat does not report."""
+        if not self._should_run(machine, job, allocation):
+            # The heartbeat shows that no launch of this leader has started the task, and a worker with this leader's
+            # fencing token drops responses of older leaders.
+            if has_current_token:
                 self.fleet.release_allocation(job, allocation, "not reported")
             return
         if job.stored_starts.get(allocation.task) != (machine.name, allocation.attempt):
@@ -120,20 +124,23 @@
         if allocation.epoch != machine.epoch:
             self.fleet.release_allocation(job, allocation, "another epoch")
             return
-        if allocation.reported_phase and has_our_token:
-            # It was reported before and is not now, without having exited: it can't be there.
+        if allocation.reported_phase and has_current_token:
+            # The task was reported before and is missing now without an exit, so it can't be on the machine.
             self.fleet.release_allocation(job, allocation, "no longer reported")
             return
         if job.may_launch(allocation):
             commands.append(heartbeat_messages.launch_command(job.job_id, allocation.task, allocation.attempt))
 
-    def _is_wanted(self, machine: Machine, job: Job, allocation: Allocation) -> bool:
-        """Whether the task is to run on the machine."""
+    def _should_run(self, machine: Machine, job: Job, allocation: Allocation) -> bool:
+        """Whether the task should run on the machine."""
         if job.phase != OPEN or allocation.stop_grace_s is not None or allocation.finished:
             return False
         return machine.phase is MachinePhase.UP and machine.name not in self.fleet.cordoned
 
 
 def _stop_has_effect(allocation: Allocation, status: TaskStatus) -> bool:
-    """A task that writes its checkpoint already only heeds a stop that gives it no more time."""
+    """Whether a stop command has an effect on the task.
+
+    A task that is already writing its checkpoint only obeys a stop without a grace period.
+    """
     return status.phase != "saving" or allocation.stop_grace_s == 0.0
--- a/tests/workers/test_lease_delegate.py
+++ b/tests/workers/test_lease_delegate.py
@@ -1,4 +1,4 @@
-"""Followers renew leases only if the leader can't count them as expired."""
+"""Followers renew leases only if the leader can't treat these leases as expired."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 from hookwall.storage.errors import PreconditionFailedError
 from hookwall.storage.job_records import encode_plain, json_bytes, usable_value_bytes
 from hookwall.workers.delegation_record import decode_machines
-from hookwall.workers.lease_delegate import LEADER_SILENCE_S, SESSION_LEASE_S, LeaseDelegate
+from hookwall.workers.lease_delegate import LEADER_CONTACT_TIMEOUT_S, SESSION_LEASE_S, LeaseDelegate
 
 
 @pytest.fixture
@@ -26,7 +26,7 @@
     state.epoch = 7
     state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 7)
     leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
-    clock.tick(LEADER_SILENCE_S + 1)
+    clock.tick(LEADER_CONTACT_TIMEOUT_S + 1)
     return LeaseDelegate("n1", leadership, state, JobTable(clock), lambda: True, clock)
 
 
@@ -43,12 +43,12 @@
     )
 
 
-def test_a_worker_that_lost_its_leader_is_answered_once_that_is_stored(follower: LeaseDelegate, state: FakeState):
+def test_worker_without_leader_is_answered_after_the_delegation_is_stored(follower: LeaseDelegate, state: FakeState):
     assert asyncio.run(follower.renew_lease(heartbeat())) == []
     assert state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-1"]
 
 
-def test_no_renewal_without_a_store_a_lost_leader_a_task_and_the_fencing_token(
+def test_renewal_requires_store_contact_lost_leader_tasks_and_valid_token(
     follower: LeaseDelegate, state: FakeState, clock: Clock
 ):
     assert asyncio.run(follower.renew_lease(heartbeat(token=8))) is None
@@ -67,7 +67,7 @@
     assert not follower.covers("vm-1")
 
 
-def test_a_write_with_unknown_outcome_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
+def test_write_with_unknown_outcome_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
     asyncio.run(follower.renew_lease(heartbeat()))
     state.mode = "ghost"
     follower.requested.add("vm-2")
@@ -75,7 +75,7 @@
     assert not follower.covers("vm-1") and not follower.covers("vm-2")
 
 
-def test_a_new_leader_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
+def test_new_leader_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
     asyncio.run(follower.renew_lease(heartbeat()))
     state.epoch = 20
     state.keys[keys.LEADER_KEY] = ({"node": "n2"}, 20)
@@ -83,17 +83,17 @@
     assert not follower.covers("vm-1")
 
 
-def test_tasks_of_a_cancelled_job_are_stopped(follower: LeaseDelegate):
+def test_tasks_of_cancelled_job_are_stopped(follower: LeaseDelegate):
     record = {"phase": "withdrawn", "n": 1, "next": 2, "on": []}
     follower.table.apply_record(keys.JOB_PREFIX + "run-000001", record, 5)
     commands = asyncio.run(follower.renew_lease(heartbeat()))
     assert [(command.action, command.task_id) for command in commands] == [("stop", "run-000001/0")]
 
 
-def test_a_leader_that_does_not_know_of_a_delegation_cannot_store_what_it_believes(
+def test_leader_cannot_store_decisions_made_without_knowledge_of_a_delegation(
     follower: LeaseDelegate, state: FakeState, clock: Clock, cluster: Cluster
 ):
-    """The case that would run a task twice: the lease ends by the leader's count, but was renewed."""
+    """Otherwise a task could run twice: the leader counts the lease as expired, but a follower has renewed it."""
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.run_round()
@@ -117,7 +117,7 @@
     assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes
 
 
-def test_leases_count_from_the_end_of_their_delegation(cluster: Cluster, clock: Clock):
+def test_lease_expiry_counts_from_the_end_of_the_delegation(cluster: Cluster, clock: Clock):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.run_round()
@@ -137,43 +137,43 @@
     assert not job.allocations
 
 
-def test_a_worker_that_never_met_the_new_leader_is_renewed_too(follower: LeaseDelegate):
-    """The leader sat in the zone that was cut off, and was replaced from outside it."""
+def test_lease_of_worker_with_older_fencing_token_is_renewed(follower: LeaseDelegate):
+    """The old leader was in the partitioned zone and was replaced by a node outside it, unknown to the worker."""
     assert asyncio.run(follower.renew_lease(heartbeat(token=3))) == []
     assert follower.fencing_token == 7
 
 
-def test_workers_are_redirected_to_a_leader_that_only_this_node_has_no_contact_with(
+def test_workers_are_redirected_to_a_leader_that_only_this_node_cannot_reach(
     follower: LeaseDelegate, state: FakeState, clock: Clock
 ):
     state.epoch = 9
     state.keys[keys.LEADER_KEY] = ({"node": "n0", "mode": "hold"}, 9)
     follower.leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
-    # First its lease is renewed, so that it has the time to try.
+    # The lease is renewed first, so that the worker has time to contact the leader.
     assert follower.redirect_target(heartbeat()) is None
     assert asyncio.run(follower.renew_lease(heartbeat())) == []
     assert asyncio.run(follower.renew_lease(heartbeat(machine="vm-2"))) == []
-    # It carries the leader's token now, from this node's answer.
+    # The worker now has the current leader's token from this node's response.
     assert follower.redirect_target(heartbeat(token=9)) == "n0"
     assert not follower.covers("vm-1") and follower.covers("vm-2")
     asyncio.run(follower.store_delegation(shrink=True))
     assert state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-2"]
-    # It finds nobody there, comes back, and is not sent away again at once.
+    # The worker finds no leader there, comes back, and is not redirected again immediately.
     assert follower.redirect_target(heartbeat(token=9)) is None
     assert asyncio.run(follower.renew_lease(heartbeat(token=9))) == []
     assert follower.redirect_target(heartbeat(token=9)) is None
     clock.tick(1.0)
-    # One that has met this leader and lost it is cut off from it.
+    # A worker that arrives with the current leader's token has lost contact with that leader, so it is not redirected.
     assert asyncio.run(follower.renew_lease(heartbeat(token=9, machine="vm-3"))) == []
     assert follower.redirect_target(heartbeat(token=9, machine="vm-3")) is None
 
 
-def test_a_worker_that_lost_a_leader_by_quorum_lease_is_not_redirected(follower: LeaseDelegate):
+def test_worker_is_not_redirected_to_a_leader_with_quorum_lease(follower: LeaseDelegate):
     assert asyncio.run(follower.renew_lease(heartbeat(token=5))) == []
     assert follower.redirect_target(heartbeat(token=5)) is None
 
 
-def test_a_rejected_write_leaves_the_stored_delegation_valid(follower: LeaseDelegate, state: FakeState):
+def test_rejected_write_leaves_the_stored_delegation_valid(follower: LeaseDelegate, state: FakeState):
     assert asyncio.run(follower.renew_lease(heartbeat())) == []
     state.mode = "down"
     follower.requested.add("vm-2")
@@ -181,21 +181,24 @@
     assert follower.covers("vm-1") and not follower.covers("vm-2")
 
 
-@pytest.mark.parametrize(("form", "least"), [("plain", 900), ("packed", 4000), ("numbered", 4000)])
-def test_a_zone_of_thousands_of_machines_is_delegated_as_far_as_one_key_names_them(
-    follower: LeaseDelegate, state: FakeState, form, least
+@pytest.mark.parametrize(("form", "min_names"), [("plain", 900), ("packed", 4000), ("numbered", 4000)])
+def test_delegation_of_thousands_of_machines_fits_into_one_key(
+    follower: LeaseDelegate, state: FakeState, form, min_names
 ):
-    """The plain form, for programs of format 1, names some; it was written too large and no lease was renewed."""
+    """The plain form, for programs of format 1, names only some machines.
+
+    A value over the size limit was once written in this form, so no lease was renewed.
+    """
     follower.packed_names = lambda: form != "plain"
     follower.numbered_names = lambda: form == "numbered"
     names = [f"vm-{n:06d}" for n in range(1, 8001, 2)]
     value = follower.encode(7, list(names)).value
     stored = decode_machines(value)
-    assert least <= len(stored) and stored <= set(names)
+    assert min_names <= len(stored) and stored <= set(names)
     assert json_bytes(value) <= state.max_plain_value_bytes() and ("numbered" in value) == (form == "numbered")
 
 
-def test_a_zone_of_two_thousand_machines_is_delegated_under_lowered_limits(follower: LeaseDelegate, state: FakeState):
+def test_two_thousand_machines_are_delegated_under_lowered_store_limits(follower: LeaseDelegate, state: FakeState):
     follower.packed_names = follower.numbered_names = lambda: True
     state.max_value_bytes = usable_value_bytes(2.0)
     names = {f"vm-{n:06d}" for n in random.Random(3).sample(range(8000), 2000)}
--- a/tests/workers/test_lease_expiry.py
+++ b/tests/workers/test_lease_expiry.py
@@ -1,11 +1,11 @@
-"""When a lease counts as expired, and what is released then."""
+"""When a lease counts as expired, and what is released at that time."""
 
 from conftest import Cluster
-from running_jobs import started
+from running_jobs import start_job
 
 
-def test_an_unresponsive_machine_has_its_tasks_until_its_lease_must_have_expired(cluster: Cluster):
-    job = started(cluster)
+def test_unresponsive_machine_keeps_its_tasks_until_its_lease_must_have_expired(cluster: Cluster):
+    job = start_job(cluster)
     cluster.beat("vm-2")
     cluster.clock.tick(12.0)
     cluster.beat("vm-2")
@@ -19,8 +19,8 @@
     assert job.allocations[0].machine == "vm-2" and job.allocations[0].attempt == 2
 
 
-def test_a_new_leader_counts_leases_from_its_own_beginning(cluster: Cluster):
-    job = started(cluster)
+def test_new_leader_counts_leases_from_the_start_of_its_validity(cluster: Cluster):
+    job = start_job(cluster)
     cluster.fleet.reset(token=9)
     cluster.clock.tick(30.0)
     cluster.fleet.expire_leases(cluster.clock())
@@ -34,8 +34,8 @@
     assert not job.allocations
 
 
-def test_a_deleted_machine_is_not_remembered_for_its_lease(cluster: Cluster):
-    """A key that names it afterwards says nothing about a decision: nothing runs there, whoever renewed its lease."""
+def test_deleted_machine_is_removed_from_expired_machines(cluster: Cluster):
+    """A delegation of the machine after its deletion must not void decisions, because nothing can run on it."""
     cluster.submit(1)
     cluster.beat("vm-1")
     cluster.scheduler.run_round()
--- a/tests/workers/test_successor_hints.py
+++ b/tests/workers/test_successor_hints.py
@@ -1,4 +1,4 @@
-"""What the next leader is delivered of images."""
+"""Delivery of cached-image hints to the next leader."""
 
 import cbor2
 from conftest import Clock, Cluster
@@ -8,7 +8,7 @@
 from hookwall.workers.fleet import Fleet
 
 
-def fleet_of(cluster: Cluster, count: int, images: int) -> Fleet:
+def fleet_with_cached_images(cluster: Cluster, count: int, images: int) -> Fleet:
     for n in range(count):
         machine = cluster.fleet.ensure_machine(f"vm-{n:06d}", "g4", "east", False)
         for image in range(images):
@@ -16,11 +16,11 @@
     return cluster.fleet
 
 
-def test_hints_of_4000_machines_fit_messages_and_reach_the_next_leader_whole(
+def test_hints_of_4000_machines_fit_into_messages_and_arrive_completely(
     cluster: Cluster, params: PlatformParameters, clock: Clock
 ):
-    """In one message it was larger than peers take, so each fifth ping ended their connection."""
-    fleet = fleet_of(cluster, 4000, 10)
+    """A message with all hints exceeded the size that peers accept, so every fifth ping closed the connection."""
+    fleet = fleet_with_cached_images(cluster, 4000, 10)
     peer = Fleet(params, cluster.table, clock)
     delivered = 0
     for _ in range(8):
@@ -34,7 +34,7 @@
         peer.successor_hints.received_images.get(name) or peer.successor_hints.previous_images[name]
         for name in fleet.machines
     )
-    # It goes on: machines that are gone are forgotten after two rounds.
+    # Hints are sent repeatedly; deleted machines are dropped after two passes over the fleet.
     fleet.confirm_deletion(fleet.machines["vm-000000"], "deleted")
     for _ in range(16):
         peer.successor_hints.apply_message(fleet.successor_hints.next_message())
@@ -44,6 +44,6 @@
     )
 
 
-def test_hints_of_a_small_fleet_are_one_message(cluster: Cluster):
-    fleet = fleet_of(cluster, 560, 9)
+def test_hints_of_a_small_fleet_fit_into_one_message(cluster: Cluster):
+    fleet = fleet_with_cached_images(cluster, 560, 9)
     assert len(fleet.successor_hints.next_message()["warm"]) == len(fleet.successor_hints.next_message()["warm"]) == 560
--- a/tests/workers/test_task_launches.py
+++ b/tests/workers/test_task_launches.py
@@ -1,14 +1,14 @@
-"""Which starts are launched, and when a worker is told to forget one."""
+"""Which stored starts are launched, and when a worker is told to forget a task."""
 
 import pytest
 from conftest import Cluster
-from running_jobs import running, started
+from running_jobs import start_job, task_statuses
 
 from hookwall.jobs.job import jobs_to_write
 from hookwall.storage.job_records import encode_plain
 
 
-def test_nothing_is_launched_before_it_is_stored(cluster: Cluster):
+def test_allocation_is_launched_only_after_it_is_stored(cluster: Cluster):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.run_round()
@@ -17,9 +17,9 @@
     assert cluster.beat("vm-1") == [("launch", "run-000001/0", 1)]
 
 
-def test_an_exit_is_stored_before_the_worker_forgets_it(cluster: Cluster):
-    job = started(cluster)
-    exited = running(job, "exited", "done")
+def test_exit_is_stored_before_the_worker_forgets_it(cluster: Cluster):
+    job = start_job(cluster)
+    exited = task_statuses(job, "exited", "done")
     assert cluster.beat("vm-1", exited) == []
     cluster.scheduler.run_round()
     assert job.phase == "done" and job.stored_phase == "open"
@@ -29,18 +29,18 @@
 
 
 def test_each_start_has_a_new_attempt_number(cluster: Cluster):
-    job = started(cluster)
-    exited = running(job, "exited", "halted")
+    job = start_job(cluster)
+    exited = task_statuses(job, "exited", "halted")
     cluster.beat("vm-1", exited)
     cluster.scheduler.run_round()
     assert job.allocations[0].attempt == 2
-    # The old attempt is only forgotten once the record names the new one.
+    # The worker is told to forget the old attempt only after the record names the new one.
     assert cluster.beat("vm-1", exited) == []
     cluster.store()
     assert cluster.beat("vm-1", exited) == [("forget", "run-000001/0", 1), ("launch", "run-000001/0", 2)]
 
 
-def test_a_lost_launch_is_repeated_with_the_same_attempt(cluster: Cluster):
+def test_lost_launch_is_repeated_with_the_same_attempt(cluster: Cluster):
     cluster.beat("vm-1")
     cluster.submit(1)
     cluster.scheduler.run_round()
@@ -48,18 +48,18 @@
     assert cluster.beat("vm-1") == cluster.beat("vm-1") == [("launch", "run-000001/0", 1)]
 
 
-def test_cancelled_tasks_are_stopped_and_counted_until_gone(cluster: Cluster):
-    job = started(cluster)
+def test_cancelled_tasks_are_stopped_and_count_as_usage_until_gone(cluster: Cluster):
+    job = start_job(cluster)
     record = encode_plain(job.record())
     cluster.stamp += 1
     cluster.table.apply_record("hookwall/job/" + job.job_id, {**record, "phase": "withdrawn"}, cluster.stamp)
     assert cluster.scheduler.round_state(cluster.clock()).usage[job.team_index].gpus == 1.0
-    assert cluster.beat("vm-1", running(job)) == [("stop", "run-000001/0", 1)]
-    cluster.beat("vm-1", running(job, "exited", "halted"))
+    assert cluster.beat("vm-1", task_statuses(job)) == [("stop", "run-000001/0", 1)]
+    cluster.beat("vm-1", task_statuses(job, "exited", "halted"))
     assert not job.allocations
 
 
-def test_a_cancelled_launch_is_never_sent(cluster: Cluster):
+def test_launch_of_cancelled_job_is_never_sent(cluster: Cluster):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.run_round()
@@ -72,10 +72,10 @@
     assert not job.allocations
 
 
-def test_one_done_task_completes_its_gang_but_the_others_still_count(cluster: Cluster):
-    job = started(cluster, shape="ensemble", pieces=2, cards=2.0)
-    first = running(job, "exited", "done")[:1]
-    cluster.beat("vm-1", first + running(job)[1:])
+def test_success_of_one_task_completes_its_gang_but_other_tasks_still_count_as_usage(cluster: Cluster):
+    job = start_job(cluster, shape="ensemble", pieces=2, cards=2.0)
+    first = task_statuses(job, "exited", "done")[:1]
+    cluster.beat("vm-1", first + task_statuses(job)[1:])
     assert job.done_count == 2 and list(job.allocations) == [1]
     assert cluster.scheduler.round_state(cluster.clock()).usage[job.team_index].gpus == 2.0
 
@@ -83,8 +83,8 @@
 @pytest.mark.parametrize(
     "value", [{"phase": "open", "n": 1, "on": 7}, {"phase": "open", "n": 1, "packed": {"fixed": ["x"], "state": "y"}}]
 )
-def test_nothing_is_started_of_a_job_whose_newest_record_can_t_be_read(cluster: Cluster, value):
-    """What an older record says may be over: its start may have been moved."""
+def test_no_task_is_started_while_the_newest_job_record_is_unreadable(cluster: Cluster, value):
+    """An older record may be outdated: the start that it names may have been moved."""
     cluster.beat("vm-1")
     cluster.beat("vm-2")
     job, other = cluster.submit(1), cluster.submit(2, pieces=2)
@@ -93,9 +93,9 @@
     name = job.allocations[0].machine
     other.remove_allocation(0)
     other.has_unsaved_starts = True
-    for each in (job, other):
-        cluster.table.apply_record(f"hookwall/job/{each.job_id}", value, 90)
-    assert not [o for n in ("vm-1", "vm-2") for o in cluster.beat(n)]
+    for unreadable in (job, other):
+        cluster.table.apply_record(f"hookwall/job/{unreadable.job_id}", value, 90)
+    assert not [command for machine in ("vm-1", "vm-2") for command in cluster.beat(machine)]
     cluster.scheduler.run_round()
     assert len(other.allocations) == 1 and jobs_to_write([job, other], 1e9, True) == []
     readable = encode_plain(job.record())
@@ -103,12 +103,12 @@
     assert cluster.beat(name) == [("launch", "run-000001/0", 1)]
 
 
-def test_a_stop_of_an_earlier_leadership_is_void_with_its_other_decisions(cluster: Cluster):
-    """What workers reported of a start stays, as it stays true; that it was to stop was never stored."""
-    job = started(cluster)
+def test_stop_request_of_an_earlier_leadership_is_void(cluster: Cluster):
+    """The reported phase of a start is kept as it remains true. The stop request was never stored, so it is void."""
+    job = start_job(cluster)
     cluster.fleet.request_stop(job, job.allocations[0], 5.0, "room for another")
     cluster.table.invalidate_decisions()
     cluster.table.apply_record(f"hookwall/job/{job.job_id}", encode_plain(job.record()), job.version)
     cluster.fleet.reset(6)
     assert job.allocations[0].stop_grace_s is None and job.allocations[0].reported_phase == "running"
-    assert cluster.beat("vm-1", running(job), token=6) == []
+    assert cluster.beat("vm-1", task_statuses(job), token=6) == []
