--- a/hookwall/autoscaling/capacity.py
+++ b/hookwall/autoscaling/capacity.py
@@ -1,6 +1,6 @@
-"""The machines that are ready or on their way, and the pools that they come from.
+"""The machines that are ready or expected to become ready, and the pools that they are provisioned from.
 
-Invariant: a machine that is not likely to come is not counted on, so that another one is provisioned in its place.
+Invariant: a machine that is unlikely to become ready is not counted, so that a replacement is provisioned.
 """
 
 import math
@@ -13,14 +13,15 @@
 from hookwall.workers.machine import Machine, MachinePhase
 from hookwall.workers.resources import FreeCapacity
 
-OVERDUE_BOOTS = 2.5  # so many times its type's usual boot, a machine is no longer counted on
-UNKNOWN_TYPE_BOOT_S = 30.0
-UNKNOWN_PRICE = math.inf  # of a type that the catalog lacks
-NOT_PROVISIONED = -1  # index of a machine that does not exist yet
+# A machine that has been booting for longer than its type's usual boot time, multiplied by this, is not counted.
+OVERDUE_BOOT_FACTOR = 2.5
+DEFAULT_BOOT_S = 30.0  # for machine types that are missing from the catalog
+UNKNOWN_PRICE = math.inf  # for machine types that are missing from the catalog
+NOT_PROVISIONED_INDEX = -1  # index of a machine that does not exist yet
 
 
 class MachinePool(NamedTuple):
-    """What machines are provisioned from: index of the type, index of the zone, and whether spot instances."""
+    """The machines of one type in one zone, either spot or on-demand; `type` and `zone` are indices."""
 
     type: int
     zone: int
@@ -28,7 +29,7 @@
 
 
 class MachineCounts(NamedTuple):
-    """Machines that are ready or on their way."""
+    """Numbers of machines that are ready or expected to become ready."""
 
     on_demand: int
     total: int
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class ProvisioningRequest:
-    """A request for machines that has no final response yet."""
+    """A request to the cloud for machines that has no final response yet."""
 
     name: str
     pool: MachinePool
@@ -44,32 +45,32 @@
 
 
 def pool_of(machine: Machine) -> MachinePool:
-    """The pool that a machine comes from."""
+    """Returns the pool from which a machine was provisioned."""
     return MachinePool(machine.type, machine.zone, machine.spot)
 
 
 class Capacity:
-    """What there is, as far as lists, heartbeats and provisioning requests tell."""
+    """The machines that exist or are expected, according to the lists, heartbeats and provisioning requests."""
 
     def __init__(self, fleet: Fleet, inventory: Inventory) -> None:
-        """Both are the leader's own."""
+        """`fleet` and `inventory` are those of the leader."""
         self.fleet = fleet
         self.inventory = inventory
         self.pending_requests: list[ProvisioningRequest] = []
 
     def hourly_price(self, pool: MachinePool) -> float:
-        """Price of a machine for an hour, as the catalog last had it."""
+        """Returns the hourly price of a machine of the pool according to the newest catalog."""
         machine_type = self.fleet.machine_type(pool.type)
         if machine_type is None:
             return UNKNOWN_PRICE
         return machine_type.spot_price if pool.spot else machine_type.price
 
     def machine_count_by_pool(self) -> Counter[MachinePool]:
-        """How many machines of each pool there are, in whatever phase."""
+        """Returns the number of machines of each pool, in any phase."""
         return Counter(pool_of(machine) for machine in self.fleet.machines.values())
 
-    def empty_machine(self, pool: MachinePool, index: int = NOT_PROVISIONED) -> FreeCapacity:
-        """The capacity of an empty machine of a pool whose type is in the catalog."""
+    def empty_machine(self, pool: MachinePool, index: int = NOT_PROVISIONED_INDEX) -> FreeCapacity:
+        """Returns the capacity of an empty machine of the pool, whose type must be in the catalog."""
         machine_type = self.fleet.machine_type(pool.type)
         assert machine_type is not None
         return FreeCapacity(
@@ -84,24 +85,24 @@
         )
 
     def boot_s(self, machine: Machine) -> float:
-        """How long a machine of this type usually boots."""
+        """Returns the usual boot time of the machine's type."""
         machine_type = self.fleet.machine_type(machine.type)
-        return UNKNOWN_TYPE_BOOT_S if machine_type is None else machine_type.boot_s
+        return DEFAULT_BOOT_S if machine_type is None else machine_type.boot_s
 
     def is_expected(self, machine: Machine, now: float) -> bool:
-        """Whether a machine that has sent no heartbeat yet may be counted on."""
+        """Whether a machine that has sent no heartbeat yet is expected to become ready."""
         return machine.phase is MachinePhase.BOOTING and not (
             machine.unresponsive or self.is_overdue(machine, now) or self.inventory.is_missing(machine)
         )
 
     def is_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether a booting machine should no longer be counted on."""
+        """Whether the machine has been booting for so long that it should no longer be counted."""
         if machine.phase is not MachinePhase.BOOTING:
             return False
-        return now - machine.provisioned_at > OVERDUE_BOOTS * self.boot_s(machine)
+        return now - machine.provisioned_at > OVERDUE_BOOT_FACTOR * self.boot_s(machine)
 
     def incoming_machines(self, now: float) -> list[FreeCapacity]:
-        """Machines that are on their way, empty; also those that pending requests are for."""
+        """Returns the expected machines with nothing allocated, including those of pending provisioning requests."""
         incoming = [
             self.empty_machine(pool_of(machine), machine.index)
             for machine in self.fleet.machines.values()
@@ -112,7 +113,7 @@
         return incoming
 
     def machine_counts(self, now: float) -> MachineCounts:
-        """How many machines are ready or on their way, but for cordoned ones."""
+        """Counts the machines that are ready or expected to become ready, without the cordoned ones."""
         on_demand = 0
         total = 0
         for machine in self.fleet.machines.values():
--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -1,7 +1,7 @@
 """Requests to the cloud's API.
 
-Invariant: requests are paced below the rate that the cloud allows, and every response that is no usable answer ends in
-a `CloudUnavailableError`, so that the caller repeats the request under the same name.
+Invariant: requests are paced below the rate that the cloud allows. Every unusable response leads to a
+`CloudUnavailableError`, so that the caller repeats the request under the same name.
 """
 
 import asyncio
@@ -19,66 +19,70 @@
 from hookwall.protocol.json_messages import Message
 from hookwall.storage.rate_limit import TokenBucket
 
-POLL_INTERVAL_S = 0.3  # between two looks of a loop at whether there is something to ask the cloud
-RETRY_AFTER_S = 0.7  # such a loop waits this long after a failure
+POLL_INTERVAL_S = 0.3  # interval at which a loop checks whether a request to the cloud is due
+RETRY_DELAY_S = 0.7  # delay of such a loop after a failed request
 REQUEST_TIMEOUT_S = 4.0
 MAX_CONNECTIONS = 8
-RATE_SHARE = 0.9  # of the rate that the cloud allows
-BURST_S = 1.5  # of that rate may go at once
+RATE_SHARE = 0.9  # share of the rate that the cloud allows
+BURST_S = 1.5  # a burst may contain as many requests as the cloud allows within this time
 
 
 class CloudError(HookwallError):
-    """A request to the cloud did not give what it asked for."""
+    """A request to the cloud did not succeed."""
 
 
 class CloudUnavailableError(CloudError):
-    """The cloud gave no usable response; whether it carried the request out is not known. The text says why."""
+    """The cloud gave no usable response, so it is unknown whether it executed the request. The text says why."""
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no such machine now."""
+    """The cloud currently has no machine of the requested kind."""
 
 
 class CloudClient:
-    """Requests to the cloud, paced below its limit."""
+    """Sends requests to the cloud, paced below its rate limit."""
 
-    page_size = 500  # the most machines on one page of a list
+    page_size = 500  # maximum number of machines on one page of the machine list
 
     def __init__(self, address: str, rps: float, clock: Callable[[], float]) -> None:
-        """`rps`: requests a second that the cloud allows."""
+        """`rps` is the number of requests per second that the cloud allows."""
         self.base_url = f"http://{address}"
         self.session: aiohttp.ClientSession | None = None
-        self.call = request_json  # tests put a stand-in here
+        self.call = request_json  # tests replace this
         self.bucket = TokenBucket(rps * RATE_SHARE, max(1.0, rps * BURST_S), clock)
 
     async def open(self) -> None:
-        """Open the connections; needed before the first request."""
+        """Open the HTTP session; must be called before the first request."""
         self.session = open_session(MAX_CONNECTIONS)
 
     async def fetch_catalog(self) -> Catalog:
-        """The machine types, with their prices. Raises CloudUnavailableError."""
+        """Returns the machine types with their prices. Raises CloudUnavailableError."""
         status, body = await self._send("GET", "/catalog")
         _require_ok(status)
         return _convert(body, Catalog)
 
     async def machines(self) -> list[ListedMachine]:
-        """The list, page after page; other requests go out in between. Raises CloudUnavailableError."""
-        found: list[ListedMachine] = []
+        """Returns the machine list, fetched page by page; other requests may be sent between two pages.
+
+        Raises CloudUnavailableError.
+        """
+        machines: list[ListedMachine] = []
         after = ""
         while True:
-            start = f"after={after}&" if after else ""
-            status, body = await self._send("GET", f"/hosts?{start}most={self.page_size}")
+            cursor = f"after={after}&" if after else ""
+            status, body = await self._send("GET", f"/hosts?{cursor}most={self.page_size}")
             _require_ok(status)
             page = _convert(body, MachineListPage)
-            found.extend(page.machines)
+            machines.extend(page.machines)
             if not page.more or not page.machines:
-                return found
+                return machines
             after = page.machines[-1].name
 
     async def provision(self, request_name: str, type_: str, zone: str, spot: bool, count: int) -> list[str]:
-        """The names of the machines that the cloud starts, `count` or fewer; idempotent under one `request_name`.
+        """Requests `count` machines and returns the names of those that the cloud starts, which may be fewer.
 
-        Raises NoCapacityError if the cloud has none, and CloudUnavailableError.
+        The request is idempotent: repeating it with the same `request_name` starts no further machines. Raises
+        NoCapacityError if the cloud has no such machine, and CloudUnavailableError.
         """
         body = {"hire": request_name, "hull": type_, "yard": zone, "loaners": spot, "count": count}
         status, response = await self._send("POST", "/hosts", body)
@@ -89,12 +93,12 @@
         return _convert(response, ProvisionedMachines).machines
 
     async def delete_machines(self, names: list[str]) -> None:
-        """Delete machines; once this returns they are confirmed to be gone. Raises CloudUnavailableError."""
+        """Delete machines; on return, the cloud has confirmed their deletion. Raises CloudUnavailableError."""
         status, _ = await self._send("POST", "/hosts/delete", {"hosts": names})
         _require_ok(status)
 
     async def _send(self, method: str, path: str, body: object = None) -> tuple[int, object]:
-        """Send a request as soon as the rate allows it; status and decoded body of the response."""
+        """Send a request as soon as the rate limit allows it, and return the status and the decoded response body."""
         delay_s = self.bucket.reserve(1.0)
         if delay_s:
             await asyncio.sleep(delay_s)
--- a/hookwall/autoscaling/demand.py
+++ b/hookwall/autoscaling/demand.py
@@ -1,7 +1,7 @@
-"""How many machines are needed: by the jobs there are, and by those that will have come while a machine boots.
+"""How many machines are needed by the existing jobs, and by the jobs that are expected to arrive while a machine boots.
 
-Invariant: each job counts as an arrival once, and none that came before this node led, so that arrival rates carry over
-from leader to leader.
+Invariant: each job counts as an arrival once. Jobs that arrived before this node became leader do not count, so that a
+new leader can continue with the arrival rates of its predecessor.
 """
 
 import math
@@ -15,12 +15,13 @@
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.workers.fleet import Fleet
 
-SMOOTHING_S = 60.0  # time constant of the smoothed arrivals
-MAX_MEASURED_GAP_S = 10.0  # a longer time between two measurements counts as this
-ON_DEMAND_Z = 0.8  # margin of on-demand machines, in standard deviations of need while one boots
-TOTAL_Z = 0.7  # margin of all machines
-GUARANTEE_Z = 3.0  # the same where a guarantee has to start sooner than a machine boots
-QUIET_S = 20.0  # without any job for this long, nothing is held ready
+SMOOTHING_S = 60.0  # time constant of the smoothed arrival rates
+MAX_MEASURED_GAP_S = 10.0  # longer intervals between two measurements are truncated to this
+# Margins of machines, in standard deviations of the need while a machine boots.
+ON_DEMAND_Z_SCORE = 0.8  # for on-demand machines
+TOTAL_Z_SCORE = 0.7  # for all machines
+GUARANTEE_Z_SCORE = 3.0  # for all machines if guaranteed work has to start sooner than a machine boots
+IDLE_RESET_S = 20.0  # after this long without any job, no machines are kept ready
 
 
 @dataclass(slots=True)
@@ -29,20 +30,21 @@
 
     on_demand: float = 0.0
     total: float = 0.0
-    guaranteed: float = 0.0  # what guarantees need to be ready, whatever else is short
+    guaranteed: float = 0.0  # minimum of the total that guarantees require, even if on-demand machines are short
 
-    def total_with(self, on_demand: int) -> float:
-        """How many machines should be ready in all, with so many on-demand ones.
+    def total_for(self, on_demand: int) -> float:
+        """Returns how many machines should be ready in total if `on_demand` of them are on-demand machines.
 
-        On-demand machines that can't be had are not made up for by spot instances, which the work that
-        lacks them can't use: in a queue of urgent gangs half of 315 spot instances stood idle for it.
+        Spot instances do not make up for on-demand machines that can't be provisioned, since the work that needs
+        on-demand machines can't run on them. When they did, half of 315 spot instances stood idle while urgent gangs
+        were queued.
         """
         return max(self.guaranteed, self.total - max(0.0, self.on_demand - on_demand))
 
 
 @dataclass(slots=True)
 class Need:
-    """Machines that the jobs there are need, and how long a new one takes to serve any of them."""
+    """Machines that the existing jobs need, and how long it takes until a new machine can serve any of these jobs."""
 
     on_demand: float = 0.0
     spot: float = 0.0
@@ -50,7 +52,7 @@
 
 
 class Demand:
-    """Follows need and arrivals while this node leads."""
+    """Tracks the need for machines and the arrival of jobs while this node leads."""
 
     def __init__(
         self,
@@ -60,38 +62,43 @@
         clock: Callable[[], float],
         intake_blocked: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`intake_blocked`: whether no job can be accepted or stored now, so that need seems to fall and comes back."""
+        """Starts without any need.
+
+        `intake_blocked` tells whether jobs currently can't be accepted or stored. The need then only seems to fall, and
+        comes back later.
+        """
         self.params = params
         self.fleet = fleet
         self.scheduler = scheduler
         self.clock = clock
         self.intake_blocked = intake_blocked
         self.targets = Targets()
-        self.on_demand_rate = 0.0  # arrivals, in machines a second
+        self.on_demand_rate = 0.0  # rate of arrivals, in machines per second
         self.spot_rate = 0.0
         self.on_demand_need = 0.0
         self.spot_need = 0.0
         self.counted_jobs: set[str] = set()
         self.jobs_precede_leadership = False
         self.measured_at = -math.inf
-        self.busy_at = -math.inf
+        self.last_need_at = -math.inf
 
     def reset(self, jobs_precede_leadership: bool) -> None:
-        """A new leadership. `jobs_precede_leadership`: the jobs that there are came before it."""
+        """Starts a new leadership. `jobs_precede_leadership`: whether the existing jobs arrived before it began."""
         self.targets = Targets()
         self.jobs_precede_leadership = jobs_precede_leadership
         self.on_demand_rate = 0.0
         self.spot_rate = 0.0
         self.counted_jobs.clear()
         self.measured_at = self.clock()
-        self.busy_at = self.measured_at
+        self.last_need_at = self.measured_at
 
     def measure(self, now: float) -> None:
-        """Follow what is needed now, and how fast jobs arrive.
+        """Measures the current need and the arrival rates, and updates the targets.
 
-        A machine provisioned now serves after a boot and a fetch. Until then as many jobs may arrive and
-        end as do on average, give or take the root of their number; that has to be ready. When
-        arrivals stop, so does the reason for it, whatever still runs.
+        A machine that is provisioned now can serve jobs only after it has booted and fetched an image. The number of
+        jobs that arrive and end until then deviates from its average by about its square root, and a margin of
+        machines for this deviation has to be ready. When arrivals stop, this margin is no longer needed, even if jobs
+        are still running.
         """
         self._decay_rates(now)
         need = self._count_jobs()
@@ -100,21 +107,22 @@
         self.spot_need = need.spot
         self.fleet.successor_hints.arrival_rates = (self.on_demand_rate, self.spot_rate)
         if need.on_demand or need.spot:
-            self.busy_at = now
-        elif now - self.busy_at > QUIET_S:
+            self.last_need_at = now
+        elif now - self.last_need_at > IDLE_RESET_S:
             self.counted_jobs.clear()
             self.targets = Targets()
             return
         targets = self._compute_targets(need)
         if self.intake_blocked():
-            # Users try again until they get an answer. In an outage of 25 s need fell by a fifth, spot
-            # instances that were preempted meanwhile were not replaced, and a queue met too few of them.
+            # The need comes back, since users retry until they get an answer. During an outage of 25 s, the measured
+            # need fell by a fifth, spot instances that were preempted in the meantime were not replaced, and too few
+            # were left for the jobs that were queued afterwards.
             targets.on_demand = max(targets.on_demand, self.targets.on_demand)
             targets.total = max(targets.total, self.targets.total)
         self.targets = targets
 
     def _decay_rates(self, now: float) -> None:
-        """Let the arrival rates fade; a new leader goes on from what the last one measured."""
+        """Decays the arrival rates; a new leader continues with the rates that its predecessor measured."""
         elapsed_s = min(MAX_MEASURED_GAP_S, max(0.0, now - self.measured_at))
         decay = math.exp(-elapsed_s / SMOOTHING_S)
         self.measured_at = now
@@ -125,7 +133,7 @@
         self.spot_rate *= decay
 
     def _count_jobs(self) -> Need:
-        """Add up what the open jobs need, and count those as arrivals that were not counted yet."""
+        """Sums up the need of the open jobs, and counts the jobs that were not counted before as arrivals."""
         need = Need()
         for job in self.fleet.table.open_jobs.values():
             if job.phase != OPEN or job.spec is None:
@@ -144,7 +152,7 @@
         return need
 
     def _count_arrival(self, job: Job, spot: bool, machines: float) -> None:
-        """Count a job that needs so many machines as an arrival, unless it came before this leadership."""
+        """Counts a job that needs `machines` machines as an arrival, unless it arrived before this leadership."""
         self.counted_jobs.add(job.job_id)
         if self.jobs_precede_leadership:
             return
@@ -154,21 +162,21 @@
             self.on_demand_rate += machines / SMOOTHING_S
 
     def _compute_targets(self, need: Need) -> Targets:
-        """Need, and a margin for what arrives until a machine that is provisioned now serves."""
+        """Returns the need plus a margin for the jobs that arrive until a machine that is provisioned now can serve."""
 
-        def margin(arrival_rate: float, deviations: float) -> float:
-            return deviations * math.sqrt(2.0 * arrival_rate * need.startup_s)
+        def margin(arrival_rate: float, z_score: float) -> float:
+            return z_score * math.sqrt(2.0 * arrival_rate * need.startup_s)
 
         guaranteed = self.guaranteed_machines()
-        on_demand = need.on_demand + margin(self.on_demand_rate, ON_DEMAND_Z)
-        total_margin = margin(self.on_demand_rate + self.spot_rate, GUARANTEE_Z if guaranteed else TOTAL_Z)
+        on_demand = need.on_demand + margin(self.on_demand_rate, ON_DEMAND_Z_SCORE)
+        total_margin = margin(self.on_demand_rate + self.spot_rate, GUARANTEE_Z_SCORE if guaranteed else TOTAL_Z_SCORE)
         total = need.on_demand + need.spot + total_margin
         return Targets(on_demand, max(total, on_demand, guaranteed), guaranteed)
 
     def guaranteed_machines(self) -> float:
-        """How many machines have to be ready since a guarantee is to start sooner than a machine boots."""
+        """Returns how many machines must be ready because guaranteed work has to start sooner than a machine boots."""
         types = [machine_type for machine_type in self.fleet.machine_types if machine_type is not None]
-        if not self._has_prompt_guarantee(types):
+        if not self._has_guarantee_shorter_than_boot(types):
             return 0.0
         gpus = max((machine_type.gpus for machine_type in types), default=0.0)
         cpus = max((machine_type.cpus for machine_type in types), default=0.0)
@@ -176,8 +184,8 @@
         by_cpus = sum(team.cpus for team in self.params.teams) / cpus if cpus else 0.0
         return max(by_gpus, by_cpus)
 
-    def _has_prompt_guarantee(self, types: list[MachineType]) -> bool:
-        """Whether a guarantee has to start sooner than the slowest type boots."""
+    def _has_guarantee_shorter_than_boot(self, types: list[MachineType]) -> bool:
+        """Whether an objective requires guaranteed work to start sooner than the slowest machine type boots."""
         boot_s = max((machine_type.boot_s for machine_type in types), default=0.0)
         return any(
             objective.kind == "guarantee" and (objective.within_s or math.inf) < boot_s
--- a/hookwall/autoscaling/inventory.py
+++ b/hookwall/autoscaling/inventory.py
@@ -1,9 +1,11 @@
-"""The cloud's machine list: late, and for a large fleet in many pages.
+"""The cloud's machine list, which lags behind the actual state and has many pages for a large fleet.
 
-Pages are requested one at a time beside scaling out and in, so that a provisioning request waits for one page at most.
-A list takes no more than half of the requests that the cloud allows, so a larger fleet is listed less often.
+Pages are requested one at a time, concurrently with scaling out and in, so that a provisioning request waits for one
+page at most. Listing uses no more than half of the requests that the cloud allows, so a larger fleet is listed less
+often.
 
-Invariant: what a list shows counts from when it was requested, and only under the leadership that requested it.
+Invariant: a list counts as seen at the time at which it was requested, and is applied only under the leadership that
+requested it.
 """
 
 import asyncio
@@ -11,7 +13,7 @@
 import math
 from collections.abc import Callable
 
-from hookwall.autoscaling.cloud_client import POLL_INTERVAL_S, RETRY_AFTER_S, CloudClient, CloudUnavailableError
+from hookwall.autoscaling.cloud_client import POLL_INTERVAL_S, RETRY_DELAY_S, CloudClient, CloudUnavailableError
 from hookwall.config.platform import CloudLimits
 from hookwall.protocol.cloud_messages import ListedMachine
 from hookwall.workers.fleet import Fleet
@@ -20,17 +22,18 @@
 log = logging.getLogger(__name__)
 
 LIST_INTERVAL_S = 4.0
-FIRST_LIST_RETRY_S = 0.5  # until a new leader has its first list
-REQUEST_SHARE = 0.5  # of the requests that the cloud allows
-MAX_LISTING_LAGS = 2.0  # no list is older than this many of the cloud's lags
-LISTING_MARGIN_S = 1.0  # and this
+FIRST_LIST_RETRY_S = 0.5  # list interval until a new leader has its first list
+REQUEST_SHARE = 0.5  # share of the requests that the cloud allows
+# Maximum age of what a list shows: this many times the lag of the cloud's lists, plus the margin.
+MAX_LISTING_LAGS = 2.0
+LISTING_MARGIN_S = 1.0
 
 
 class Inventory:
-    """What the newest lists have shown, for one leadership at a time."""
+    """Tracks what the newest machine lists have shown, for one leadership at a time."""
 
     def __init__(self, fleet: Fleet, client: CloudClient, cloud: CloudLimits, clock: Callable[[], float]) -> None:
-        """`cloud` gives the rate of requests and the lag of lists."""
+        """`cloud` provides the allowed request rate and the lag of the machine lists."""
         self.fleet = fleet
         self.client = client
         self.clock = clock
@@ -43,7 +46,7 @@
         self.requested_at = -math.inf
 
     def reset(self) -> None:
-        """A new leadership: nothing has been listed yet."""
+        """Starts a new leadership, in which nothing has been listed yet."""
         self.leadership_number += 1
         self.leading_since = self.clock()
         self.has_listing = False
@@ -51,11 +54,11 @@
         self.requested_at = -math.inf
 
     def leading_for_s(self, now: float) -> float:
-        """How long this node has been leading, in seconds."""
+        """Returns how long this node has been leading, in seconds."""
         return now - self.leading_since
 
     def apply_listing(self, listed: list[ListedMachine], requested_at: float) -> None:
-        """Bring the fleet up to a list that was requested then. It may be older than the one before."""
+        """Applies a list that was requested at `requested_at` to the fleet. It may be older than the list before it."""
         for item in listed:
             if item.name not in self.fleet.deleted_names:
                 self._apply_item(item, requested_at)
@@ -63,7 +66,7 @@
         self.listed_at = requested_at
 
     def _apply_item(self, item: ListedMachine, requested_at: float) -> None:
-        """Bring one machine up to what the list says of it."""
+        """Applies the list's entry for one machine."""
         is_new = item.name not in self.fleet.machines
         machine = self.fleet.ensure_machine(item.name, item.type, item.zone, item.spot)
         if is_new:
@@ -76,20 +79,21 @@
             machine.provisioning_failed = True
 
     def is_missing(self, machine: Machine) -> bool:
-        """Whether the lists have lacked the machine for so long that it must be gone.
+        """Whether the machine has been missing from the lists for so long that it can no longer exist.
 
-        A new leader's records name machines that were taken meanwhile. They counted as ready, and as
-        on-demand ones at that, so nothing was provisioned in their place until they were deleted.
+        The records that a new leader reads may name machines that the cloud has reclaimed in the meantime. Without this
+        check they counted as ready, and even as on-demand machines, so that no replacements were provisioned until
+        they were deleted.
         """
         return self.listed_at - machine.last_listed_at > self.max_age_s
 
     def interval_s(self) -> float:
-        """How long from one list to the next."""
+        """Returns the time between the requests of two lists, in seconds."""
         pages = 1 + len(self.fleet.machines) // self.client.page_size
         return max(LIST_INTERVAL_S, pages / (self.rps * REQUEST_SHARE))
 
     async def run(self, leads: Callable[[], bool]) -> None:
-        """Request lists while this node leads."""
+        """Requests and applies machine lists while this node leads."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             now = self.clock()
@@ -102,7 +106,7 @@
                 listed = await self.client.machines()
             except CloudUnavailableError as error:
                 log.debug("machine list failed: error=%s", error)
-                await asyncio.sleep(RETRY_AFTER_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if leads() and leadership_number == self.leadership_number:
                 self.apply_listing(listed, now)
--- a/hookwall/autoscaling/pool_backoff.py
+++ b/hookwall/autoscaling/pool_backoff.py
@@ -1,6 +1,6 @@
-"""Which pools of machines are closed for a while since the cloud had too few of them.
+"""Backoff for machine pools in which the cloud had too few machines for a request.
 
-Invariant: a pool that refuses again and again is asked ever more seldom, but never given up.
+Invariant: a pool that refuses repeatedly is tried less and less often, but it is never excluded permanently.
 """
 
 from collections.abc import Callable
@@ -13,35 +13,35 @@
 
 
 class Backoff(NamedTuple):
-    """Until when a pool is closed, and for how long it was closed."""
+    """The time until which a pool is closed, and the duration of this backoff."""
 
     until: float
     duration_s: float
 
 
 class PoolBackoff:
-    """Follows refusals, for one leadership at a time."""
+    """Tracks refused provisioning requests by pool, for one leadership at a time."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock` is monotonic, in seconds."""
+        """`clock` is monotonic and returns seconds."""
         self.clock = clock
-        self.refused_pools: dict[MachinePool, Backoff] = {}
+        self.backoff_by_pool: dict[MachinePool, Backoff] = {}
 
     def reset(self) -> None:
-        """A new leadership: every pool is open."""
-        self.refused_pools.clear()
+        """Starts a new leadership, in which every pool is open."""
+        self.backoff_by_pool.clear()
 
     def is_open(self, pool: MachinePool, now: float) -> bool:
-        """Whether the pool may be asked for machines."""
-        backoff = self.refused_pools.get(pool)
+        """Whether machines may be requested from the pool."""
+        backoff = self.backoff_by_pool.get(pool)
         return backoff is None or now >= backoff.until
 
     def record_refusal(self, pool: MachinePool) -> None:
-        """The cloud gave fewer machines than were asked for: close the pool, longer each time."""
-        previous = self.refused_pools.get(pool)
+        """Closes the pool, each time for longer, because the cloud provisioned fewer machines than requested."""
+        previous = self.backoff_by_pool.get(pool)
         duration_s = FIRST_BACKOFF_S if previous is None else min(MAX_BACKOFF_S, 2 * previous.duration_s)
-        self.refused_pools[pool] = Backoff(self.clock() + duration_s, duration_s)
+        self.backoff_by_pool[pool] = Backoff(self.clock() + duration_s, duration_s)
 
     def record_success(self, pool: MachinePool) -> None:
-        """The cloud gave all that was asked for: the pool is as if it had never refused."""
-        self.refused_pools.pop(pool, None)
+        """Forgets earlier refusals of the pool because the cloud provisioned all requested machines."""
+        self.backoff_by_pool.pop(pool, None)
--- a/hookwall/autoscaling/provisioning_plan.py
+++ b/hookwall/autoscaling/provisioning_plan.py
@@ -1,6 +1,9 @@
-"""What to provision: for the jobs that wait, and ahead of need. Asks nobody and changes nothing but the requests.
+"""What to provision, for the waiting jobs and ahead of need.
 
-Invariant: the plan counts on each incoming machine once, and asks a pool for no more than one request can bring.
+Planning sends no requests to other services, and modifies nothing but the resource requests that it is given.
+
+Invariant: a plan uses each incoming machine once, and takes no more machines from a pool than one provisioning request
+can contain.
 """
 
 import math
@@ -22,14 +25,15 @@
     satisfies_constraints,
 )
 
-MAX_PER_REQUEST = 50
-MAX_PRICE_RATIO = 2.5  # a pool is no substitute for another that costs so much less
+MAX_MACHINES_PER_REQUEST = 50
+# A pool does not replace a cheaper one of the same type if its machines cost more than this many times as much.
+MAX_PRICE_RATIO = 2.5
 
-ProvisioningPlan = dict[MachinePool, int]  # how many machines of each pool, in the order of requests
+ProvisioningPlan = dict[MachinePool, int]  # number of machines by pool, in the order of the requests
 
 
 class ProvisioningPlanner:
-    """Decides what to provision, by need, capacity and which pools are open."""
+    """Decides what to provision, based on the need, the capacity and the open pools."""
 
     def __init__(
         self,
@@ -40,7 +44,7 @@
         backoff: PoolBackoff,
         relocation_requests: Callable[[], Iterable[ResourceRequest]],
     ) -> None:
-        """`relocation_requests`: what has to find capacity elsewhere before drained machines can be emptied."""
+        """`relocation_requests` returns what needs capacity elsewhere before machines under drain can be emptied."""
         self.fleet = fleet
         self.scheduler = scheduler
         self.capacity = capacity
@@ -49,11 +53,14 @@
         self.relocation_requests = relocation_requests
 
     def available_pools(self, now: float) -> list[MachinePool]:
-        """Pools that might have machines now, cheapest first, zones with fewest machines first."""
+        """Returns the pools that may have machines now.
+
+        The cheapest pools come first, and among equally expensive ones those with the fewest machines.
+        """
         return self._cheapest_first(self._open_pools(now), self.capacity.machine_count_by_pool())
 
     def _open_pools(self, now: float) -> list[MachinePool]:
-        """All pools of the catalog that are not closed."""
+        """Returns all pools of the catalog that are not closed."""
         pools = [
             MachinePool(type_, self.fleet.zone_names.index_of(zone), spot)
             for type_, machine_type in enumerate(self.fleet.machine_types)
@@ -67,7 +74,7 @@
         return sorted(pools, key=lambda pool: (self.capacity.hourly_price(pool), counts[pool], pool))
 
     def plan_for_waiting_jobs(self, now: float) -> ProvisioningPlan:
-        """What to provision for the jobs that wait, beyond the machines that are on their way."""
+        """Plans what to provision for the waiting jobs in addition to the incoming machines."""
         packing = _Packing(self.capacity, self._open_pools(now), self.capacity.incoming_machines(now))
         for queued in provisioning_order(self.scheduler.waiting):
             if queued.job.spec is not None:
@@ -77,58 +84,58 @@
         return dict(packing.planned)
 
     def plan_standby(self, now: float) -> ProvisioningPlan:
-        """What to provision ahead of need, once nothing that waits needs anything."""
+        """Plans what to provision ahead of need, once the waiting jobs need no further machines."""
         targets = self.demand.targets
         on_demand, total = self.capacity.machine_counts(now)
-        target_total = targets.total_with(on_demand)
+        target_total = targets.total_for(on_demand)
         plan: ProvisioningPlan = {}
         pools = self.available_pools(now)
-        cheapest = self._cheapest_price_by_type(pools)
+        cheapest_price = self._cheapest_price_by_type(pools)
         for on_demand_only in (True, False):
             for pool in pools:
                 if on_demand_only and pool.spot:
                     continue
-                too_dear = self.capacity.hourly_price(pool) > MAX_PRICE_RATIO * cheapest[pool.type]
-                if not on_demand_only and too_dear:
+                too_expensive = self.capacity.hourly_price(pool) > MAX_PRICE_RATIO * cheapest_price[pool.type]
+                if not on_demand_only and too_expensive:
                     continue
-                lacking = (targets.on_demand - on_demand) if on_demand_only else (target_total - total)
-                count = min(int(lacking + ROUNDING), MAX_PER_REQUEST)
+                shortfall = (targets.on_demand - on_demand) if on_demand_only else (target_total - total)
+                count = min(int(shortfall + ROUNDING), MAX_MACHINES_PER_REQUEST)
                 if count <= 0:
                     continue
                 plan[pool] = plan.get(pool, 0) + count
                 total += count
                 if not pool.spot:
                     on_demand += count
-                    target_total = targets.total_with(on_demand)
+                    target_total = targets.total_for(on_demand)
         return plan
 
     def _cheapest_price_by_type(self, pools: Iterable[MachinePool]) -> dict[int, float]:
-        cheapest: dict[int, float] = {}
+        cheapest_price: dict[int, float] = {}
         for pool in pools:
-            cheapest[pool.type] = min(cheapest.get(pool.type, math.inf), self.capacity.hourly_price(pool))
-        return cheapest
+            cheapest_price[pool.type] = min(cheapest_price.get(pool.type, math.inf), self.capacity.hourly_price(pool))
+        return cheapest_price
 
 
 class _Packing:
-    """Packs requests into incoming machines, and plans new ones for what is left."""
+    """Packs requests onto incoming machines, and plans new machines for the remaining tasks."""
 
     def __init__(self, capacity: Capacity, pools: list[MachinePool], incoming: list[FreeCapacity]) -> None:
         self.capacity = capacity
         self.pools = pools
         self.counts = capacity.machine_count_by_pool()
         self.incoming = incoming
-        # What others have filled is not looked at again.
+        # Excludes machines whose GPUs earlier requests have used up, so that they are not checked again.
         self.incoming_with_gpus = [machine for machine in incoming if machine.gpus > EPSILON]
         self.planned: Counter[MachinePool] = Counter()
 
     def add(self, request: ResourceRequest) -> None:
-        """Find capacity for all tasks of a request, as far as pools can have it."""
+        """Finds capacity for all tasks of a request, as far as the pools may have it."""
         remaining = self._pack(request)
         while remaining > 0:
             pool = self._choose_pool(request, remaining)
-            # The rest of a pool that has all that one request can bring comes with the next plan, rather
-            # than from a dearer one.
-            if pool is None or self.planned[pool] >= MAX_PER_REQUEST:
+            # Once the planned machines of the pool fill a provisioning request, the remaining tasks are left to the
+            # next plan instead of being planned on machines of a more expensive pool.
+            if pool is None or self.planned[pool] >= MAX_MACHINES_PER_REQUEST:
                 return
             if request.one_zone and request.zone < 0:
                 request.zone = pool.zone
@@ -141,7 +148,7 @@
             remaining -= placed
 
     def _pack(self, request: ResourceRequest) -> int:
-        """Use machines that are on their way; returns how many tasks are left."""
+        """Packs the tasks onto incoming machines; returns how many tasks are left."""
         remaining = request.count
         machines = self.incoming
         if request.gpus > 0:
@@ -157,16 +164,17 @@
         return remaining
 
     def _choose_pool(self, request: ResourceRequest, remaining: int) -> MachinePool | None:
-        """The cheapest pool whose machines hold a task, or None.
+        """Returns the cheapest pool whose machines can hold a task, or None.
 
-        Evenly over the zones: one that has no capacity then costs one refusal, not the start.
+        Equally cheap pools are used evenly, which spreads the machines over the zones. A zone without capacity then
+        costs one refused request, but does not prevent the start.
         """
-        for pool in sorted(self.pools, key=self._cheapest_and_least_used):
+        for pool in sorted(self.pools, key=self._by_price_and_use):
             machine = self.capacity.empty_machine(pool)
             fits = min(remaining, placeable_task_count(request, machine)) > 0
             if fits and satisfies_constraints(request, machine):
                 return pool
         return None
 
-    def _cheapest_and_least_used(self, pool: MachinePool) -> tuple[float, int, MachinePool]:
+    def _by_price_and_use(self, pool: MachinePool) -> tuple[float, int, MachinePool]:
         return self.capacity.hourly_price(pool), self.counts[pool] + self.planned[pool], pool
--- a/hookwall/autoscaling/scale_out.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -1,11 +1,11 @@
-"""Scaling out, and carrying out at the cloud what scaling out and in have decided.
+"""Scaling out, and sending the decisions of scaling out and in to the cloud.
 
-Provisioning requests name themselves `hw-<fencing token>-<n>`: the token is new with each leadership and the number
-with each request, so a name is never used twice. A request without a response is repeated under its own name until it
-has one.
+Provisioning requests are named `hw-<fencing token>-<n>`. The token is new in each leadership and the number is new for
+each request, so a name is never used twice. A request without a response is repeated under the same name until it gets
+one.
 
-Invariant: every request that was ever sent is either pending here or has its final response, and a new leader decides
-nothing before it has learned what there is.
+Invariant: every request that was sent is either pending here or has received its final response, and a new leader
+decides nothing before it has learned which machines exist.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from hookwall.autoscaling.capacity import Capacity, ProvisioningRequest
 from hookwall.autoscaling.cloud_client import (
     POLL_INTERVAL_S,
-    RETRY_AFTER_S,
+    RETRY_DELAY_S,
     CloudClient,
     CloudUnavailableError,
     NoCapacityError,
@@ -24,7 +24,7 @@
 from hookwall.autoscaling.demand import Demand
 from hookwall.autoscaling.inventory import Inventory
 from hookwall.autoscaling.pool_backoff import PoolBackoff
-from hookwall.autoscaling.provisioning_plan import MAX_PER_REQUEST, ProvisioningPlanner
+from hookwall.autoscaling.provisioning_plan import MAX_MACHINES_PER_REQUEST, ProvisioningPlanner
 from hookwall.autoscaling.scale_in import ScaleIn
 from hookwall.config.platform import PlatformParameters
 from hookwall.protocol.cloud_messages import Catalog
@@ -34,19 +34,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PER_DELETE = 100
-SCALE_IN_AFTER_S = 30.0  # a new leader drains nothing before it has seen this much
-SETTLE_S = 4.0  # a new leader first learns what there is; provisioning before that would double it
-PLAN_EVERY_S = 1.0
-CATALOG_EVERY_S = 60.0
+MAX_MACHINES_PER_DELETION = 100
+SCALE_IN_DELAY_S = 30.0  # a new leader drains no machines until it has led for this long
+# A new leader first learns which machines exist; if it provisioned before, it would provision them a second time.
+SCALE_OUT_DELAY_S = 4.0
+PLAN_INTERVAL_S = 1.0
+CATALOG_INTERVAL_S = 60.0
 
 
 async def _ignore_catalog(catalog: Catalog) -> None:
-    """Where nobody needs to know the machine types."""
+    """Does nothing; the default for `on_catalog`."""
 
 
 class ScaleOut:
-    """Provisions and deletes machines while this node leads: `run` does what the planner and `scale_in` decide."""
+    """Provisions and deletes machines while this node leads: `run` executes what the planner and `scale_in` decide."""
 
     def __init__(
         self,
@@ -63,9 +64,9 @@
     ) -> None:
         """Builds the parts of autoscaling.
 
-        `is_first_leadership`: whether nobody can have led lately, so that there are no requests and heartbeats to wait
-        for. `intake_blocked`: see `Demand`. `relocation_requests`: see `ProvisioningPlanner`. `on_catalog`: gets the
-        machine types each time they were fetched.
+        `is_first_leadership` tells whether no node can have led recently, so that there are no requests and heartbeats
+        to wait for. For `intake_blocked` see `Demand`, for `relocation_requests` see `ProvisioningPlanner`.
+        `on_catalog` is called with the machine types each time they have been fetched.
         """
         self.fleet = fleet
         self.scheduler = scheduler
@@ -86,7 +87,7 @@
         self._catalog_requested_at = -math.inf
 
     def reset(self) -> None:
-        """A new leadership: lists and heartbeats tell what there is."""
+        """Starts a new leadership, which learns from lists and heartbeats which machines exist."""
         self.capacity.pending_requests.clear()
         self.backoff.reset()
         self.inventory.reset()
@@ -94,7 +95,7 @@
         self.request_serial = 0
 
     def is_gone(self, machine: str) -> bool:
-        """Whether a machine that records name is known to be no more."""
+        """Whether a machine that is named in records is known to no longer exist."""
         if machine in self.fleet.deleted_names:
             return True
         if machine in self.fleet.machines or not self.inventory.has_listing:
@@ -102,7 +103,7 @@
         return self.inventory.leading_for_s(self.clock()) > 2 * self.inventory.max_age_s
 
     async def run(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
-        """Compare need and capacity every moment while this node leads; provision and delete."""
+        """Compares need and capacity periodically while this node leads, and provisions and deletes machines."""
         self._planned_at = -math.inf
         self._catalog_requested_at = -math.inf
         while True:
@@ -113,11 +114,11 @@
                 await self._reconcile(leads, fencing_token)
             except CloudUnavailableError as error:
                 log.debug("cloud request failed: error=%s", error)
-                await asyncio.sleep(RETRY_AFTER_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _reconcile(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
-        """One pass: the catalog, then scale in, then the pending requests, then new ones."""
-        if self.fleet.catalog is None or self.clock() - self._catalog_requested_at > CATALOG_EVERY_S:
+        """Runs one pass: fetches the catalog, scales in, repeats the pending requests, and then sends new ones."""
+        if self.fleet.catalog is None or self.clock() - self._catalog_requested_at > CATALOG_INTERVAL_S:
             self._catalog_requested_at = self.clock()
             await self.on_catalog(await self.client.fetch_catalog())
         if not leads():
@@ -125,19 +126,19 @@
         await self._scale_in()
         for request in list(self.capacity.pending_requests):
             await self._provision(request)
-        settle_s = 0.0 if self.is_first_leadership() else SETTLE_S
+        scale_out_delay_s = 0.0 if self.is_first_leadership() else SCALE_OUT_DELAY_S
         now = self.clock()
-        has_settled = self.inventory.has_listing and self.inventory.leading_for_s(now) >= settle_s
-        if has_settled and now - self._planned_at >= PLAN_EVERY_S:
+        may_scale_out = self.inventory.has_listing and self.inventory.leading_for_s(now) >= scale_out_delay_s
+        if may_scale_out and now - self._planned_at >= PLAN_INTERVAL_S:
             self._planned_at = now
             await self._scale_out(leads, fencing_token)
 
     async def _scale_in(self) -> None:
-        """Drain what is beyond need, and delete what is of no use any more."""
+        """Drains machines that exceed the need, and deletes machines that are no longer usable or needed."""
         self.demand.measure(self.clock())
-        if self.inventory.has_listing and self.inventory.leading_for_s(self.clock()) > SCALE_IN_AFTER_S:
+        if self.inventory.has_listing and self.inventory.leading_for_s(self.clock()) > SCALE_IN_DELAY_S:
             self.scale_in.drain_excess_machines(self.clock())
-        to_delete = self.scale_in.machines_to_delete(self.clock())[:MAX_PER_DELETE]
+        to_delete = self.scale_in.machines_to_delete(self.clock())[:MAX_MACHINES_PER_DELETION]
         if not to_delete:
             return
         await self.client.delete_machines([machine.name for machine in to_delete])
@@ -146,7 +147,7 @@
                 self.fleet.confirm_deletion(machine, "deleted")
 
     async def _scale_out(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
-        """Provision for what waits, else ahead of need."""
+        """Provisions machines for the waiting jobs; if these need none, provisions ahead of need."""
         self._log_need(self.clock())
         plan = self.planner.plan_for_waiting_jobs(self.clock()) or self.planner.plan_standby(self.clock())
         for pool, count in plan.items():
@@ -154,12 +155,12 @@
                 return
             self.request_serial += 1
             name = f"hw-{fencing_token()}-{self.request_serial}"
-            request = ProvisioningRequest(name, pool, min(count, MAX_PER_REQUEST))
+            request = ProvisioningRequest(name, pool, min(count, MAX_MACHINES_PER_REQUEST))
             self.capacity.pending_requests.append(request)
             await self._provision(request)
 
     async def _provision(self, request: ProvisioningRequest) -> None:
-        """Send a pending request. Without a response it stays pending, and CloudUnavailableError goes on."""
+        """Sends a pending request. Without a response it stays pending, and CloudUnavailableError is passed on."""
         pool = request.pool
         type_ = self.fleet.type_names.names[pool.type]
         zone = self.fleet.zone_names.names[pool.zone]
@@ -182,7 +183,7 @@
             self.fleet.ensure_machine(name, type_, zone, pool.spot).last_listed_at = self.clock()
 
     def _log_need(self, now: float) -> None:
-        """Why machines are provisioned and deleted, in one line."""
+        """Logs the figures behind provisioning and deletion decisions in one line."""
         if not log.isEnabledFor(logging.DEBUG):
             return
         counts = self.capacity.machine_counts(now)
--- a/tests/autoscaling/scripted_cloud.py
+++ b/tests/autoscaling/scripted_cloud.py
@@ -1,4 +1,4 @@
-"""A cloud that responds as a test says, and autoscaling that asks it."""
+"""A cloud whose responses a test defines, and a `ScaleOut` that uses it."""
 
 from conftest import Clock, Cluster
 
@@ -7,7 +7,7 @@
 
 
 class ScriptedCloud:
-    """Responds to provisioning requests as `respond` says."""
+    """Records provisioning requests and returns what `respond` gives for their machine count."""
 
     def __init__(self) -> None:
         self.requests: list[tuple] = []
@@ -19,7 +19,7 @@
 
 
 def new_scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
-    """Autoscaling of a leadership that begins now."""
+    """A `ScaleOut` whose leadership begins now."""
     scale_out = ScaleOut(params, cluster.fleet, cluster.scheduler, ScriptedCloud(), clock)
     scale_out.reset()
     return scale_out
--- a/tests/autoscaling/test_capacity.py
+++ b/tests/autoscaling/test_capacity.py
@@ -1,4 +1,4 @@
-"""Which machines are counted on."""
+"""Which machines count as ready or expected."""
 
 import pytest
 from conftest import Clock, Cluster
@@ -14,7 +14,7 @@
     return new_scale_out(cluster, params, clock)
 
 
-def test_machines_that_only_records_name_do_not_count_as_ready_once_lists_lack_them(
+def test_machines_known_only_from_records_do_not_count_once_missing_from_the_list(
     cluster: Cluster, scale_out: ScaleOut
 ):
     cluster.beat("vm-1")
@@ -27,14 +27,14 @@
     scale_out.inventory.apply_listing([], cluster.clock())
     assert job.allocations and "vm-1" in cluster.fleet.machines
     assert scale_out.capacity.machine_counts(cluster.clock()) == (0, 0)
-    # It is deleted only when even the latest list must have named it, and then its task is free.
+    # The machine is deleted only once the newest list would have to include it; its task can then run elsewhere.
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
     cluster.clock.tick(12.0)
     scale_out.inventory.apply_listing([], cluster.clock())
-    assert [m.name for m in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-1"]
+    assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-1"]
 
 
-def test_a_new_leader_does_not_count_on_machines_without_a_heartbeat(cluster: Cluster, scale_out: ScaleOut):
+def test_a_new_leader_stops_counting_listed_machines_that_send_no_heartbeat(cluster: Cluster, scale_out: ScaleOut):
     listed = [cloud_messages.ListedMachine(name=f"vm-{i}", type="g4", zone="west", phase="running") for i in range(4)]
     cluster.fleet.reset(token=9)
     scale_out.reset()
@@ -45,7 +45,7 @@
     scale_out.inventory.apply_listing(listed, cluster.clock())
     cluster.fleet.expire_leases(cluster.clock())
     assert scale_out.capacity.machine_counts(cluster.clock()) == (0, 0)
-    # A whole zone is rather cut off than dead.
+    # All machines of the zone are unresponsive, which indicates a network partition, so none is deleted.
     cluster.clock.tick(60.0)
     scale_out.inventory.apply_listing(listed, cluster.clock())
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -1,4 +1,4 @@
-"""How many machines are to be ready."""
+"""How many machines should be ready."""
 
 import pytest
 from conftest import Clock, Cluster
@@ -13,7 +13,7 @@
     return new_scale_out(cluster, params, clock)
 
 
-def test_a_margin_is_ready_while_jobs_arrive_and_goes_when_they_stop(cluster: Cluster, scale_out: ScaleOut):
+def test_targets_include_a_margin_only_while_jobs_arrive(cluster: Cluster, scale_out: ScaleOut):
     scale_out.demand.jobs_precede_leadership = False
     for n in range(1, 5):
         cluster.beat(f"vm-{n}")
@@ -29,7 +29,7 @@
     assert scale_out.demand.targets.on_demand == pytest.approx(4.0, abs=0.25)
 
 
-def test_targets_do_not_fall_while_nothing_can_be_stored(cluster: Cluster, scale_out: ScaleOut):
+def test_targets_do_not_fall_while_jobs_can_not_be_stored(cluster: Cluster, scale_out: ScaleOut):
     job = cluster.submit(1, shape="ensemble", cards=4.0, pieces=3)
     cluster.scheduler.run_round()
     scale_out.demand.measure(cluster.clock())
--- a/tests/autoscaling/test_inventory.py
+++ b/tests/autoscaling/test_inventory.py
@@ -1,4 +1,4 @@
-"""The machine inventory: its loop, and what a list changes."""
+"""The machine inventory: its polling loop, and the effects of a machine list."""
 
 import asyncio
 
@@ -17,8 +17,8 @@
 LISTED = [cloud_messages.ListedMachine(name="vm-1", type="g4", zone="east", phase="running")]
 
 
-class Cloud:
-    """Responds with a list after a while, or fails."""
+class ScriptedListing:
+    """Returns a machine list after `response_s` seconds, or raises an error."""
 
     page_size = 500
 
@@ -36,12 +36,12 @@
 
 
 @pytest.fixture
-def play(cluster: Cluster, params: PlatformParameters):
-    """Runs a scenario beside the loop of a list, on one fake clock."""
+def run_scenario(cluster: Cluster, params: PlatformParameters):
+    """Runs a scenario concurrently with the inventory's polling loop, on one fake clock."""
     loop = VirtualLoop()
 
     def run(scenario, leads=lambda: True):
-        inventory = Inventory(cluster.fleet, Cloud(), params.cloud, loop.time)
+        inventory = Inventory(cluster.fleet, ScriptedListing(), params.cloud, loop.time)
 
         async def main():
             inventory.reset()
@@ -60,17 +60,17 @@
     return new_scale_out(cluster, params, clock)
 
 
-def test_a_list_counts_from_when_it_was_requested(play, cluster: Cluster):
+def test_a_list_is_dated_at_the_time_of_its_request(run_scenario, cluster: Cluster):
     async def scenario(inventory: Inventory):
         while not inventory.has_listing:
             await asyncio.sleep(0.1)
         assert inventory.clock() - inventory.listed_at >= inventory.client.response_s
         assert cluster.fleet.machines["vm-1"].last_listed_at == inventory.listed_at
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_list_that_an_earlier_leadership_requested_is_ignored(play, cluster: Cluster):
+def test_a_list_requested_under_an_earlier_leadership_is_ignored(run_scenario, cluster: Cluster):
     async def scenario(inventory: Inventory):
         while not inventory.client.requests:
             await asyncio.sleep(0.1)
@@ -79,10 +79,10 @@
         await asyncio.sleep(2.0)
         assert not inventory.has_listing and "vm-1" not in cluster.fleet.machines
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_list_is_neither_requested_nor_applied_without_leadership(play, cluster: Cluster):
+def test_a_list_is_neither_requested_nor_applied_without_leadership(run_scenario, cluster: Cluster):
     leading = [True]
 
     async def scenario(inventory: Inventory):
@@ -92,10 +92,10 @@
         await asyncio.sleep(10.0)
         assert inventory.client.requests == 1 and not inventory.has_listing
 
-    play(scenario, lambda: leading[0])
+    run_scenario(scenario, lambda: leading[0])
 
 
-def test_a_list_that_fails_is_requested_again_soon(play):
+def test_a_failed_list_request_is_retried_soon(run_scenario):
     async def scenario(inventory: Inventory):
         inventory.client.fails = True
         await asyncio.sleep(10.0)
@@ -104,10 +104,10 @@
         await asyncio.sleep(3.0)
         assert inventory.has_listing
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_machines_that_nobody_requested_are_used(cluster: Cluster, scale_out: ScaleOut):
+def test_listed_machines_without_a_known_provisioning_request_are_used(cluster: Cluster, scale_out: ScaleOut):
     scale_out.inventory.apply_listing(
         [cloud_messages.ListedMachine(name="vm-77", type="g4", zone="west", phase="running")], cluster.clock()
     )
@@ -118,8 +118,8 @@
     assert job.allocations[0].machine == "vm-77"
 
 
-def test_a_late_list_does_not_bring_a_deleted_machine_back(cluster: Cluster, scale_out: ScaleOut):
-    """It would count as incoming, and nothing would be provisioned in its place."""
+def test_a_stale_list_does_not_restore_a_deleted_machine(cluster: Cluster, scale_out: ScaleOut):
+    """If restored, it would count as an incoming machine, and no replacement would be provisioned."""
     cluster.beat("vm-1")
     cluster.fleet.confirm_deletion(cluster.fleet.machines["vm-1"], "deleted")
     scale_out.inventory.apply_listing(
--- a/tests/autoscaling/test_pool_backoff.py
+++ b/tests/autoscaling/test_pool_backoff.py
@@ -1,4 +1,4 @@
-"""Pools that refuse a provisioning request are closed for a while."""
+"""Pools are closed temporarily after they refused a provisioning request."""
 
 from conftest import Clock
 
@@ -8,8 +8,8 @@
 POOL = MachinePool(0, 0, False)
 
 
-def closed_for_s(backoff: PoolBackoff, clock: Clock) -> float:
-    """How long the pool stays closed after one more refusal, in whole seconds; time goes on by as much."""
+def refuse_and_wait_s(backoff: PoolBackoff, clock: Clock) -> float:
+    """Records a refusal, advances the clock until the pool is open again, and returns how many whole seconds passed."""
     backoff.record_refusal(POOL)
     waited_s = 0.0
     while not backoff.is_open(POOL, clock()):
@@ -18,15 +18,15 @@
     return waited_s
 
 
-def test_a_pool_that_refuses_again_is_closed_for_longer_up_to_a_limit(clock: Clock):
+def test_repeated_refusals_close_a_pool_for_longer_up_to_a_limit(clock: Clock):
     backoff = PoolBackoff(clock)
-    assert [closed_for_s(backoff, clock) for _ in range(5)] == [6.0, 12.0, 24.0, 30.0, 30.0]
+    assert [refuse_and_wait_s(backoff, clock) for _ in range(5)] == [6.0, 12.0, 24.0, 30.0, 30.0]
 
 
-def test_a_pool_that_gave_all_is_as_if_it_had_never_refused(clock: Clock):
+def test_a_fully_provisioned_request_resets_the_backoff_of_its_pool(clock: Clock):
     backoff = PoolBackoff(clock)
     for _ in range(3):
-        closed_for_s(backoff, clock)
+        refuse_and_wait_s(backoff, clock)
     backoff.record_success(POOL)
     assert backoff.is_open(POOL, clock())
-    assert closed_for_s(backoff, clock) == 6.0
+    assert refuse_and_wait_s(backoff, clock) == 6.0
--- a/tests/autoscaling/test_provisioning_plan.py
+++ b/tests/autoscaling/test_provisioning_plan.py
@@ -1,4 +1,4 @@
-"""What is provisioned, for the jobs that wait and ahead of need."""
+"""What is provisioned for waiting jobs and ahead of need."""
 
 import pytest
 from conftest import Clock, Cluster
@@ -14,7 +14,7 @@
     return new_scale_out(cluster, params, clock)
 
 
-def test_waiting_jobs_are_packed_into_what_is_provisioned(cluster: Cluster, scale_out: ScaleOut):
+def test_waiting_jobs_are_packed_onto_the_provisioned_machines(cluster: Cluster, scale_out: ScaleOut):
     cluster.submit(1, pieces=7)
     cluster.submit(2, shape="ensemble", cards=4.0)
     cluster.scheduler.run_round()
@@ -34,13 +34,11 @@
     cluster.fleet.ensure_machine("vm-5", "g4", "east", False)
     assert scale_out.planner.plan_for_waiting_jobs(cluster.clock()) == {}
     cluster.clock.tick(25.0 * 2.5 + 1)
-    assert sum(scale_out.planner.plan_for_waiting_jobs(cluster.clock()).values()) == 1, (
-        "one that does not come up is not waited for"
-    )
+    assert sum(scale_out.planner.plan_for_waiting_jobs(cluster.clock()).values()) == 1, "an overdue machine is replaced"
 
 
 def test_machines_of_several_types_are_provisioned_and_drained(cluster: Cluster, scale_out: ScaleOut):
-    """Need was once counted in GPUs, and a type without any divided by zero."""
+    """Guards against computing the need in GPUs, which divided by zero for a machine type without GPUs."""
     cpu = {"label": "c16", "cores": 16, "cards": 0, "memGb": 64, "price": 2.0, "spotPrice": 1.0, "yards": ["east"]}
     types = [
         *json_messages.convert_message({"hulls": [cpu]}, cloud_messages.Catalog).types,
@@ -61,7 +59,7 @@
     scale_out.scale_in.drain_excess_machines(cluster.clock())
 
 
-def test_a_plan_has_one_full_request_for_each_pool_and_none_for_a_dearer_one(cluster: Cluster, scale_out: ScaleOut):
+def test_a_plan_has_one_full_request_for_each_pool_but_none_for_expensive_pools(cluster: Cluster, scale_out: ScaleOut):
     cluster.submit(1, pieces=4 * 120, loaners=True)
     cluster.scheduler.run_round()
     plan = scale_out.planner.plan_for_waiting_jobs(cluster.clock())
--- a/tests/autoscaling/test_scale_in.py
+++ b/tests/autoscaling/test_scale_in.py
@@ -17,7 +17,7 @@
 
 
 def drain_idle_machine(cluster: Cluster, scale_out):
-    """Let scale-in drain one machine that nobody has needed for long."""
+    """Let scale-in drain a machine that has been idle for long enough."""
     cluster.beat("vm-1")
     cluster.clock.tick(100.0)
     cluster.beat("vm-1")
@@ -27,8 +27,8 @@
 
 def test_an_idle_machine_is_deleted_and_gets_no_more_work(cluster: Cluster, scale_out: ScaleOut):
     drain_idle_machine(cluster, scale_out)
-    (m,) = scale_out.scale_in.machines_to_delete(cluster.clock())
-    assert m.phase is MachinePhase.DELETING
+    (machine,) = scale_out.scale_in.machines_to_delete(cluster.clock())
+    assert machine.phase is MachinePhase.DELETING
     job = cluster.submit(1)
     cluster.scheduler.run_round()
     assert not job.allocations
@@ -44,8 +44,9 @@
     assert job.allocations
 
 
-def test_spot_instances_do_not_stand_idle_for_work_that_can_not_use_them(cluster: Cluster, scale_out: ScaleOut):
-    # In a queue of urgent gangs, need in all was what they lacked too, and half of the spot instances idled.
+def test_a_shortage_of_on_demand_machines_keeps_no_spot_instances_up(cluster: Cluster, scale_out: ScaleOut):
+    # Queued urgent gangs lack on-demand machines. When this shortage was part of the total need, half of the spot
+    # instances stayed up idle.
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
     cluster.clock.tick(100.0)
@@ -56,17 +57,17 @@
     for zone in (0, 1):
         scale_out.backoff.record_refusal(MachinePool(0, zone, False))
     scale_out.demand.measure(cluster.clock())
-    assert scale_out.planner.plan_standby(cluster.clock()) == {}, "and none is provisioned for it"
+    assert scale_out.planner.plan_standby(cluster.clock()) == {}, "spot instances do not cover the shortage"
     scale_out.scale_in.drain_excess_machines(cluster.clock())
-    assert {m.phase for m in cluster.fleet.machines.values()} == {MachinePhase.DRAINING}
-    # As soon as work waits that may use them, they are.
+    assert {machine.phase for machine in cluster.fleet.machines.values()} == {MachinePhase.DRAINING}
+    # They return to service as soon as work that may run on spot instances is waiting.
     cluster.submit(2, pieces=40, loaners=True)
     cluster.scheduler.run_round()
     scale_out.scale_in.drain_excess_machines(cluster.clock())
-    assert {m.phase for m in cluster.fleet.machines.values()} == {MachinePhase.UP}
+    assert {machine.phase for machine in cluster.fleet.machines.values()} == {MachinePhase.UP}
 
 
-def test_an_unresponsive_spot_instance_is_deleted_before_its_lease_is_over(cluster: Cluster, scale_out: ScaleOut):
+def test_an_unresponsive_spot_instance_is_deleted_before_its_lease_expires(cluster: Cluster, scale_out: ScaleOut):
     cluster.clock.tick(60.0)
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
@@ -77,13 +78,13 @@
         cluster.beat("vm-2", spot=True)
         cluster.beat("vm-3", spot=True)
         cluster.fleet.expire_leases(cluster.clock())
-    (m,) = scale_out.scale_in.machines_to_delete(cluster.clock())
-    assert m.name == "vm-1" and len(job.allocations) == 12
-    cluster.fleet.confirm_deletion(m, "deleted")
+    (machine,) = scale_out.scale_in.machines_to_delete(cluster.clock())
+    assert machine.name == "vm-1" and len(job.allocations) == 12
+    cluster.fleet.confirm_deletion(machine, "deleted")
     assert len(job.allocations) == 8
 
 
-def test_machines_of_a_zone_that_is_cut_off_are_not_deleted_at_once(cluster: Cluster, scale_out: ScaleOut):
+def test_machines_of_a_partitioned_zone_are_not_deleted_at_once(cluster: Cluster, scale_out: ScaleOut):
     for n in range(1, 5):
         cluster.beat(f"vm-{n}", zone="west")
     cluster.beat("vm-9", zone="east")
@@ -91,7 +92,7 @@
         cluster.clock.tick(1.0)
         cluster.beat("vm-8", zone="east")
         cluster.fleet.expire_leases(cluster.clock())
-    assert [m.name for m in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-9"]
+    assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-9"]
     cluster.clock.tick(80.0)
     assert len(scale_out.scale_in.machines_to_delete(cluster.clock())) == 5
 
@@ -105,16 +106,14 @@
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
 
 
-def test_a_machine_that_never_comes_up_is_deleted(cluster: Cluster, scale_out: ScaleOut):
+def test_a_machine_that_does_not_boot_in_time_is_deleted(cluster: Cluster, scale_out: ScaleOut):
     cluster.fleet.ensure_machine("vm-5", "g4", "east", False)
     cluster.clock.tick(25.0 * 5 + 1)
-    assert [m.name for m in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-5"]
+    assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-5"]
 
 
-def test_the_first_unresponsive_machines_of_a_cut_off_zone_are_not_deleted_either(
-    cluster: Cluster, scale_out: ScaleOut
-):
-    """Heartbeats are spread over two seconds, and spot instances are given up after six."""
+def test_the_first_unresponsive_machines_of_a_partitioned_zone_are_not_deleted(cluster: Cluster, scale_out: ScaleOut):
+    """The heartbeats of a zone are spread over two seconds, and spot instances are deleted after about six seconds."""
     cluster.clock.tick(60.0)
     for n in range(8):
         cluster.clock.tick(0.25)
@@ -124,25 +123,27 @@
         cluster.beat("vm-9", zone="east")
         cluster.fleet.expire_leases(cluster.clock())
         assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
-    assert any(m.unresponsive for m in cluster.fleet.machines.values())
+    assert any(machine.unresponsive for machine in cluster.fleet.machines.values())
 
 
-def test_a_machine_whose_lease_ended_with_cancelled_tasks_is_deleted_before_they_could_go_on(
+def test_a_machine_whose_lease_expired_with_cancelled_tasks_is_deleted_before_they_can_resume(
     cluster: Cluster, scale_out: ScaleOut
 ):
-    """One that hangs has its tasks until it goes on, and an on-demand one is given the time to come back."""
+    """A hung machine keeps its tasks until it resumes, so it must not be given the usual on-demand grace period."""
     for name in ("vm-1", "vm-2"):
         cluster.beat(name)
-    off, other = cluster.submit(1, pieces=4), cluster.submit(2, pieces=4)
+    cancelled, other = cluster.submit(1, pieces=4), cluster.submit(2, pieces=4)
     cluster.scheduler.run_round()
     cluster.store()
-    at = {job.job_id: job.allocations[0].machine for job in (off, other)}
-    cluster.table.apply_cancellation(off.job_id, cluster.stamp + 1)
-    assert off.phase == CANCELLED
+    machine_of = {job.job_id: job.allocations[0].machine for job in (cancelled, other)}
+    cluster.table.apply_cancellation(cancelled.job_id, cluster.stamp + 1)
+    assert cancelled.phase == CANCELLED
     cluster.clock.tick(13.0)
     cluster.fleet.expire_leases(cluster.clock())
-    assert [m.name for m in scale_out.scale_in.machines_to_delete(cluster.clock())] == [at[off.job_id]]
-    # A heartbeat of a later epoch shows that nothing is there any more.
-    cluster.fleet.transition_to(cluster.fleet.machines[at[off.job_id]], MachinePhase.UP, "back")
-    cluster.beat(at[off.job_id], tenure=2, tick=1)
+    assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == [
+        machine_of[cancelled.job_id]
+    ]
+    # A heartbeat of a later epoch shows that no task of the earlier epoch is left on the machine.
+    cluster.fleet.transition_to(cluster.fleet.machines[machine_of[cancelled.job_id]], MachinePhase.UP, "back")
+    cluster.beat(machine_of[cancelled.job_id], tenure=2, tick=1)
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
--- a/tests/autoscaling/test_scale_out.py
+++ b/tests/autoscaling/test_scale_out.py
@@ -9,7 +9,7 @@
 
 from hookwall.autoscaling.capacity import MachinePool, ProvisioningRequest
 from hookwall.autoscaling.cloud_client import CloudUnavailableError, NoCapacityError
-from hookwall.autoscaling.scale_out import SETTLE_S, ScaleOut
+from hookwall.autoscaling.scale_out import SCALE_OUT_DELAY_S, ScaleOut
 from hookwall.config.platform import PlatformParameters
 
 
@@ -18,7 +18,7 @@
     return new_scale_out(cluster, params, clock)
 
 
-def test_a_pool_that_refused_is_closed_for_a_while(cluster: Cluster, scale_out: ScaleOut):
+def test_a_pool_is_closed_temporarily_after_a_refusal(cluster: Cluster, scale_out: ScaleOut):
     def refuse(count):
         raise NoCapacityError
 
@@ -35,10 +35,10 @@
 def test_a_request_without_response_stays_pending_and_its_machines_count_as_incoming(
     cluster: Cluster, scale_out: ScaleOut
 ):
-    def lose(count):
+    def time_out(count):
         raise CloudUnavailableError("timeout")
 
-    scale_out.client.respond = lose
+    scale_out.client.respond = time_out
     request = ProvisioningRequest("hw-5-1", MachinePool(0, 0, False), 2)
     scale_out.capacity.pending_requests.append(request)
     with pytest.raises(CloudUnavailableError):
@@ -48,10 +48,10 @@
 
 
 def test_provisioning_does_not_wait_for_a_machine_list_of_many_pages(cluster: Cluster, scale_out: ScaleOut):
-    """At 4,000 machines a list took 3.5 of each 4 s, and what was to be provisioned waited for its end."""
+    """With 4,000 machines, a list took 3.5 of every 4 s, and provisioning requests waited until it was complete."""
     cloud, loop = scale_out.client, VirtualLoop()
     cloud.page_size, cloud.listings = 500, 0
-    # What decides and what waits follow the same clock.
+    # The deciding code and the loops that sleep use the same clock.
     scale_out.clock = scale_out.inventory.clock = scale_out.demand.clock = loop.time
     cluster.fleet.clock = cluster.scheduler.clock = loop.time
 
@@ -67,15 +67,15 @@
         cloud.fetch_catalog, cloud.machines = fetch_catalog, machines
         scale_out.reset()
         loops = [scale_out.run(lambda: True, lambda: 5), scale_out.inventory.run(lambda: True)]
-        running = [loop.create_task(work) for work in loops]
-        while cloud.listings < 2 or loop.time() - scale_out.inventory.leading_since < SETTLE_S:
+        tasks = [loop.create_task(loop_coroutine) for loop_coroutine in loops]
+        while cloud.listings < 2 or loop.time() - scale_out.inventory.leading_since < SCALE_OUT_DELAY_S:
             await asyncio.sleep(0.1)
-        begun = cloud.listings
+        listings_before = cloud.listings
         cluster.submit(1, pieces=4)
         cluster.scheduler.run_round()
         await asyncio.sleep(1.5)
-        assert cloud.requests and cloud.listings == begun, "the list that was under way is still"
-        for task in running:
+        assert cloud.requests and cloud.listings == listings_before, "the list request is still in progress"
+        for task in tasks:
             task.cancel()
 
     loop.run_until_complete(scenario())
