--- a/hookwall/api/__init__.py
+++ b/hookwall/api/__init__.py
@@ -1,7 +1,7 @@
-"""The HTTP server, and what users may ask of any node: submit, poll and cancel jobs.
+"""The HTTP server, and the operations that every node serves to users: submit, poll and cancel jobs.
 
-Owns the connections and the requests in flight. A request is answered at once, or refused at once with when to come
-back; none is held back. Its one state machine is that of a connection: idle, reading a body, answering. Asks of others:
-the job table and record writes (`jobs`), confirmation of cached versions (`storage`), whether a job can ever run
-(`scheduling`), and a handler for workers' heartbeats (`workers`).
+Owns the connections and the requests in flight. A request is answered at once, or refused at once with a Retry-After
+header; none is held back. The only state machine is that of a connection: idle, reading a body, responding. Depends on
+the job table and record writes (`jobs`), on the confirmation of cached versions (`storage`), on the check whether a job
+can ever run (`scheduling`), and on a handler for workers' heartbeats (`workers`).
 """
--- a/hookwall/api/connection.py
+++ b/hookwall/api/connection.py
@@ -1,7 +1,7 @@
 """One HTTP connection, on aiohttp's parser.
 
-Invariant: requests are answered one after the other, in their order, each once its body has come whole. No request ends
-another's connection, or the node.
+Invariant: the requests on a connection are answered one at a time and in order, each only once its body has been
+received completely. A request never closes another connection and never ends the node.
 """
 
 import asyncio
@@ -20,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_REQUESTS = 8  # on one connection, that came before the first was answered
-READ_BYTES = 64 * 1024
+MAX_QUEUED_REQUESTS = 8  # pipelined on one connection before the first is answered; it is closed above this limit
+READ_BUFFER_BYTES = 64 * 1024
 
 NO_HEADERS: dict[str, str] = {}
 TOO_LARGE = HttpResponse(413, b'{"error":"too large"}')
@@ -37,50 +37,53 @@
 
 
 class RequestHandler(Protocol):
-    """What a connection asks of its server."""
+    """The part of the server that a connection calls."""
 
     body_timeout_s: float
 
     def route(self, method: str, path: str, body: bytes) -> HttpResponse | Awaitable[HttpResponse]:
-        """The response to a request, or what it is to be waited for."""
+        """Returns the response to a request, or an awaitable of it."""
 
     def mark_used(self, connection: "Connection") -> None:
-        """Something was received on the connection."""
+        """Records that data was received on the connection."""
 
     def forget(self, connection: "Connection") -> None:
-        """The connection is closed."""
+        """Removes a connection that is closed."""
 
 
 class Connection(BaseProtocol):
-    """One connection. It is idle, reads a body (`body_timer`), or answers a request (`answering`)."""
+    """One connection.
 
-    __slots__ = ("answering", "body_timer", "handler", "parser", "queue")
+    It is idle, reading a body (`body_timer` is set), or responding to a request (`active_response` is set).
+    """
+
+    __slots__ = ("active_response", "body_timer", "handler", "parser", "queued_requests")
 
     def __init__(self, handler: RequestHandler, loop: asyncio.AbstractEventLoop) -> None:
-        """A connection whose requests `handler` answers."""
+        """Prepares a connection whose requests `handler` routes."""
         super().__init__(loop)
         self.handler = handler
-        self.parser = HttpRequestParser(self, loop, READ_BYTES, auto_decompress=False)
-        self.queue: deque[tuple[RawRequestMessage, StreamReader]] = deque()
-        self.answering: asyncio.Task[None] | None = None
+        self.parser = HttpRequestParser(self, loop, READ_BUFFER_BYTES, auto_decompress=False)
+        self.queued_requests: deque[tuple[RawRequestMessage, StreamReader]] = deque()
+        self.active_response: asyncio.Task[None] | None = None
         self.body_timer: asyncio.TimerHandle | None = None
 
-    # -- events of the transport -------------------------------------------------------------------
+    # -- transport callbacks -----------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Registers the connection, which is open now."""
         super().connection_made(transport)
         self.handler.mark_used(self)
 
     def connection_lost(self, error: BaseException | None) -> None:
-        """The connection is closed: what is queued is not answered any more."""
+        """Drops the queued requests of the connection, which is closed now; they are not answered."""
         super().connection_lost(error)
         self.handler.forget(self)
         self._stop_body_timer()
-        self.queue.clear()
+        self.queued_requests.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come: parts of requests, or several."""
+        """Parses received bytes, which may hold a part of a request or several requests."""
         self.handler.mark_used(self)
         try:
             messages, _, _ = self.parser.feed_data(data)
@@ -88,14 +91,14 @@
             log.info("malformed request: error=%s", type(error).__name__)
             self._send(MALFORMED, close=True)
             return
-        self.queue.extend(messages)
-        if len(self.queue) > MAX_QUEUED_REQUESTS:
+        self.queued_requests.extend(messages)
+        if len(self.queued_requests) > MAX_QUEUED_REQUESTS:
             self.close()
             return
         self._answer_queued()
 
     def close(self) -> None:
-        """Close without a response."""
+        """Closes the connection without a response."""
         self.handler.forget(self)
         if self.transport is not None:
             self.transport.close()
@@ -103,33 +106,33 @@
     # -- requests ----------------------------------------------------------------------------------
 
     def _answer_queued(self) -> None:
-        """Answer what has come whole, in its order."""
-        while self.queue and self.answering is None and self.transport is not None:
-            message, payload = self.queue[0]
+        """Answers the queued requests whose bodies are complete, in order."""
+        while self.queued_requests and self.active_response is None and self.transport is not None:
+            message, payload = self.queued_requests[0]
             if _is_too_large(message, payload):
-                # A large one is not read first.
+                # A request that is too large is refused without reading its body.
                 self._send(TOO_LARGE, close=True)
                 return
             if not payload.is_eof():
                 self._start_body_timer()
                 return
             self._stop_body_timer()
-            self.queue.popleft()
+            self.queued_requests.popleft()
             self._answer(message, payload.read_nowait())
 
     def _start_body_timer(self) -> None:
-        """Limit the time that the rest of a body has to come."""
+        """Limits the time within which the rest of a body must arrive."""
         if self.body_timer is None:
             self.body_timer = self._loop.call_later(self.handler.body_timeout_s, self._send, BODY_TIMED_OUT, True)
 
     def _stop_body_timer(self) -> None:
-        """A body has come whole, or is not waited for any more."""
+        """Stops the timer once a body is complete or no longer awaited."""
         if self.body_timer is not None:
             self.body_timer.cancel()
             self.body_timer = None
 
     def _answer(self, message: RawRequestMessage, body: bytes) -> None:
-        """Answer one request, now or in a task."""
+        """Answers one request, at once or in a task."""
         try:
             response = self.handler.route(message.method, message.path, body)
         except Exception:  # an unexpected error in one request must not end the node
@@ -138,16 +141,16 @@
         if isinstance(response, tuple):
             self._send(response, message.should_close)
         else:
-            self.answering = self._loop.create_task(self._answer_later(response, message))
+            self.active_response = self._loop.create_task(self._answer_later(response, message))
 
     async def _answer_later(self, pending: Awaitable[HttpResponse], message: RawRequestMessage) -> None:
-        """Answer a request once its response is there, then those that came meanwhile."""
+        """Answers a request once its response is available, then the requests that arrived in the meantime."""
         try:
             response = await pending
-        except Exception:  # the top of this request's task
+        except Exception:  # outermost handler of this request's task
             log.exception("request failed: method=%s path=%s", message.method, message.path)
             response = INTERNAL_ERROR
-        self.answering = None
+        self.active_response = None
         self._send(response, message.should_close)
         self._answer_queued()
 
@@ -156,16 +159,16 @@
         if transport is None or transport.is_closing():
             return
         status, body, headers = response
-        more = "".join([f"\r\n{name}: {value}" for name, value in (headers or NO_HEADERS).items()])
+        extra_headers = "".join([f"\r\n{name}: {value}" for name, value in (headers or NO_HEADERS).items()])
         if close:
-            more += "\r\nConnection: close"
-        transport.write(b"%b%d%b\r\n\r\n%b" % (RESPONSE_HEADS[status], len(body), more.encode(), body))
+            extra_headers += "\r\nConnection: close"
+        transport.write(b"%b%d%b\r\n\r\n%b" % (RESPONSE_HEADS[status], len(body), extra_headers.encode(), body))
         if close:
             self.close()
 
 
 def _is_too_large(message: RawRequestMessage, payload: StreamReader) -> bool:
-    """Whether a body is over the limit, by its stated length or by what has come."""
+    """Whether a body is over the limit, by its Content-Length header or by the bytes received so far."""
     if payload.total_bytes > json_messages.MAX_BODY_BYTES:
         return True
     length = message.headers.get("Content-Length", "0")
--- a/hookwall/api/job_service.py
+++ b/hookwall/api/job_service.py
@@ -1,7 +1,8 @@
-"""What users may ask of any node: submit, poll, cancel.
+"""The operations on jobs that every node serves to users: submit, poll and cancel.
 
-Invariant: no user gets a response that is older than what another node has told about the same job. Only final states
-are served from memory; anything else is confirmed with the key-value store first, and refused at once if it can't be.
+Invariant: no response shows an older state of a job than a response that another node has already given. Only final
+states are served from memory. Any other state is first confirmed with the key-value store, and the request is refused
+at once if the store can't confirm it.
 """
 
 import logging
@@ -38,21 +39,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CANCEL_ATTEMPTS = 4  # while the record is changed in between
+MAX_CANCEL_ATTEMPTS = 4  # an attempt fails if the record is changed between its read and its write
 
 
-async def _confirm_any(_job_id: str, _version: int) -> bool:
-    """Where there is no other node to inform."""
+async def _confirm_without_peers(_job_id: str, _version: int) -> bool:
+    """Confirms every cancellation, for use where there is no other node to inform."""
     return True
 
 
 def _never() -> bool:
-    """Where records are written in the plain form only."""
+    """Disables packed records, for use where records are written in the plain form only."""
     return False
 
 
 def _always() -> bool:
-    """Where the records are always current."""
+    """Reports the known cancellations as current, for use where the records always are."""
     return True
 
 
@@ -68,15 +69,15 @@
         read_confirmation: ReadConfirmation,
         time_of_day: Callable[[], float] = time.time,
         *,
-        confirm_cancellation: Callable[[str, int], Awaitable[bool]] = _confirm_any,
+        confirm_cancellation: Callable[[str, int], Awaitable[bool]] = _confirm_without_peers,
         packing_enabled: Callable[[], bool] = _never,
         cancellations_current: Callable[[], bool] = _always,
     ) -> None:
-        """Serve the jobs of `table`, as stored in `store`.
+        """Serves the jobs of `table`, whose records are in `store`.
 
-        `confirm_cancellation` tells whether a stored cancellation (job id, version) may be confirmed to its user;
-        `packing_enabled`, whether all nodes read packed records and know dependencies; `cancellations_current`, whether
-        all cancellations that are older than `cancel_s` are known here.
+        `confirm_cancellation` returns whether a stored cancellation (job id, version) may be confirmed to its user.
+        `packing_enabled` returns whether all nodes can read packed records and support dependencies.
+        `cancellations_current` returns whether this node knows all cancellations that are older than `cancel_s`.
         """
         self.table = table
         self.store = store
@@ -93,7 +94,7 @@
     # -- requests -----------------------------------------------------------------------------------
 
     async def get(self, job_id: str) -> HttpResponse:
-        """The status of a job."""
+        """Returns the status of a job."""
         if not job_messages.JOB_REF_PATTERN.match(job_id):
             return NO_SUCH_JOB
         if not self.store.healthy() and not self._is_known_final(job_id):
@@ -105,7 +106,7 @@
         return await self.job_response(job) if job is not None else NO_SUCH_JOB
 
     async def submit(self, body: bytes) -> HttpResponse:
-        """Accept a new job, or give the status of one that was submitted before."""
+        """Accepts a new job, or returns the status of a job that was submitted before."""
         try:
             spec = job_messages.decode_job(body)
         except MalformedMessageError as error:
@@ -117,7 +118,8 @@
         try:
             return await self._submit(spec)
         except RecordTooLargeError:
-            # The plain form holds less; what it can't hold is accepted once all nodes know the packed one.
+            # The plain form holds less than the packed form. A job that does not fit the plain form is accepted once
+            # all nodes know the packed form.
             return (
                 DESCRIPTION_TOO_LARGE if self.packing_enabled() else retry_later("not all nodes know large records yet")
             )
@@ -125,7 +127,7 @@
             return retry_later(STORE_UNAVAILABLE)
 
     async def cancel(self, job_id: str) -> HttpResponse:
-        """Cancel a job, unless it is over."""
+        """Cancels a job unless it has ended."""
         if not job_messages.JOB_REF_PATTERN.match(job_id):
             return NO_SUCH_JOB
         if self._is_known_final(job_id):
@@ -145,12 +147,15 @@
     # -- status -------------------------------------------------------------------------------------
 
     async def job_response(self, job: Job) -> HttpResponse:
-        """The status of a job. It is given as cancelled only once all its tasks are certain to end in time."""
+        """Returns the status of a job.
+
+        A job is reported as cancelled only once all its tasks are certain to end in time.
+        """
         phase, version = self._newest_phase(job)
         if phase == CANCELLED and not await self.confirm_cancellation(job.job_id, version):
             return retry_later("the cancellation is not known to the leader yet")
         if phase == OPEN and self.table.dependencies.has_cancelled_dependency(job.job_id):
-            # Given only once its own record says so: other nodes answer from that.
+            # Reported as cancelled only once its own record says so, since other nodes answer from that record.
             return await self.cancel(job.job_id)
         if phase == OPEN and job.job_id in self.table.blocked_jobs and not self.cancellations_current():
             return retry_later("a job that this one needs may have been cancelled")
@@ -162,10 +167,10 @@
         return HttpResponse(200, job_messages.encode_job_status(job.job_id, phase, done, running))
 
     def _newest_phase(self, job: Job) -> tuple[str, int]:
-        """The newest phase of the job that was seen, and the version of its record.
+        """Returns the newest phase of the job that this node has seen, and the version of the record that holds it.
 
-        While a write of this node is in flight another's may have been seen: after a confirmed cancellation the status
-        must not be "running" because of the order in which this node stores.
+        While a write of this node is in flight, it may already have seen a record that another node wrote. After a
+        confirmed cancellation the status must not be "running" because of the order in which this node applies the two.
         """
         deferred = job.deferred_record
         if deferred is not None and deferred.version > job.version and isinstance(deferred.value, dict):
@@ -175,7 +180,7 @@
         return job.stored_phase, job.version
 
     async def _current_job(self, job_id: str) -> Job | None:
-        """The job as it is now, or None. A cached version is confirmed first unless it is final."""
+        """Returns the job in its current state, or None. A cached version is confirmed first unless it is final."""
         job = self.table.jobs.get(job_id)
         if job is not None and job.is_final() and job.version:
             return job
@@ -184,12 +189,12 @@
         return job if job is not None and job.version else None
 
     def _is_known_final(self, job_id: str) -> bool:
-        """Whether the job is known here in a state that never changes again."""
+        """Whether this node knows the job in a final state, which never changes again."""
         job = self.table.jobs.get(job_id)
         return job is not None and job.version > 0 and job.is_final()
 
     async def _final_response(self, job_id: str, phase: str, version: int) -> HttpResponse:
-        """The response to a cancellation of a job that has ended, now or before."""
+        """Returns the response to the cancellation of a job that has ended, now or earlier."""
         if phase == CANCELLED and not await self.confirm_cancellation(job_id, version):
             return retry_later("the cancellation is not known to the leader yet")
         return HttpResponse(200, job_messages.encode_job_status(job_id, phase))
@@ -197,7 +202,7 @@
     # -- changes ------------------------------------------------------------------------------------
 
     async def _submit(self, spec: JobSpec) -> HttpResponse:
-        """Accept a job unless it is known, or can't be accepted."""
+        """Accepts a job unless it was accepted before or can't be accepted."""
         if spec.job_id in self.table.jobs and self.table.jobs[spec.job_id].version:
             job = await self._current_job(spec.job_id)
             if job is not None:
@@ -206,13 +211,13 @@
             return retry_later("machine types not known yet")
         refusal = await self.check.refusal(spec, self.catalog, self.packing_enabled())
         if refusal is not None:
-            # An accepted job must not be refused later, whatever this node remembers of it.
+            # A job that was accepted before must not be refused, whatever this node has cached about it.
             job = await self._current_job(spec.job_id)
             return await self.job_response(job) if job is not None else refusal
         return await self._accept(spec)
 
     async def _accept(self, spec: JobSpec) -> HttpResponse:
-        """Store a new job. One that depends on a cancelled job is cancelled from the start: it can never run."""
+        """Stores a new job. A job that depends on a cancelled job can never run, so it is stored as cancelled."""
         job = Job(spec.job_id)
         job.spec = spec
         job.submitted_at = self.time_of_day()
@@ -231,14 +236,14 @@
             "job accepted: job=%s class=%s tasks=%d image=%s", spec.job_id, spec.job_class, spec.task_count, spec.image
         )
         if job.phase == OPEN and spec.dependencies:
-            # What is known of its dependencies may be old by now, so the response is what a poll would get.
+            # What this node knows about the dependencies may be outdated, so the response is what a poll would get.
             response = await self.job_response(self.table.jobs[spec.job_id])
             return response._replace(status=201) if response.status == 200 else response
         phase = "pending" if job.phase == OPEN else job.phase
         return HttpResponse(201, job_messages.encode_job_status(spec.job_id, phase))
 
     async def _try_cancel(self, job_id: str) -> HttpResponse | None:
-        """Read a record and cancel its job; None if the record has changed in between."""
+        """Reads a record and cancels its job; returns None if the record was changed in between."""
         key = keys.JOB_PREFIX + job_id
         found = await self.store.get(key)
         if found is None:
--- a/hookwall/api/record_writer.py
+++ b/hookwall/api/record_writer.py
@@ -1,6 +1,6 @@
-"""Storing what users ask for: a new job's record, or one that is cancelled.
+"""Writes the records that user requests create or change: those of new jobs and of cancelled jobs.
 
-Invariant: a record is written only on the condition that it is still the one that the request was decided on.
+Invariant: a record is written by compare-and-swap, only if it still has the version on which the request was decided.
 """
 
 from collections.abc import Callable
@@ -22,22 +22,26 @@
 )
 from hookwall.storage.job_records import EncodedRecord, JobRecord
 
-CHUNK_WRITES_S = 3.0  # a user waits 5 s for a response; what is not stored by then is gone on with next time
-PLAIN_MARGIN_BYTES = 512  # of a value, beside a record in its plain form
+# A user waits 5 s for a response. Chunks that are not written within this time are left to the next attempt.
+CHUNK_WRITES_S = 3.0
+PLAIN_MARGIN_BYTES = 512  # of a value, kept free beside a record in its plain form
 
 
 class JobRecordWriter:
-    """Writes single records for users, whoever leads."""
+    """Writes single records for users, on any node, whichever node leads."""
 
     def __init__(self, table: JobTable, store: KeyValueClient, limits: StoreLimits, clock: Callable[[], float]) -> None:
-        """Write records to `store`, and apply them to `table` once they are written."""
+        """Writes records to `store`, and applies them to `table` once they are written."""
         self.table = table
         self.store = store
         self.limits = limits
         self.clock = clock
 
     def encode(self, job_id: str, record: JobRecord, packed: bool) -> EncodedRecord:
-        """A record in the form that all nodes may read now; raises RecordTooLargeError if that is too large."""
+        """Encodes a record in a form that all nodes can read now; raises RecordTooLargeError if it is too large.
+
+        `packed` is whether all nodes can read packed records.
+        """
         encoded = job_records.encode_record(job_id, record, self.store.max_value_bytes if packed else None)
         max_plain_bytes = self.limits.value_kb * 1024 - PLAIN_MARGIN_BYTES
         if not encoded.chunks and job_records.json_bytes(encoded.value) > max_plain_bytes:
@@ -45,11 +49,11 @@
         return encoded
 
     def encode_cancelled(self, job_id: str, value: dict[str, Any], packed: bool) -> EncodedRecord:
-        """The record of a job that is cancelled now, from the value that is stored."""
+        """Encodes the record of a job that is being cancelled, from its stored value."""
         try:
             record = job_records.decode_record(job_id, value, self.table.chunks.get)
         except (MissingChunksError, MalformedRecordError):
-            return EncodedRecord({**value, "phase": CANCELLED})  # the rest stays as it is
+            return EncodedRecord({**value, "phase": CANCELLED})  # all other fields stay as they are
         record.phase = CANCELLED
         if not record.allocations:
             record.spec = None
@@ -58,11 +62,12 @@
         return self.encode(job_id, record, packed)
 
     async def write(self, key: str, version: int, encoded: EncodedRecord, current: object = None) -> int:
-        """Write a record if the key still has this version (0: is absent); gives the new version.
+        """Writes a record if the key still has this version (0: the key is absent); returns the new version.
 
-        Chunks that don't fit beside the record are written first. `current` is the value that the record replaces: its
-        chunks are there already. Raises PreconditionFailedError if the record has changed, RequestRejectedError if the
-        chunks took too long (the next attempt goes on from there), and what the store's client raises.
+        Chunks that don't fit into the record's transaction are written first. `current` is the value that the record
+        replaces; its chunks are already stored. Raises PreconditionFailedError if the record has changed,
+        RequestRejectedError if writing the chunks takes too long (the next attempt continues from there), and the
+        errors that the store's client raises.
         """
         stored_chunks: Any = self.table.chunks.texts
         if version:
@@ -74,7 +79,7 @@
             if len(remaining) < max_changes:
                 return []
             if self.clock() > deadline:
-                raise RequestRejectedError("many parts; the rest next time")
+                raise RequestRejectedError("chunks not written in time; the next attempt writes the rest")
             return [Put(name, text) for name, text in islice(remaining.items(), max_changes)]
 
         new_version = await commit_with_chunks(
--- a/hookwall/api/responses.py
+++ b/hookwall/api/responses.py
@@ -1,4 +1,4 @@
-"""Responses to HTTP requests, and those that are the same for every user."""
+"""HTTP responses, and those of them that are the same for every user."""
 
 from typing import NamedTuple
 
@@ -6,25 +6,25 @@
 
 
 class HttpResponse(NamedTuple):
-    """Status, JSON body, and headers beyond the usual ones."""
+    """Status, JSON body, and headers beyond those of every response."""
 
     status: int
     body: bytes
     headers: dict[str, str] | None = None
 
 
-RETRY_LATER = {"Retry-After": "1"}  # headers; the value is in seconds
+RETRY_LATER = {"Retry-After": "1"}  # headers; Retry-After is in seconds
 DESCRIPTION_TOO_LARGE = HttpResponse(413, b'{"error":"description too large"}')
 NO_SUCH_JOB_BODY = b'{"error":"no such job"}'
 NO_SUCH_JOB = HttpResponse(404, NO_SUCH_JOB_BODY)
-STORE_UNAVAILABLE = "state service"  # as users read it
+STORE_UNAVAILABLE = "state service"  # the key-value store, as named to users
 
 
-def retry_later(why: str) -> HttpResponse:
-    """Can't be answered now: the refusal, with when to come back."""
-    return HttpResponse(503, b'{"error":"' + why.encode() + b'"}', RETRY_LATER)
+def retry_later(reason: str) -> HttpResponse:
+    """Returns a 503 response with a Retry-After header, for a request that can't be answered now."""
+    return HttpResponse(503, b'{"error":"' + reason.encode() + b'"}', RETRY_LATER)
 
 
-def error_response(status: int, why: str) -> HttpResponse:
-    """A request that is wrong in itself, with the reason."""
-    return HttpResponse(status, msgspec.json.encode({"error": why}))
+def error_response(status: int, reason: str) -> HttpResponse:
+    """Returns the response to a request that is invalid in itself, with the reason."""
+    return HttpResponse(status, msgspec.json.encode({"error": reason}))
--- a/hookwall/api/server.py
+++ b/hookwall/api/server.py
@@ -1,11 +1,12 @@
-"""The HTTP server: users, workers and health checks. Routes by hand since there are five paths.
+"""The HTTP server for users, workers and health checks. It has its own routing since there are only five paths.
 
-Invariant: a request is answered or refused at once, whatever others wait for; responses on one connection come in the
-order of its requests.
+Invariant: a request is answered or refused at once, whatever other requests wait for. Responses on one connection are
+sent in the order of its requests.
 
 A leader answers hundreds of heartbeats a second on a fraction of a core. aiohttp's server spends 0.2 ms on each
-request, most of it on request and response objects; so requests are read by aiohttp's parser (C code) in a protocol of
-our own, which takes 0.06 ms (connection.py). A response that is known at once needs no task either.
+request, most of it on request and response objects. So connections use a protocol class of this package
+(connection.py) that calls only aiohttp's parser, which is C code, and takes 0.06 ms for each request. A response that
+is available at once needs no task either.
 """
 
 import asyncio
@@ -20,16 +21,17 @@
 log = logging.getLogger(__name__)
 
 MAX_USER_REQUESTS = 200  # in flight
-# A machine that loses its power, or is deleted, sends nothing more on its connection. Such connections stayed for an
-# hour, and a day's machines and users came to two thirds of the sockets there are.
-IDLE_HEARTBEATS = 12  # a connection is idle after as long as so many heartbeats take
-BODY_TIMEOUT_S = 5.0  # then whoever sends a request has given it up
-# Of the sockets that the platform gives: a fleet that comes at once waits in a quarter of them, and some are our own.
-# With 4,096 places, what workers had left behind at a node that stood still came to 1,531 of 1,633 sockets.
+# A connection is idle after this many heartbeat intervals without data. A machine that loses power or is deleted sends
+# nothing more on its connection. When such connections stayed open for an hour, those of a day's machines and users
+# took two thirds of all sockets.
+IDLE_TIMEOUT_HEARTBEATS = 12
+BODY_TIMEOUT_S = 5.0  # by then the client has given up the request
+# Share of the sockets that the platform allows. Connections wait in the backlog when a whole fleet connects at once.
+# With a backlog of 4,096, the connections that workers had abandoned at a stalled node took 1,531 of 1,633 sockets.
 BACKLOG_SHARE = 0.25
-OWN_SOCKETS = 100  # to the key-value store, the cloud and peers
-MIN_SOCKETS = 16  # for connections, and for those that wait
-WORKER_TIMEOUT_S = 4.0  # a worker waits so long for a response, and asks nothing else meanwhile
+RESERVED_SOCKETS = 100  # reserved for the key-value store, the cloud and peers
+MIN_SOCKETS = 16  # lower bound of the connection limit and of the backlog
+WORKER_TIMEOUT_S = 4.0  # how long a worker waits for a response, without sending another request meanwhile
 IDLE_CHECK_INTERVAL_S = 1.0
 
 PendingResponse = HttpResponse | Awaitable[HttpResponse]
@@ -42,7 +44,7 @@
 
 
 class HttpServer:
-    """Routes requests and limits connections; holds no response back."""
+    """Routes requests and limits connections; never holds a response back."""
 
     def __init__(
         self,
@@ -53,23 +55,24 @@
         report_s: float = 2.0,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Serve with at most `sockets` open sockets of the process; workers send a heartbeat each `report_s`."""
+        """Serves with at most `sockets` sockets in the process; workers send a heartbeat every `report_s` seconds."""
         self.job_service = job_service
         self.handle_heartbeat = handle_heartbeat
         self.is_healthy = is_healthy
         self.clock = clock
         self.user_requests_in_flight = 0
         self.body_timeout_s = BODY_TIMEOUT_S
-        self.idle_timeout_s = IDLE_HEARTBEATS * report_s
-        self.min_idle_s = max(WORKER_TIMEOUT_S, 1.5 * report_s)  # such a connection is not between two heartbeats
+        self.idle_timeout_s = IDLE_TIMEOUT_HEARTBEATS * report_s
+        # A connection that has been idle for longer is not between two heartbeats.
+        self.min_idle_s = max(WORKER_TIMEOUT_S, 1.5 * report_s)
         self.backlog = max(MIN_SOCKETS, int(sockets * BACKLOG_SHARE))
-        self.max_connections = max(MIN_SOCKETS, sockets - self.backlog - OWN_SOCKETS)
-        self.last_used_at: dict[Connection, float] = {}  # the longest idle first
+        self.max_connections = max(MIN_SOCKETS, sockets - self.backlog - RESERVED_SOCKETS)
+        self.last_used_at: dict[Connection, float] = {}  # in order, the longest idle connection first
 
     # -- requests --------------------------------------------------------------------------------
 
     def route(self, method: str, path: str, body: bytes) -> PendingResponse:
-        """The response to a request, or what it is to be waited for."""
+        """Returns the response to a request, or an awaitable of it."""
         if path == "/agent/beat" and method == "POST":
             reply = self.handle_heartbeat(body)
             return HttpResponse(*reply) if isinstance(reply, tuple) else self._heartbeat_response(reply)
@@ -95,7 +98,7 @@
         return NO_SUCH_PATH if action not in ("", "cancel") else JOB_METHOD_NOT_ALLOWED
 
     def _count_in_flight(self, pending: Awaitable[HttpResponse]) -> Awaitable[HttpResponse]:
-        """Count a user's request from now on, not only once its turn comes."""
+        """Counts a user's request as in flight from now on, not only once its coroutine runs."""
         self.user_requests_in_flight += 1
         return self._count_until_done(pending)
 
@@ -108,16 +111,16 @@
     # -- connections -----------------------------------------------------------------------------
 
     def mark_used(self, connection: Connection) -> None:
-        """Something was received on a connection: it is the least idle now."""
+        """Records that data was received on a connection, which makes it the least idle one."""
         self.last_used_at.pop(connection, None)
         self.last_used_at[connection] = self.clock()
 
     def forget(self, connection: Connection) -> None:
-        """A connection is closed; without effect if that is known."""
+        """Removes a connection that is closed; has no effect if it was removed before."""
         self.last_used_at.pop(connection, None)
 
     def close_idle_connections(self) -> int:
-        """Close connections that are idle, and, at the limit, those that were idle longest; gives how many."""
+        """Closes idle connections and, above the limit, the longest idle ones; returns how many."""
         now = self.clock()
         excess = len(self.last_used_at) - self.max_connections
         idle: list[Connection] = []
@@ -132,13 +135,13 @@
         return len(idle)
 
     async def run(self) -> None:
-        """Keep connections below the limit while the node runs."""
+        """Keeps connections below the limit while the node runs."""
         while True:
             await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
             self.close_idle_connections()
 
 
 async def listen(http_server: HttpServer, host: str, port: int) -> asyncio.Server:
-    """Accept connections at an address."""
+    """Accepts connections at an address."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: Connection(http_server, loop), host, port, backlog=http_server.backlog)
--- a/hookwall/api/submission_check.py
+++ b/hookwall/api/submission_check.py
@@ -1,7 +1,7 @@
-"""Whether a new job can be accepted.
+"""Checks whether a new job can be accepted.
 
-Invariant: a job is accepted only if each job that it depends on was accepted before, as the key-value store has it; so
-the dependencies of accepted jobs have no circle.
+Invariant: a job is accepted only if the key-value store shows that each job that it depends on was accepted before. So
+the dependencies of accepted jobs have no cycles.
 """
 
 import asyncio
@@ -23,30 +23,30 @@
     """Checks a new job against machine types, quotas and the jobs that it depends on."""
 
     def __init__(self, table: JobTable, read_confirmation: ReadConfirmation, teams: Iterable[TeamQuota]) -> None:
-        """Check against the jobs of `table` and these teams' quotas."""
+        """Checks against the jobs of `table` and these teams' quotas."""
         self.table = table
         self.read_confirmation = read_confirmation
         self.teams = {team.name: team for team in teams}
 
     async def refusal(self, spec: JobSpec, catalog: Catalog, dependencies_enabled: bool) -> HttpResponse | None:
-        """Why a new job can't be accepted, ever or now; None if it can.
+        """Returns the refusal of a new job that can't be accepted, ever or now; None if it can be accepted.
 
-        `dependencies_enabled` is whether all nodes know jobs with dependencies. Raises RequestRejectedError,
-        OutcomeUnknownError or TimeoutError if that can't be found out.
+        `dependencies_enabled` is whether all nodes support jobs with dependencies. Raises RequestRejectedError,
+        OutcomeUnknownError or TimeoutError if the store does not confirm which dependencies were accepted.
         """
-        why = infeasibility_reason(spec, catalog, self.teams)
-        if why is None and spec.dependencies:
+        reason = infeasibility_reason(spec, catalog, self.teams)
+        if reason is None and spec.dependencies:
             if spec.job_id in spec.dependencies:
-                why = "awaits: the job itself"
+                reason = "awaits: the job itself"
             elif not dependencies_enabled:
                 return retry_later("not all nodes know dependent jobs yet")
             else:
-                unknown = await self._never_accepted(spec.dependencies)
-                why = f"awaits: {unknown} was never accepted" if unknown is not None else None
-        return None if why is None else error_response(422, why)
+                unknown = await self._find_never_accepted(spec.dependencies)
+                reason = f"awaits: {unknown} was never accepted" if unknown is not None else None
+        return None if reason is None else error_response(422, reason)
 
     def has_cancelled_dependency(self, spec: JobSpec) -> bool:
-        """Whether a job that it depends on is stored as cancelled, or certain to be."""
+        """Whether a job that the new job depends on is stored as cancelled, or is certain to be."""
         for job_id in spec.dependencies or ():
             job = self.table.jobs.get(job_id)
             stored_as_cancelled = job is not None and job.stored_phase == CANCELLED
@@ -54,16 +54,16 @@
                 return True
         return False
 
-    async def _never_accepted(self, job_ids: list[str]) -> str | None:
-        """One of these jobs that was never accepted, confirmed with the store; None if all were.
+    async def _find_never_accepted(self, job_ids: list[str]) -> str | None:
+        """Returns one of these jobs that was never accepted, as confirmed with the store; None if all were accepted.
 
-        A few comparisons at a time, and no more after the first name that is unknown: a long list of names that nobody
-        has submitted costs as much as one.
+        Confirms a batch of jobs at a time and stops at the first one that was never accepted, so a long list of names
+        that nobody has submitted costs as much as one name.
         """
-        unseen = [job_id for job_id in job_ids if not self._record_was_read(job_id)]
+        unread = [job_id for job_id in job_ids if not self._record_was_read(job_id)]
         size = self.read_confirmation.max_batch_size
-        for first in range(0, len(unseen), size):
-            batch = unseen[first : first + size]
+        for first in range(0, len(unread), size):
+            batch = unread[first : first + size]
             absent = await asyncio.gather(
                 *(self.read_confirmation.confirm(keys.JOB_PREFIX + job_id, 0) for job_id in batch)
             )
@@ -71,10 +71,10 @@
                 if is_absent:
                     return job_id
                 if not self._record_was_read(job_id):
-                    raise OutcomeUnknownError(f"{job_id} could not be read")
+                    raise OutcomeUnknownError(f"{job_id}: job record could not be read")
         return None
 
     def _record_was_read(self, job_id: str) -> bool:
-        """Whether a record of the job has been read: records are never deleted, so it was accepted."""
+        """Whether a record of the job has been read. Records are never deleted, so such a job was accepted."""
         job = self.table.jobs.get(job_id)
         return job is not None and job.version > 0
