--- a/hookwall/config/__init__.py
+++ b/hookwall/config/__init__.py
@@ -1,5 +1,5 @@
-"""Settings: the platform's file, the operators' file, and what is assumed of clocks.
+"""Settings: the platform's file, the operators' file, and the assumptions about clocks.
 
-Owns their fields, which stand here under the names of the files, and every check of them; it has no state machine.
-Asks of others to end the program with one line and exit code 2 on `InvalidSettingsError`.
+Owns the fields of both files, under the names that the files use, and every check of them. There is no state machine.
+On `InvalidSettingsError` the caller must end the program with one line and exit code 2.
 """
--- a/hookwall/config/checks.py
+++ b/hookwall/config/checks.py
@@ -1,4 +1,4 @@
-"""Reading and checks that both settings files share."""
+"""Reading and validation that both settings files share."""
 
 import math
 import tomllib
@@ -12,7 +12,11 @@
 
 
 def read_toml(path: str, option: str) -> dict[str, object]:
-    """A settings file that a command-line option names, not checked yet; InvalidSettingsError if it is not TOML."""
+    """Reads the settings file that a command-line option names, without checking its fields.
+
+    Raises:
+        InvalidSettingsError: the file can't be read or is not TOML.
+    """
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -22,6 +26,6 @@
 
 
 def require_positive(field: str, value: float) -> None:
-    """Refuse a number that is not finite and above 0."""
+    """Refuses a number that is not finite and above 0."""
     if not (math.isfinite(value) and value > 0):
         raise InvalidSettingsError(f"{field} must be a positive number, is {value}")
--- a/hookwall/config/clock_bounds.py
+++ b/hookwall/config/clock_bounds.py
@@ -1,4 +1,4 @@
-"""What is assumed of clocks and timers, wherever one node's time has to cover another's."""
+"""Assumptions about clocks and timers, used wherever a time on one node's clock has to cover one on another's."""
 
-MAX_CLOCK_DRIFT = 0.002  # seconds a second: twice the drift between two clocks, and some more
-TIMER_SLACK_S = 0.05  # timers fire in steps
+MAX_CLOCK_DRIFT = 0.002  # seconds a second: twice the drift between two clocks, plus a margin
+TIMER_SLACK_S = 0.05  # timers have a limited resolution, so they may fire late
--- a/hookwall/config/operations.py
+++ b/hookwall/config/operations.py
@@ -1,7 +1,7 @@
 """The operators' own settings file, which switches optional subsystems on.
 
-It stands beside the platform's settings file and is optional: without it every subsystem that it can
-switch on is off. Unknown fields are ignored; a bad one is refused by name.
+It is read in addition to the platform's settings file and is optional: without it, every subsystem that it can switch
+on is off. Unknown fields are ignored. An invalid field is refused with an error that names it.
 """
 
 import msgspec
@@ -9,36 +9,37 @@
 from hookwall.config.checks import InvalidSettingsError, read_toml, require_positive
 from hookwall.config.platform import PlatformParameters
 
-DEFAULT_PERIOD_S = 300.0
+DEFAULT_BUDGET_PERIOD_S = 300.0
 
 
 class DisruptionBudget(msgspec.Struct, frozen=True):
     """How many running jobs of a team may be disrupted within a period.
 
-    `jobs` is a number, `share` a part of the team's running jobs; where both are given the smaller one applies.
+    `jobs` is a number of jobs, `share` a fraction of the team's running jobs. If both are given, the smaller one
+    applies.
     """
 
     team: str
     jobs: int | None = None
     share: float | None = None
-    period_s: float = DEFAULT_PERIOD_S
+    period_s: float = DEFAULT_BUDGET_PERIOD_S
 
 
 class DrainSettings(msgspec.Struct, frozen=True):
-    """Draining in steps (`hookwall.drains`)."""
+    """Settings for draining machines in steps (`hookwall.drains`)."""
 
     enabled: bool = False
     budgets: list[DisruptionBudget] = []
 
 
 class Operations(msgspec.Struct, frozen=True):
-    """All that the operators' file may set."""
+    """All settings of the operators' file."""
 
     drain: DrainSettings = DrainSettings()
 
 
 def validate_operations(operations: Operations, params: PlatformParameters) -> Operations:
-    """Refuse what decodes but can't be meant, and teams that the platform's settings don't name.
+    """Refuses values that decode but make no sense, and teams that the platform's settings don't name.
 
     Raises:
         InvalidSettingsError: naming the team and the field.
@@ -57,7 +58,7 @@
 
 
 def _validate_amounts(budget: DisruptionBudget, where: str) -> None:
-    """Refuse the numbers of one budget that can't be meant."""
+    """Refuses numbers of one budget that make no sense."""
     if budget.jobs is None and budget.share is None:
         raise InvalidSettingsError(f"{where}: needs jobs (a whole number from 0) or share (a number from 0 to 1)")
     if budget.jobs is not None and budget.jobs < 0:
@@ -68,7 +69,7 @@
 
 
 def load_operations(path: str | None, params: PlatformParameters) -> Operations:
-    """Read and check the operators' file; everything is off without one.
+    """Reads and checks the operators' file; without one, everything that it can switch on is off.
 
     Raises:
         InvalidSettingsError: the file can't be read or used.
--- a/hookwall/config/platform.py
+++ b/hookwall/config/platform.py
@@ -1,8 +1,8 @@
 """The platform's settings file, checked once when it is read.
 
-Fields have the names of the file, but for `Settings.platform`. Unknown ones are ignored because the platform may add
-some at any time; a bad or missing one ends the program with one line that names it, since guessing a lease time could
-break a rule later.
+Fields have the same names as in the file, except `Settings.platform` and `ServiceObjective.job_class`. Unknown fields
+are ignored because the platform may add some at any time. An invalid or missing field ends the program with one line
+that names it, since a guessed lease time, for example, could break a rule later.
 """
 
 import msgspec
@@ -32,7 +32,7 @@
 
 
 class PeerSeed(msgspec.Struct, frozen=True):
-    """Another node, and where its peers reach it."""
+    """Another node, and the address at which its peers reach it."""
 
     node_name: str
     peer_addr: str
@@ -57,7 +57,7 @@
 
 
 class ServiceObjective(msgspec.Struct, frozen=True):
-    """A service-level objective that the operators judge by."""
+    """A service-level objective by which the operators judge the service."""
 
     kind: str
     job_class: str | None = msgspec.field(default=None, name="class")
@@ -66,14 +66,14 @@
 
 
 class WorkerTimings(msgspec.Struct, frozen=True):
-    """Times of workers and their tasks, in seconds.
+    """Timings of workers and their tasks, in seconds.
 
     Attributes:
-        report_s: between two heartbeats.
-        lease_s: how long a worker runs its tasks after the last answered heartbeat was sent.
+        report_s: the interval between two heartbeats.
+        lease_s: how long a worker runs its tasks after it sent the last heartbeat that was answered.
         gang_wait_s: how long a task waits for its gang to be complete.
-        gang_peer_s: after which a running gang's tasks notice that one is gone.
-        cancel_s: by when no task of a cancelled job may run.
+        gang_peer_s: the time after which the tasks of a running gang notice that one of them is gone.
+        cancel_s: how long tasks of a job may still run after its cancellation.
     """
 
     report_s: float
@@ -84,7 +84,7 @@
 
 
 class UpcomingStoreLimits(msgspec.Struct, frozen=True):
-    """Limits that the key-value store will have from some moment on; what is not named stays."""
+    """Limits that the key-value store will apply from some later time on; a limit that is not named does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -93,7 +93,7 @@
 
 
 class StoreLimits(msgspec.Struct, frozen=True):
-    """Limits of the key-value store: requests and changes a second, KiB a value, changes a transaction."""
+    """Limits of the key-value store: requests and changes a second, KiB per value, changes per transaction."""
 
     rps: float
     write_rps: float
@@ -102,29 +102,29 @@
     next: UpcomingStoreLimits | None = None
 
     def lowest_txn_ops(self) -> int:
-        """Changes a transaction that are allowed now and later."""
+        """Returns the changes per transaction that are allowed both now and later."""
         return self.txn_ops if self.next is None else min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
     def lowest_value_kb(self) -> float:
-        """KiB a value that are allowed now and later."""
+        """Returns the KiB per value that are allowed both now and later."""
         return self.value_kb if self.next is None else min(self.value_kb, self.next.value_kb or self.value_kb)
 
     def rates_per_s(self, lowered: bool) -> tuple[float, float]:
-        """Requests and changes a second, before or after the limits have changed."""
+        """Returns the allowed requests and changes a second, before or, if `lowered`, after the limits have changed."""
         if self.next is None or not lowered:
             return self.rps, self.write_rps
         return self.next.rps or self.rps, self.next.write_rps or self.write_rps
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Requests a second that the cloud allows, and by how many seconds its list of machines may lag."""
+    """Requests a second that the cloud allows, and the seconds by which its list of machines may lag."""
 
     rps: float
     list_lag_s: float
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What a node's own machine gives it."""
+    """The resources that a node has on its own machine."""
 
     core_share: float = 1.0
     memory_mb: float = 256.0
@@ -132,7 +132,7 @@
 
 
 class PlatformParameters(msgspec.Struct, frozen=True):
-    """What all nodes of a cluster have in common; `size` is their number."""
+    """Parameters that all nodes of a cluster share; `size` is the number of nodes."""
 
     size: int
     zones: list[str]
@@ -146,7 +146,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """All that the settings file of a node may set."""
+    """All settings of a node's settings file."""
 
     node_name: str
     public_addr: str
@@ -158,7 +158,7 @@
 
 
 def parse_address(text: str, field: str) -> tuple[str, int]:
-    """Host and port of `host:port`; InvalidSettingsError, which names the field, for anything else."""
+    """Returns host and port of `host:port`; raises InvalidSettingsError, which names the field, for anything else."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise InvalidSettingsError(f"{field}: not an address of the form host:port: {text!r}")
@@ -166,7 +166,7 @@
 
 
 def validate_settings(settings: Settings) -> Settings:
-    """Refuse what decodes but can't be meant.
+    """Refuses values that decode but make no sense.
 
     Raises:
         InvalidSettingsError: naming the field.
@@ -193,7 +193,7 @@
 
 
 def _positive_fields(params: PlatformParameters) -> dict[str, float]:
-    """The numbers that must be above 0, by the field that gives each."""
+    """Returns the numbers that must be above 0, by the names of their fields."""
     upcoming = {} if params.state.next is None else msgspec.structs.asdict(params.state.next)
     return {
         "workers.report_s": params.workers.report_s,
@@ -209,7 +209,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check the settings file.
+    """Reads and checks the settings file.
 
     Raises:
         InvalidSettingsError: the file can't be read or used.
--- a/hookwall/protocol/cloud_messages.py
+++ b/hookwall/protocol/cloud_messages.py
@@ -1,4 +1,4 @@
-"""The cloud's responses: machine types, listed machines and provisioned ones, with the platform's names mapped."""
+"""The cloud's responses: machine types, listed and provisioned machines, with the platform's names mapped."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
     """A type of machine that can be provisioned.
 
     Attributes:
-        image_cache_gb: room for images on its disk.
-        image_pull_gb_per_s: how fast it fetches images.
+        image_cache_gb: the disk space for images.
+        image_pull_gb_per_s: the rate at which it fetches images.
         price, spot_price: per hour.
-        boot_s: the usual time until its worker reports.
-        zones: where it can be provisioned.
+        boot_s: the usual time until its worker sends heartbeats.
+        zones: the zones in which it can be provisioned.
     """
 
     name: str = msgspec.field(name="label")
@@ -35,7 +35,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine as the cloud lists it; `age_s` is for how long it has been provisioned."""
+    """A machine as the cloud lists it; `age_s` is the time since it was provisioned."""
 
     name: str = msgspec.field(name="ref")
     type: str = msgspec.field(name="hull", default="")
@@ -46,13 +46,13 @@
 
 
 class MachineListPage(msgspec.Struct, frozen=True):
-    """A page of the list of machines, and whether more follow."""
+    """A page of the list of machines; `more` is whether further pages follow."""
 
     machines: list[ListedMachine] = msgspec.field(name="hosts")
     more: bool = False
 
 
 class ProvisionedMachines(msgspec.Struct, frozen=True):
-    """The names of the machines that a provisioning request has given."""
+    """The names of the machines that a provisioning request has provisioned."""
 
     machines: list[str] = msgspec.field(name="hosts")
--- a/hookwall/protocol/errors.py
+++ b/hookwall/protocol/errors.py
@@ -12,4 +12,4 @@
 
 
 class NoResponseError(ProtocolError):
-    """Nothing usable came back; the request may have been executed."""
+    """No usable response arrived; the request may have been executed."""
--- a/hookwall/protocol/heartbeat_messages.py
+++ b/hookwall/protocol/heartbeat_messages.py
@@ -1,7 +1,7 @@
-"""Worker heartbeats and the commands that answer them, with the platform's names mapped.
+"""Worker heartbeats and the commands in the responses to them, with the platform's names mapped.
 
-msgspec decodes and checks in one pass, which matters: a leader decodes dozens of heartbeats a second on a third of a
-core.
+msgspec decodes and validates in one pass. This matters because a leader decodes dozens of heartbeats a second on a
+third of a core.
 """
 
 from functools import lru_cache
@@ -13,14 +13,14 @@
 from hookwall.protocol.json_messages import Count
 
 MAX_TASK_DIGITS = 6
-CACHED_TASK_IDS = 8192  # a few more than the machines run at once
+TASK_ID_CACHE_SIZE = 8192  # slightly more than the number of tasks that run at once
 
 
 class TaskStatus(msgspec.Struct):
-    """An attempt of a task as its worker reports it.
+    """The status of a task attempt, as its worker reports it.
 
     Attributes:
-        cause: why it has exited; None before.
+        cause: why the attempt has exited; None until then.
         checkpointed: whether its progress was stored when it was stopped.
     """
 
@@ -35,11 +35,11 @@
     """A worker's heartbeat: its machine, and the status of all tasks on it.
 
     Attributes:
-        epoch: starts at 1 and grows each time the worker's lease expires.
-        sequence: grows with every message of the worker; of two, the one with the larger (epoch, sequence) is newer.
-        fencing_token: the highest that the worker has seen.
-        preemption_notice_s: seconds until the cloud preempts the machine; None: it does not.
-        tasks: all on the machine, exited ones until they are forgotten.
+        epoch: starts at 1 and increases each time the worker's lease expires.
+        sequence: increases with every message of the worker; the heartbeat with the larger (epoch, sequence) is newer.
+        fencing_token: the highest fencing token that the worker has seen.
+        preemption_notice_s: seconds until the cloud preempts the machine; None if it is not being preempted.
+        tasks: all tasks on the machine; exited ones are included until a command tells the worker to forget them.
     """
 
     machine: str = msgspec.field(name="host")
@@ -58,7 +58,7 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's heartbeat, or MalformedMessageError."""
+    """Decodes a worker's heartbeat; raises MalformedMessageError if it is malformed."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -66,15 +66,15 @@
 
 
 class TaskId(NamedTuple):
-    """A task of a job, by its number."""
+    """A task, by its job and its number within the job."""
 
     job_id: str
     task: int
 
 
-@lru_cache(maxsize=CACHED_TASK_IDS)  # each heartbeat names the same tasks again
+@lru_cache(maxsize=TASK_ID_CACHE_SIZE)  # successive heartbeats name the same tasks
 def parse_task_id(text: str) -> TaskId | None:
-    """`run-000412/3` -> (job, task); None: not a task."""
+    """Parses `run-000412/3` into (job, task); returns None if the text is not a task id."""
     job_id, separator, number = text.rpartition("/")
     if not separator or not number.isdigit() or len(number) > MAX_TASK_DIGITS:
         return None
@@ -82,7 +82,7 @@
 
 
 class Command(msgspec.Struct, omit_defaults=True):
-    """What a worker is to do with an attempt of a task."""
+    """A command that tells a worker what to do with an attempt of a task."""
 
     action: str = msgspec.field(name="verb")
     task_id: str = msgspec.field(name="piece")
@@ -91,22 +91,22 @@
 
 
 def launch_command(job_id: str, task: int, attempt: int) -> Command:
-    """Start a new attempt of a task."""
+    """Returns the command to start a new attempt of a task."""
     return Command("launch", f"{job_id}/{task}", attempt)
 
 
 def stop_command(task_id: str, attempt: int, grace_s: float) -> Command:
-    """Stop an attempt, which may checkpoint if it needs at most `grace_s` seconds."""
+    """Returns the command to stop an attempt, which may checkpoint if that takes at most `grace_s` seconds."""
     return Command("stop", task_id, attempt, grace_s)
 
 
 def forget_command(task_id: str, attempt: int) -> Command:
-    """Report an ended attempt no more."""
+    """Returns the command to stop reporting an attempt that has ended."""
     return Command("forget", task_id, attempt)
 
 
 class HeartbeatResponse(msgspec.Struct):
-    """The leader's fencing token, and its commands for the worker."""
+    """The response to a heartbeat: the leader's fencing token, and its commands for the worker."""
 
     fencing_token: int = msgspec.field(name="mandate")
     commands: list[Command] = msgspec.field(name="orders")
--- a/hookwall/protocol/http_client.py
+++ b/hookwall/protocol/http_client.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's own services, one JSON body each way."""
+"""HTTP client for the platform's own services, with one JSON body each way."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,12 +22,12 @@
     body: bytes
 
 
-# Session, method, URL, body to send as JSON or None, and seconds to wait; `call`, or a stand-in for it.
+# Takes a session, method, URL, body to send as JSON or None, and timeout in seconds. `request_json`, or a fake of it.
 SendRequest = Callable[[aiohttp.ClientSession | None, str, str, object, float], Awaitable[tuple[int, bytes]]]
 
 
 def open_session(connections: int) -> aiohttp.ClientSession:
-    """A session of persistent connections; addresses are numbers, so nothing is looked up."""
+    """Opens a session of persistent connections. Addresses are numeric, so there are no DNS lookups."""
     connector = aiohttp.TCPConnector(limit=connections, keepalive_timeout=KEEPALIVE_S, use_dns_cache=False)
     return aiohttp.ClientSession(connector=connector, auto_decompress=False)
 
@@ -35,12 +35,12 @@
 async def request_json(
     session: aiohttp.ClientSession | None, method: str, url: str, body: object, timeout: float
 ) -> HttpResult:
-    """Status and raw body of one request.
+    """Sends one request, and returns the status and raw body of the response.
 
     Raises:
-        NoResponseError: none came within `timeout` seconds; the request may have been executed.
+        NoResponseError: no response arrived within `timeout` seconds; the request may have been executed.
     """
-    assert session is not None, "not opened yet"
+    assert session is not None, "session is not opened yet"
     data = msgspec.json.encode(body) if body is not None else None
     try:
         async with asyncio.timeout(timeout):
--- a/hookwall/protocol/job_messages.py
+++ b/hookwall/protocol/job_messages.py
@@ -1,6 +1,6 @@
-"""Job submissions and responses as users send and get them, with the platform's names mapped.
+"""Job submissions and responses as users send and receive them, with the platform's names mapped.
 
-Texts of errors name fields as users do.
+Error texts use the field names that users see.
 """
 
 import math
@@ -26,24 +26,24 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a user asks for. Stored as it came, under the same names.
+    """A job as its user submits it. It is stored as it was received, under the same field names.
 
     Attributes:
-        job_class: for which the settings may have service-level objectives.
-        team: whose quota it counts towards.
+        job_class: the class of the job, for which the settings may have service-level objectives.
+        team: the team whose quota the job counts towards.
         kind: one of `JOB_KINDS`.
         rank: one of `RANKS`.
         cpus, gpus, memory_gb: the resources that one task requests.
-        image, image_gb: what a machine must have fetched before a task can start, and its size.
+        image, image_gb: the image that a machine must have fetched before a task can start, and its size.
         one_zone: whether all tasks must be in the same zone.
         spread: whether at most half of the tasks, rounded up, may be in one zone.
-        spot: whether spot instances may run it.
+        spot: whether spot instances may run the job.
         estimated_duration_s: the user's estimate of a task's run time without fetching its image.
-        checkpoint_interval_s: of progress, after which a running task checkpoints by itself; 0: it never does.
+        checkpoint_interval_s: seconds of progress after which a running task checkpoints by itself; 0: it never does.
         checkpoint_cost_s: how long a task needs to checkpoint when it is stopped.
         types, zone: the allowed machine types and the only allowed zone; None: any.
-        due_s: seconds after its submission by which it should be complete; None: no deadline.
-        dependencies: the jobs that have to be done before; None: none.
+        due_s: seconds after its submission within which the job should be complete; None: no deadline.
+        dependencies: the jobs that have to be done before this one starts; None: there are none.
     """
 
     job_id: str = msgspec.field(name="ref")
@@ -70,12 +70,12 @@
 
     @property
     def gang(self) -> bool:
-        """Whether all tasks run at the same time or none does."""
+        """Whether the tasks are a gang: all of them run at the same time, or none does."""
         return self.kind == GANG_KIND
 
     @property
     def service(self) -> bool:
-        """Replicas that run until the job is cancelled (docs/questions.md, 1)."""
+        """Whether the tasks are replicas that run until the job is cancelled (docs/questions.md, 1)."""
         return self.kind == SERVICE_KIND
 
 
@@ -83,7 +83,7 @@
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """A submission, or MalformedMessageError."""
+    """Decodes a submission; raises MalformedMessageError if it is malformed."""
     try:
         spec = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -131,7 +131,7 @@
 
 
 def encode_job_status(job_id: str, phase: str, done: int | None = None, running: int | None = None) -> bytes:
-    """What users are answered about a job: its phase, and how many of its tasks are done and running if known."""
+    """Encodes the status of a job for users: its phase and, if known, how many of its tasks are done and running."""
     body: dict[str, object] = {"ref": job_id, "phase": phase}
     if done is not None:
         body["done"] = done
--- a/hookwall/protocol/json_messages.py
+++ b/hookwall/protocol/json_messages.py
@@ -1,4 +1,4 @@
-"""What all JSON messages have in common: amounts, limits and the error for a malformed one."""
+"""Definitions that all JSON messages share: amounts, limits and the error for malformed messages."""
 
 from typing import Annotated, TypeVar
 
@@ -16,7 +16,7 @@
 
 
 def convert_message(raw: object, kind: type[Message]) -> Message:
-    """A decoded body as a message of this kind, or MalformedMessageError."""
+    """Converts a decoded body to a message of this type; raises MalformedMessageError if it is malformed."""
     try:
         return msgspec.convert(raw, kind, strict=False)
     except msgspec.ValidationError as error:
--- a/hookwall/protocol/peer_messages.py
+++ b/hookwall/protocol/peer_messages.py
@@ -1,7 +1,8 @@
-"""What nodes send each other, as types; the short names on the wire stand only here (`peer_transport` carries them).
+"""Types of the messages between nodes. Their short wire names appear only here (`peer_transport` carries the messages).
 
-Programs of all storage versions exchange messages, so whatever may be missing has a default, unknown fields are
-ignored, and a field that can't be read counts as missing. What has type `object` is checked by whoever applies it.
+Programs of all storage versions exchange messages. So each field that may be missing has a default, unknown fields are
+ignored, and a field that can't be decoded counts as missing. A field of type `object` is checked by the code that
+applies it.
 """
 
 from enum import StrEnum
@@ -11,45 +12,50 @@
 
 
 class MessageKind(StrEnum):
-    """What a message is for."""
+    """The purpose of a message."""
 
-    HEARTBEAT = "ping"  # a leader asks for its quorum lease; a follower shows that it is there
-    VOTE = "vote"  # a candidate asks for a vote before it replaces the leader key
+    HEARTBEAT = "ping"  # a leader requests its quorum lease; a follower shows that it is alive
+    VOTE = "vote"  # a candidate requests a vote before it replaces the leader key
     RELEASE_VOTE = "release"  # a leader or candidate releases a vote or a quorum lease
-    STORE_CONTACT = "fit"  # a leader asks whether the key-value store answers a peer
-    CANCELLATIONS = "cancelled"  # a node sends cancellations for its user's sake
+    STORE_CONTACT = "fit"  # a leader asks whether the key-value store responds to a peer
+    CANCELLATIONS = "cancelled"  # a node announces cancellations before it confirms them to a user
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """What a node states of itself in its heartbeats and responses; older programs state nothing."""
+    """What a node reports about itself in its heartbeats and responses; older programs report nothing."""
 
-    storage_version: int | None = None  # the newest that its program knows
-    limits_lowered: bool | None = None  # whether it has seen the store's limits to come in force
+    storage_version: int | None = None  # the newest that its program supports
+    limits_lowered: bool | None = None  # whether it has seen the store's upcoming limits in force
 
 
 class PeerMessage(msgspec.Struct, kw_only=True):
     """A request from one node to another."""
 
-    kind: str = msgspec.field(name="t")  # a `MessageKind`, or one that a newer program knows
+    kind: str = msgspec.field(name="t")  # a `MessageKind`, or a kind that only newer programs know
     sender: str = msgspec.field(name="n")
-    store_reachable: bool | None = msgspec.field(name="sok", default=None)  # whether the store answers the sender
-    fencing_token: int | None = msgspec.field(name="tok", default=None)  # of the leadership; 0: it does not lead
+    # Whether the key-value store responds to the sender.
+    store_reachable: bool | None = msgspec.field(name="sok", default=None)
+    fencing_token: int | None = msgspec.field(
+        name="tok", default=None
+    )  # of the sender's leadership; 0: it does not lead
     storage_version: int | None = msgspec.field(name="format", default=None)
     limits_lowered: bool | None = msgspec.field(name="lowered", default=None)
     revision: int | None = msgspec.field(name="pos", default=None)  # up to which a valid leader has read the records
-    successor_hint: object = msgspec.field(name="hint", default=None)  # what the next leader would want to know
-    lent_rates: object = msgspec.field(name="lent", default=None)  # requests and changes a second that it may add
+    # Cached images and arrival rates, for the node that leads next.
+    successor_hint: object = msgspec.field(name="hint", default=None)
+    # Requests and changes a second that the leader lends to the receiver.
+    lent_rates: object = msgspec.field(name="lent", default=None)
     replaces_version: int | None = msgspec.field(name="replaces", default=None)  # of the leader key to be replaced
-    # Whether a key that names the candidate proves that its leader is gone.
+    # Whether a leader key that names the candidate proves that the leader is gone.
     proves_leader_gone: bool | None = msgspec.field(name="dead", default=None)
     election: int | None = msgspec.field(name="campaign", default=None)
-    # An election whose key was not written and is not going to be.
+    # An election whose leader key was not written and never will be.
     abandoned_election: int | None = msgspec.field(name="unwritten", default=None)
-    transfer_to: str | None = msgspec.field(name="resign", default=None)  # who is to lead next
-    cancellations: object = msgspec.field(name="jobs", default=None)  # pairs of job and version
+    transfer_to: str | None = msgspec.field(name="resign", default=None)  # the node that is to lead next
+    cancellations: object = msgspec.field(name="jobs", default=None)  # pairs of job id and version
 
     def sender_status(self) -> PeerStatus:
-        """What the sender states of itself."""
+        """Returns what the sender reports about itself."""
         return PeerStatus(self.storage_version, self.limits_lowered)
 
 
@@ -58,30 +64,35 @@
 
     granted: bool = msgspec.field(name="ok", default=False)
     store_reachable: bool = msgspec.field(name="sok", default=False)
-    highest_token: int | None = msgspec.field(name="top", default=None)  # that the peer has granted a lease or vote for
-    heartbeat_count: int | None = msgspec.field(name="beats", default=None)  # from workers, that reached it lately
-    wanted_rates: object = msgspec.field(name="want", default=None)  # requests and changes a second, of the store
+    # The highest fencing token for which the peer has granted a lease or vote.
+    highest_token: int | None = msgspec.field(name="top", default=None)
+    heartbeat_count: int | None = msgspec.field(name="beats", default=None)  # from workers; 0 if none came recently
+    # Requests and changes a second that the peer needs of the key-value store.
+    wanted_rates: object = msgspec.field(name="want", default=None)
     storage_version: int | None = msgspec.field(name="format", default=None)
     limits_lowered: bool | None = msgspec.field(name="lowered", default=None)
-    # Whether it has voted to replace the asking leader's key.
+    # Whether the peer has voted to replace the requesting leader's key.
     voted_to_replace: bool | None = msgspec.field(name="replaced", default=None)
     fence_version: int | None = msgspec.field(name="fence", default=None)  # of the key that fences its votes
-    store_contact_age_s: float | None = msgspec.field(name="age", default=None)  # since the store last answered it
-    # Cancellations that the leader has not shown to know: pairs of job and version.
+    # Seconds since the key-value store last responded to the peer.
+    store_contact_age_s: float | None = msgspec.field(name="age", default=None)
+    # Cancellations that the leader, by its revision, may not know: pairs of job id and version.
     cancellations: object = msgspec.field(name="cancelled", default=None)
-    cancellations_complete: bool | None = msgspec.field(name="complete", default=None)  # whether they are all it knows
-    cancellations_applied: bool | None = msgspec.field(name="knows", default=None)  # those that it was sent
-    is_leader: bool | None = msgspec.field(name="leads", default=None)  # validly
+    # Whether `cancellations` holds all such cancellations that the peer knows.
+    cancellations_complete: bool | None = msgspec.field(name="complete", default=None)
+    # Whether the peer has applied the cancellations that it was sent.
+    cancellations_applied: bool | None = msgspec.field(name="knows", default=None)
+    is_leader: bool | None = msgspec.field(name="leads", default=None)  # whether the peer is a valid leader
 
     def sender_status(self) -> PeerStatus:
-        """What the peer states of itself."""
+        """Returns what the peer reports about itself."""
         return PeerStatus(self.storage_version, self.limits_lowered)
 
 
 class KnownCancellations(msgspec.Struct, frozen=True):
-    """The cancellations that a follower sends its leader with a quorum lease, and whether they are all it knows."""
+    """The cancellations that a follower sends its leader with a quorum lease; `complete` if they are all it knows."""
 
-    cancellations: object  # pairs of job and version
+    cancellations: object  # pairs of job id and version
     complete: bool
 
 
@@ -89,7 +100,7 @@
 
 
 def encode_message(message: PeerMessage | PeerResponse) -> dict[str, object]:
-    """What goes over the wire: all fields that are set."""
+    """Encodes a message for the wire, with all fields that are set."""
     return {
         field.encode_name: value
         for field in msgspec.structs.fields(message)
@@ -98,30 +109,30 @@
 
 
 def decode_message(raw: dict[str, object]) -> PeerMessage | None:
-    """A peer's request; None if it does not state what it is for and whom it is from."""
+    """Decodes a peer's request; returns None if the kind or the sender is missing."""
     return _decode(raw, PeerMessage)
 
 
 def decode_response(raw: dict[str, object]) -> PeerResponse:
-    """A peer's response; one that can't be read grants nothing."""
+    """Decodes a peer's response; one that can't be decoded grants nothing."""
     return _decode(raw, PeerResponse) or PeerResponse()
 
 
 def _decode(raw: dict[str, object], kind: type[Message]) -> Message | None:
-    """A message; where some fields can't be read, one without them."""
+    """Decodes a message without the fields that can't be decoded; returns None if a required field is missing."""
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError:
         fields = msgspec.structs.fields(kind)
-        readable = {field.encode_name: raw[field.encode_name] for field in fields if _is_readable(raw, field)}
+        decodable = {field.encode_name: raw[field.encode_name] for field in fields if _is_decodable(raw, field)}
     try:
-        return msgspec.convert(readable, kind)
+        return msgspec.convert(decodable, kind)
     except msgspec.ValidationError:
         return None
 
 
-def _is_readable(raw: dict[str, object], field: msgspec.structs.FieldInfo) -> bool:
-    """Whether a field is there and can be read."""
+def _is_decodable(raw: dict[str, object], field: msgspec.structs.FieldInfo) -> bool:
+    """Whether a field is present and can be decoded."""
     if field.encode_name not in raw:
         return False
     try:
