--- a/hookwall/__main__.py
+++ b/hookwall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hookwall`: the command line."""
+"""Runs the command line for `python -m hookwall`."""
 
 import sys
 
--- a/hookwall/api/connection.py
+++ b/hookwall/api/connection.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_REQUESTS = 8  # pipelined on one connection before the first is answered; it is closed above this limit
+MAX_QUEUED_REQUESTS = 8  # pipelined on one connection; a connection with more is closed
 READ_BUFFER_BYTES = 64 * 1024
 
 NO_HEADERS: dict[str, str] = {}
--- a/hookwall/cli.py
+++ b/hookwall/cli.py
@@ -1,4 +1,4 @@
-"""The command line: the daemon, and the operators' commands beside it."""
+"""The command line: the command that runs the daemon, and the operators' commands."""
 
 import argparse
 import gc
@@ -11,47 +11,50 @@
 from hookwall.config.operations import load_operations
 from hookwall.config.platform import load_settings
 
-GC_EVERY = 10_000  # new objects
+GC_THRESHOLD = 10_000  # new objects, after which a garbage collection starts
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def parser(with_tools: bool = True) -> argparse.ArgumentParser:
-    """All commands; without the operators' tools where only the daemon is to start, which should listen soon."""
-    p = argparse.ArgumentParser(prog="hookwall", description="A cluster scheduler.")
-    p.add_argument("--version", action="version", version=f"hookwall {__version__}")
-    commands = p.add_subparsers(dest="command", required=True, metavar="COMMAND")
+def parser(with_operator_commands: bool = True) -> argparse.ArgumentParser:
+    """Builds the parser of all commands.
+
+    Without `with_operator_commands` the operators' commands are left out, so that the daemon starts to listen sooner.
+    """
+    root_parser = argparse.ArgumentParser(prog="hookwall", description="A cluster scheduler.")
+    root_parser.add_argument("--version", action="version", version=f"hookwall {__version__}")
+    commands = root_parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     serve = commands.add_parser("serve", help="run one controller node until it is killed")
     serve.add_argument("--config", required=True, metavar="FILE", help="the platform's settings file (TOML)")
     serve.add_argument("--operations", metavar="FILE", help="the operators' own settings: what is switched on (TOML)")
     serve.set_defaults(run=run_serve)
-    if with_tools:
+    if with_operator_commands:
         from hookwall.drains import arguments
 
         arguments.add_parser(commands)
-    return p
+    return root_parser
 
 
 def log_to_stderr(level: str) -> None:
-    """Log lines of this level and above go to standard error; InvalidSettingsError for an unknown level."""
+    """Sends log lines of this level and above to standard error; raises InvalidSettingsError for an unknown level."""
     if level not in LEVELS:
         raise InvalidSettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, is {level!r}")
     logging.basicConfig(
         level=LEVELS[level], stream=sys.stderr, format="%(levelname).1s %(name)s: %(message)s", force=True
     )
-    for noisy in ("asyncio", "aiohttp"):
-        logging.getLogger(noisy).setLevel(logging.ERROR)
+    for library in ("asyncio", "aiohttp"):
+        logging.getLogger(library).setLevel(logging.ERROR)
 
 
 def run_serve(args: argparse.Namespace) -> int:
-    """Run one controller node until it is killed; returns the exit status."""
+    """Runs one controller node until it is killed; returns the exit status."""
     log_to_stderr(os.environ.get("LOG_LEVEL") or "error")
     settings = load_settings(args.config)
     operations = load_operations(args.operations, settings.platform)
-    # All is plain HTTP here, and aiohttp reads every certificate of the machine as it is imported: a third of the
-    # time until a node listens.
+    # All connections are plain HTTP, but aiohttp reads every certificate of the machine when it is imported. That took
+    # a third of the time until a node listens.
     os.environ["SSL_CERT_FILE"] = os.environ["SSL_CERT_DIR"] = os.devnull
-    # Imported late: bad settings are told without waiting for the HTTP library.
+    # Imported late, so that invalid settings are reported without waiting for the import of the HTTP library.
     import uvloop
 
     from hookwall.node.node import Node
@@ -59,10 +62,11 @@
     async def main() -> None:
         await Node(settings, operations=operations).run()
 
-    # What was imported stays, and messages make no cycles: looking through all that every 700 objects finds nothing.
+    # Imported modules stay in memory and messages form no reference cycles, so the default garbage collection after
+    # every 700 new objects would find nothing to free.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_EVERY)
+    gc.set_threshold(GC_THRESHOLD)
 
     try:
         uvloop.run(main())
@@ -75,9 +79,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Entry point: run a command and return its exit status."""
-    words = sys.argv[1:] if argv is None else argv
-    args = parser(with_tools=words[:1] != ["serve"]).parse_args(words)
+    """Entry point: runs a command and returns its exit status."""
+    command_line = sys.argv[1:] if argv is None else argv
+    args = parser(with_operator_commands=command_line[:1] != ["serve"]).parse_args(command_line)
     try:
         return int(args.run(args))
     except InvalidSettingsError as e:
--- a/hookwall/errors.py
+++ b/hookwall/errors.py
@@ -1,4 +1,4 @@
-"""The root of all errors that this program raises itself; each subsystem derives its own from it."""
+"""The base class of all errors that this program itself raises; each subsystem derives its own errors from it."""
 
 
 class HookwallError(Exception):
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Entry point of a deployed node: dependencies and compiled modules come from `target/`, which the build step fills."""
+"""Entry point of a deployed node. Dependencies and compiled modules are in `target/`, which the build step fills."""
 
 import os
 import sys
@@ -7,15 +7,16 @@
 ROOT = os.path.dirname(os.path.abspath(__file__))
 
 
-class BuiltLoader(SourceFileLoader):
-    """Finds what the build compiled.
+class PrecompiledLoader(SourceFileLoader):
+    """Loads the bytecode that the build step compiled.
 
-    A node can't write beside its sources, so each start compiled them anew: a second on a sixth of a core,
-    while nobody leads. Only our own modules are looked for there; the library's are compiled where they are.
+    A node can't write bytecode next to its sources, so without this loader each start compiled all sources again. That
+    took a second on a sixth of a core, during which there was no leader. The loader serves hookwall's own modules only;
+    the bytecode of libraries is where the libraries are.
     """
 
     def get_code(self, fullname: str) -> object:
-        """The code of a module, from `target/pycache` where the build compiled it."""
+        """Returns the code of a module, from `target/pycache` if the build step compiled it."""
         sys.pycache_prefix = os.path.join(ROOT, "target", "pycache")
         try:
             return super().get_code(fullname)
@@ -23,15 +24,18 @@
             sys.pycache_prefix = None
 
 
-def find(path: str) -> FileFinder:
-    """A finder for the folders of our own package; other folders keep theirs."""
+def hookwall_finder(path: str) -> FileFinder:
+    """Returns a finder for the directories of the hookwall package.
+
+    Raises ImportError for other directories, so that they keep their own finders.
+    """
     package = os.path.join(ROOT, "hookwall")
     if path != package and not path.startswith(package + os.sep):
         raise ImportError
-    return FileFinder(path, (BuiltLoader, [".py"]))
+    return FileFinder(path, (PrecompiledLoader, [".py"]))
 
 
-sys.path_hooks.insert(0, find)
+sys.path_hooks.insert(0, hookwall_finder)
 sys.path.insert(0, os.path.join(ROOT, "target", "deps"))
 
 from hookwall.cli import main  # noqa: E402  (the path has to be set first)
--- a/tests/api/test_job_service.py
+++ b/tests/api/test_job_service.py
@@ -1,4 +1,4 @@
-"""Submission, status and cancellation: never older than what another node has answered."""
+"""Submission, status and cancellation of jobs: no response is older than one that another node has given."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class Nodes:
-    """Two nodes on one key-value store, neither of which sees the other's changes by itself."""
+    """Two nodes that share one key-value store. Neither sees the other's changes by itself."""
 
     def __init__(self, params, state: FakeState, clock: Clock) -> None:
         self.services = []
@@ -29,14 +29,14 @@
             self.services.append(service)
 
 
-def play(nodes: Nodes, script):
+def run_script(nodes: Nodes, script):
     async def main():
-        loops = [asyncio.create_task(service.read_confirmation.run()) for service in nodes.services]
+        confirmation_tasks = [asyncio.create_task(service.read_confirmation.run()) for service in nodes.services]
         try:
             return await script(*nodes.services)
         finally:
-            for loop in loops:
-                loop.cancel()
+            for confirmation_task in confirmation_tasks:
+                confirmation_task.cancel()
 
     return asyncio.run(main())
 
@@ -59,7 +59,7 @@
         second = await service.submit(body())
         return first[0], first[2], gone[0], second[0], (await other.submit(body()))[0]
 
-    assert play(nodes, script) == (503, {"Retry-After": "1"}, 404, 201, 200)
+    assert run_script(nodes, script) == (503, {"Retry-After": "1"}, 404, 201, 200)
 
 
 def test_a_write_whose_outcome_was_unknown_is_found_on_the_retry(nodes: Nodes, state: FakeState):
@@ -69,17 +69,17 @@
         state.mode = "ok"
         return first[0], (await service.submit(body()))[0], (await other.get("run-000001"))[0]
 
-    assert play(nodes, script) == (503, 200, 200)
+    assert run_script(nodes, script) == (503, 200, 200)
 
 
-def test_a_cached_status_is_confirmed_before_it_is_given(nodes: Nodes):
+def test_a_cached_status_is_confirmed_before_it_is_returned(nodes: Nodes):
     async def script(service: JobService, other: JobService):
         await service.submit(body())
         assert b"pending" in (await other.get("run-000001"))[1]
         await service.cancel("run-000001")
         return [json.loads((await node.get("run-000001"))[1])["phase"] for node in (other, service)]
 
-    assert play(nodes, script) == ["withdrawn", "withdrawn"]
+    assert run_script(nodes, script) == ["withdrawn", "withdrawn"]
 
 
 def test_a_poll_that_is_confirmed_while_a_new_leader_loads_is_not_answered_404(nodes: Nodes):
@@ -90,7 +90,7 @@
         service.table.invalidate_decisions()
         return (await poll)[0]
 
-    assert play(nodes, script) == 200
+    assert run_script(nodes, script) == 200
 
 
 def test_a_new_leader_applies_the_records_again_even_if_it_knows_their_versions(nodes: Nodes, clock: Clock):
@@ -102,19 +102,19 @@
         await service.reader.reload("hookwall/job/run-000001")
         return job.next_attempt, job.has_unsaved_changes
 
-    assert play(nodes, script) == (1, False)
+    assert run_script(nodes, script) == (1, False)
 
 
-def test_a_404_is_confirmed_before_it_is_given(nodes: Nodes):
+def test_a_404_is_confirmed_before_it_is_returned(nodes: Nodes):
     async def script(service: JobService, other: JobService):
         before = await other.get("run-000001")
         await service.submit(body())
         return before[0], (await other.get("run-000001"))[0]
 
-    assert play(nodes, script) == (404, 200)
+    assert run_script(nodes, script) == (404, 200)
 
 
-def test_an_unconfirmed_status_is_503_at_once_but_final_ones_are_served(nodes: Nodes, state: FakeState):
+def test_an_unconfirmed_status_is_refused_with_503_but_a_final_one_is_served(nodes: Nodes, state: FakeState):
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
         await service.submit(body(2))
@@ -122,10 +122,10 @@
         state.mode = "down"
         return [(await service.get(f"run-00000{n}"))[0] for n in (1, 2, 3)]
 
-    assert play(nodes, script) == [503, 200, 503]
+    assert run_script(nodes, script) == [503, 200, 503]
 
 
-def test_polls_share_one_comparison(nodes: Nodes, state: FakeState):
+def test_concurrent_polls_are_confirmed_by_one_comparison(nodes: Nodes, state: FakeState):
     async def script(service: JobService, other: JobService):
         for n in range(1, 9):
             await service.submit(body(n))
@@ -133,10 +133,10 @@
         await asyncio.gather(*(service.get(f"run-{n:06d}") for n in range(1, 9)))
         return list(state.requests)
 
-    assert play(nodes, script) == ["compare"]
+    assert run_script(nodes, script) == ["compare"]
 
 
-def test_a_cancellation_of_a_done_job_says_done(nodes: Nodes, state: FakeState):
+def test_the_cancellation_of_a_done_job_returns_done(nodes: Nodes, state: FakeState):
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
         key = "hookwall/job/run-000001"
@@ -145,11 +145,11 @@
         first = json.loads((await other.cancel("run-000001"))[1])["phase"]
         return first, json.loads((await service.get("run-000001"))[1])["phase"]
 
-    assert play(nodes, script) == ("done", "done")
+    assert run_script(nodes, script) == ("done", "done")
 
 
-def test_a_cancellation_that_loses_against_the_last_task_s_end_says_done(nodes: Nodes, state: FakeState):
-    """The leader stores the end just between the cancellation's reading and its writing."""
+def test_a_cancellation_that_races_with_the_end_of_the_job_returns_done(nodes: Nodes, state: FakeState):
+    """The leader stores the job as done between the read and the write of the cancellation."""
 
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
@@ -167,18 +167,18 @@
         polled = json.loads((await service.get("run-000001"))[1])["phase"]
         return cancelled, polled
 
-    assert play(nodes, script) == ("done", "done")
+    assert run_script(nodes, script) == ("done", "done")
 
 
-def test_a_cancellation_seen_during_a_write_of_the_leader_is_answered_with_withdrawn(nodes: Nodes):
+def test_a_cancellation_seen_during_a_write_of_the_leader_is_reported(nodes: Nodes):
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
         job = service.table.jobs["run-000001"]
-        job.write_in_flight = True  # the leader's own write of the same job is under way
+        job.write_in_flight = True  # the leader's own write of the same job is in progress
         await other.cancel("run-000001")
         return json.loads((await service.get("run-000001"))[1])["phase"]
 
-    assert play(nodes, script) == "withdrawn"
+    assert run_script(nodes, script) == "withdrawn"
 
 
 @pytest.mark.parametrize(
@@ -197,26 +197,26 @@
     async def script(service: JobService, other: JobService):
         return (await service.submit(body(**changes)))[0]
 
-    assert play(nodes, script) == status
+    assert run_script(nodes, script) == status
 
 
-def test_an_accepted_job_is_not_refused_when_it_is_repeated(nodes: Nodes):
+def test_an_accepted_job_is_not_refused_when_it_is_submitted_again(nodes: Nodes):
     async def script(service: JobService, other: JobService):
         await service.submit(body())
         return (await other.submit(body(owner="nobody")))[0]
 
-    assert play(nodes, script) == 200
+    assert run_script(nodes, script) == 200
 
 
-def test_a_submission_without_known_machine_types_is_refused_for_now(nodes: Nodes):
+def test_a_submission_is_refused_with_503_while_machine_types_are_unknown(nodes: Nodes):
     async def script(service: JobService, other: JobService):
         service.catalog = None
         return (await service.submit(body()))[0]
 
-    assert play(nodes, script) == 503
+    assert run_script(nodes, script) == 503
 
 
-def test_a_job_whose_chunks_are_not_known_yet_is_not_answered_404(nodes: Nodes, state: FakeState, clock: Clock):
+def test_a_job_with_missing_chunks_is_answered_with_503_not_404(nodes: Nodes, state: FakeState, clock: Clock):
     key, encoded = chunked_record()
     state.keys[key] = (encoded.value, 9)
     state.epoch = 9
@@ -227,14 +227,12 @@
             state.keys[chunk_key] = (text, 8)
         return first, (await service.get("run-000001"))[0]
 
-    assert play(nodes, script) == (503, 200)
+    assert run_script(nodes, script) == (503, 200)
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_a_record_that_is_replaced_in_chunks_is_not_stored_if_one_of_them_is_gone(
-    nodes: Nodes, state: FakeState, clock: Clock, gone
-):
-    """A leader may remove chunks that no record names, so the write that names them is conditional on them."""
+def test_a_record_is_not_stored_if_one_of_its_chunks_was_removed(nodes: Nodes, state: FakeState, clock: Clock, gone):
+    """A leader may remove chunks that no record names, so the write of the record has its chunks as preconditions."""
     key, encoded = chunked_record()
     state.keys[key], state.epoch = ({"phase": "open", "n": 1, "next": 1, "on": []}, 9), 9
     state.max_transaction_changes = 2
@@ -254,7 +252,7 @@
         except PreconditionFailedError:
             return None
 
-    stored = play(nodes, script)
+    stored = run_script(nodes, script)
     assert len(writes) > 1 and (stored is None) == gone
     assert (state.keys[key][0] == encoded.value) != gone
 
@@ -272,6 +270,6 @@
             ["packed" in v for v in plain_form],
         )
 
-    state.max_value_bytes = 1700  # of the limits to come
-    status, chunks, packed = play(nodes, script)
+    state.max_value_bytes = 1700  # of the upcoming limits
+    status, chunks, packed = run_script(nodes, script)
     assert status == 201 and not chunks and packed == [False]
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server over a real socket on loopback: what can't be answered is refused at once."""
+"""The HTTP server over real sockets on loopback: a request that can't be answered is refused at once."""
 
 import asyncio
 import re
@@ -16,7 +16,7 @@
 from hookwall.storage.read_confirmation import ReadConfirmation
 
 
-def talk(params, state: FakeState, clock: Clock, script):
+def run_with_server(params, state: FakeState, clock: Clock, script):
     async def main():
         table = JobTable(clock)
         reader = JobRecordReader(table, state)
@@ -29,13 +29,13 @@
 
         http_server = HttpServer(service, heartbeat, lambda: True, params.machine_limits.sockets, clock=clock)
         server = await listen(http_server, "127.0.0.1", 0)
-        confirming = asyncio.create_task(read_confirmation.run())
+        confirmation_task = asyncio.create_task(read_confirmation.run())
         base = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
             async with aiohttp.ClientSession() as session:
                 return await script(session, base, http_server)
         finally:
-            confirming.cancel()
+            confirmation_task.cancel()
             server.close()
 
     return asyncio.run(main())
@@ -63,22 +63,22 @@
         async with session.request(method, base + path, data=body) as response:
             return response.status
 
-    assert talk(params, state, clock, script) == status
+    assert run_with_server(params, state, clock, script) == status
 
 
 def test_a_body_without_a_length_is_cut_off_at_the_limit(params: PlatformParameters, state: FakeState, clock: Clock):
-    async def endless():
+    async def oversized_body():
         for _ in range(40):
             yield b"x" * 4096
 
     async def script(session: ClientSession, base, http_server: HttpServer):
-        async with session.post(base + "/v1/jobs", data=endless()) as response:
+        async with session.post(base + "/v1/jobs", data=oversized_body()) as response:
             return response.status
 
-    assert talk(params, state, clock, script) == 413
+    assert run_with_server(params, state, clock, script) == 413
 
 
-def test_a_job_over_http(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_a_job_is_submitted_polled_and_cancelled_over_http(params: PlatformParameters, state: FakeState, clock: Clock):
     async def script(session: ClientSession, base, http_server: HttpServer):
         seen = []
         for method, path, body in (
@@ -92,18 +92,18 @@
                 seen.append((response.status, (await response.json())["phase"]))
         return seen
 
-    assert talk(params, state, clock, script) == [
+    assert run_with_server(params, state, clock, script) == [
         (201, "pending"), (200, "pending"), (200, "pending"), (200, "withdrawn"), (200, "withdrawn"),
     ]  # fmt: skip
 
 
-def test_overload_is_429_at_once_with_when_to_come_back(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_overload_is_refused_with_429_and_retry_after(params: PlatformParameters, state: FakeState, clock: Clock):
     async def script(session: ClientSession, base, http_server: HttpServer):
         http_server.user_requests_in_flight = MAX_USER_REQUESTS
         async with session.get(base + "/v1/jobs/run-000001") as response:
             return response.status, response.headers.get("Retry-After")
 
-    assert talk(params, state, clock, script) == (429, "1")
+    assert run_with_server(params, state, clock, script) == (429, "1")
 
 
 def test_an_unexpected_error_in_a_handler_does_not_end_the_node(
@@ -119,11 +119,11 @@
         async with session.get(base + "/up") as response:
             return first, response.status
 
-    assert talk(params, state, clock, script) == (503, 200)
+    assert run_with_server(params, state, clock, script) == (503, 200)
 
 
 def test_an_idle_connection_is_closed(params: PlatformParameters, state: FakeState, clock: Clock):
-    # Machines that are gone send nothing; their connections stayed, and sockets are limited.
+    # Machines that are gone send nothing. Their connections stayed open, and the number of sockets is limited.
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -139,13 +139,13 @@
         writer.close()
         return first.split()[1], closed_early, rest
 
-    assert talk(params, state, clock, script) == (b"200", 0, b"")
+    assert run_with_server(params, state, clock, script) == (b"200", 0, b"")
 
 
-def test_at_the_limit_of_sockets_the_longest_idle_connections_are_closed_first(
+def test_above_the_connection_limit_the_longest_idle_connections_are_closed(
     params: PlatformParameters, state: FakeState, clock: Clock
 ):
-    # Workers leave connections behind; those of the nodes' own, and new ones, must go on being had.
+    # Workers abandon connections. The node must still have sockets for its own connections and for new ones.
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         http_server.max_connections = 2
@@ -159,22 +159,22 @@
         closed = http_server.close_idle_connections()
         async with asyncio.timeout(3.0):
             ends = [await opened[i][0].read() for i in range(closed)]
-        still = [len(http_server.last_used_at), http_server.close_idle_connections()]
+        remaining = [len(http_server.last_used_at), http_server.close_idle_connections()]
         for _, writer in opened:
             writer.close()
-        return closed, ends, still
+        return closed, ends, remaining
 
-    # The newest two are there; the limit leaves room for what waits and for the node's own connections.
-    assert talk(params, state, clock, script) == (2, [b"", b""], [2, 0])
+    # The newest two stay open. The limit leaves room for the backlog and for the node's own connections.
+    assert run_with_server(params, state, clock, script) == (2, [b"", b""], [2, 0])
     http_server = HttpServer(None, None, None, 1563)
     assert http_server.max_connections + http_server.backlog + 72 + 4 < 1563 and http_server.max_connections > 860
 
 
-def test_a_request_whose_body_does_not_come_is_not_in_flight(
+def test_a_request_with_an_incomplete_body_is_not_counted_as_in_flight(
     params: PlatformParameters, state: FakeState, clock: Clock
 ):
-    # Behind a cut the rest of a request never comes; 200 of them would have kept all users out. Now such a
-    # request takes no place at all before it has come whole.
+    # After a network partition the rest of a request never arrives. If such requests counted as in flight, 200 of them
+    # would lock out all users. So a request counts only once it has been received completely.
     async def script(session: ClientSession, base, http_server: HttpServer):
         http_server.body_timeout_s = 0.2
         host, port = base.removeprefix("http://").split(":")
@@ -187,13 +187,12 @@
         writer.close()
         return in_flight, status, http_server.user_requests_in_flight
 
-    assert talk(params, state, clock, script) == (0, b"408", 0)
+    assert run_with_server(params, state, clock, script) == (0, b"408", 0)
 
 
-def test_requests_on_one_connection_are_answered_in_their_order(
-    params: PlatformParameters, state: FakeState, clock: Clock
-):
-    # Nobody should send a second one before the first is answered; whoever does gets no response to the other.
+def test_requests_on_one_connection_are_answered_in_order(params: PlatformParameters, state: FakeState, clock: Clock):
+    # Clients should not send a second request before the first is answered. A client that does must not get the
+    # response to one request in place of the other.
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -204,13 +203,13 @@
         writer.close()
         return re.findall(rb"HTTP/1.1 (\d+) ", answers)
 
-    assert talk(params, state, clock, script) == [b"404", b"200"]
+    assert run_with_server(params, state, clock, script) == [b"404", b"200"]
 
 
 @pytest.mark.parametrize(
     "raw", [b"nonsense\r\n\r\n", b"GET / HTTP/1.1\r\nbad header\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"]
 )
-def test_what_is_not_http_is_refused_and_ends_no_other_connection(
+def test_malformed_http_is_refused_and_other_connections_still_work(
     params: PlatformParameters, state: FakeState, clock: Clock, raw
 ):
     async def script(session: ClientSession, base, http_server: HttpServer):
@@ -223,16 +222,18 @@
         async with session.get(base + "/up") as up:
             return response.split()[1], up.status
 
-    assert talk(params, state, clock, script) == (b"400", 200)
+    assert run_with_server(params, state, clock, script) == (b"400", 200)
 
 
-def test_a_heartbeat_is_answered_without_a_task(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_a_heartbeat_with_an_immediate_response_needs_no_task(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
     async def script(session: ClientSession, base, http_server: HttpServer):
-        made: list[object] = []
+        task_counts: list[object] = []
         loop = asyncio.get_running_loop()
-        http_server.handle_heartbeat = lambda body: made.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
+        http_server.handle_heartbeat = lambda body: task_counts.append(len(asyncio.all_tasks(loop))) or (200, b"{}")
         before = len(asyncio.all_tasks(loop))
         async with session.post(base + "/agent/beat", data=b"{}") as response:
-            return response.status, made[0] - before
+            return response.status, task_counts[0] - before
 
-    assert talk(params, state, clock, script) == (200, 0)
+    assert run_with_server(params, state, clock, script) == (200, 0)
--- a/tests/config/test_platform_settings.py
+++ b/tests/config/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is unknown is ignored, and what is bad is refused by its name."""
+"""The platform's settings file: unknown fields are ignored, and an error names the field that is invalid."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from hookwall.cli import main
 from hookwall.config import platform
 
-GOOD = """
+VALID_SETTINGS = """
 node_name = "n0"
 area = "east"
 public_addr = "127.0.0.1:8080"
@@ -43,7 +43,7 @@
 
 def test_unknown_settings_are_ignored(tmp_path: Path):
     file = tmp_path / "settings.toml"
-    file.write_text(GOOD)
+    file.write_text(VALID_SETTINGS)
     settings = platform.load_settings(str(file))
     assert settings.platform.workers.lease_s == 12.0
 
@@ -58,17 +58,19 @@
         ("size = 2", "size = = 2", "--config"),
     ],
 )
-def test_bad_settings_end_with_one_line_that_names_the_field(
+def test_invalid_settings_end_with_one_line_that_names_the_field(
     tmp_path: Path, capsys: pytest.CaptureFixture, old, new, field
 ):
     file = tmp_path / "settings.toml"
-    file.write_text(GOOD.replace(old, new))
+    file.write_text(VALID_SETTINGS.replace(old, new))
     assert main(["serve", "--config", str(file)]) == 2
     error = capsys.readouterr().err
     assert field in error and error.count("\n") == 1
 
 
-def test_a_bad_log_level_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture, monkeypatch: pytest.MonkeyPatch):
+def test_an_unknown_log_level_is_refused(
+    tmp_path: Path, capsys: pytest.CaptureFixture, monkeypatch: pytest.MonkeyPatch
+):
     monkeypatch.setenv("LOG_LEVEL", "loud")
     assert main(["serve", "--config", str(tmp_path / "none")]) == 2
     assert "LOG_LEVEL" in capsys.readouterr().err
--- a/tests/protocol/test_peer_messages.py
+++ b/tests/protocol/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: what can't be read counts as missing, and fields that are not set are not sent."""
+"""Messages between nodes: fields that can't be decoded count as missing, and fields that are not set are not sent."""
 
 import pytest
 from conftest import Clock, FakeState
@@ -17,7 +17,7 @@
 HEARTBEAT = {"t": "ping", "n": "n1", "tok": 4, "sok": True, "pos": 3, "format": 2, "lowered": False}
 
 
-def test_a_message_is_read_as_it_was_sent():
+def test_a_decoded_message_encodes_to_the_same_fields():
     message = decode_message(HEARTBEAT)
     assert message == PeerMessage(
         kind=MessageKind.HEARTBEAT,
@@ -32,22 +32,22 @@
 
 
 @pytest.mark.parametrize("name", ["tok", "sok", "pos", "format", "lowered"])
-@pytest.mark.parametrize("nonsense", ["four", [], {"a": 1}, 1.5])
-def test_a_field_that_can_t_be_read_counts_as_missing(name, nonsense):
+@pytest.mark.parametrize("invalid_value", ["four", [], {"a": 1}, 1.5])
+def test_a_field_that_cannot_be_decoded_counts_as_missing(name, invalid_value):
     expected = {key: value for key, value in HEARTBEAT.items() if key != name}
-    assert encode_message(decode_message({**HEARTBEAT, name: nonsense})) == expected
+    assert encode_message(decode_message({**HEARTBEAT, name: invalid_value})) == expected
 
 
 @pytest.mark.parametrize("change", [{"t": 3}, {"n": None}, {"t": None}])
-def test_a_message_without_kind_or_sender_is_none(change):
+def test_a_message_without_kind_or_sender_decodes_to_none(change):
     assert decode_message({**HEARTBEAT, **change}) is None and decode_message({}) is None
 
 
-def test_a_kind_that_only_newer_programs_know_is_refused_with_the_status_of_this_node(clock: Clock, state: FakeState):
+def test_a_message_of_unknown_kind_is_refused_with_the_status_of_this_node(clock: Clock, state: FakeState):
     state.last_response_at = clock()
-    lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
-    lead.exchange.local_status = lambda: PeerStatus(4, False)
-    answer = decode_response(lead.handle_peer_message({"t": "sing", "n": "n1"}))
+    leadership = Leadership("n0", 3, [], state, clock, None, lambda role: None)
+    leadership.exchange.local_status = lambda: PeerStatus(4, False)
+    answer = decode_response(leadership.handle_peer_message({"t": "sing", "n": "n1"}))
     assert (
         not answer.granted
         and answer.store_reachable
@@ -65,6 +65,6 @@
     assert encode_message(PeerResponse()) == {"ok": False, "sok": False}
 
 
-def test_an_unreachable_store_is_sent_too():
-    """A peer that gets no such field goes on with the value that it got last."""
+def test_an_unreachable_store_is_reported_explicitly():
+    """A peer that receives no such field keeps the value that it received last."""
     assert encode_message(PeerMessage(kind=MessageKind.HEARTBEAT, sender="n1", store_reachable=False))["sok"] is False
