--- a/hookwall/api/record_writer.py
+++ b/hookwall/api/record_writer.py
@@ -23,7 +23,7 @@
 from hookwall.storage.job_records import EncodedRecord, JobRecord
 
 # A user waits 5 s for a response. Chunks that are not written within this time are left to the next attempt.
-CHUNK_WRITES_S = 3.0
+CHUNK_WRITE_TIMEOUT_S = 3.0
 PLAIN_MARGIN_BYTES = 512  # of a value, kept free beside a record in its plain form
 
 
@@ -73,7 +73,7 @@
         if version:
             stored_chunks = job_records.chunk_keys(key[len(keys.JOB_PREFIX) :], current)
         max_changes = self.store.batch_size()
-        deadline = self.clock() + CHUNK_WRITES_S
+        deadline = self.clock() + CHUNK_WRITE_TIMEOUT_S
 
         def next_batch(remaining: dict[str, str]) -> list[Put]:
             if len(remaining) < max_changes:
--- a/hookwall/api/server.py
+++ b/hookwall/api/server.py
@@ -29,7 +29,7 @@
 # Share of the sockets that the platform allows. Connections wait in the backlog when a whole fleet connects at once.
 # With a backlog of 4,096, the connections that workers had abandoned at a stalled node took 1,531 of 1,633 sockets.
 BACKLOG_SHARE = 0.25
-RESERVED_SOCKETS = 100  # reserved for the key-value store, the cloud and peers
+RESERVED_SOCKETS = 100  # for connections to the key-value store, the cloud and peers
 MIN_SOCKETS = 16  # lower bound of the connection limit and of the backlog
 WORKER_TIMEOUT_S = 4.0  # how long a worker waits for a response, without sending another request meanwhile
 IDLE_CHECK_INTERVAL_S = 1.0
--- a/hookwall/protocol/http_client.py
+++ b/hookwall/protocol/http_client.py
@@ -22,7 +22,8 @@
     body: bytes
 
 
-# Takes a session, method, URL, body to send as JSON or None, and timeout in seconds. `request_json`, or a fake of it.
+# Arguments: session, method, URL, body to send as JSON or None, and timeout in seconds. The function is `request_json`,
+# or a replacement for it.
 SendRequest = Callable[[aiohttp.ClientSession | None, str, str, object, float], Awaitable[tuple[int, bytes]]]
 
 
