--- a/hookwall/drains/__init__.py
+++ b/hookwall/drains/__init__.py
@@ -1,22 +1,23 @@
 """Drains: graceful eviction of machines in steps, within each team's disruption budget.
 
-Owns the records of drains, of cordoned machines and of disruptions (`records`, `drain_keys`), what every node knows of
-them (`drain_subsystem`, `drain_table`), the leader's part (`controller`) and the operators' command.
+The package owns the records of drains, cordoned machines and disruptions (`records`, `drain_keys`), the copy of drains
+and cordons that every node holds (`drain_subsystem`, `drain_table`), the leader's controller (`controller`) and the
+operators' command.
 
-State machines: a drain is requested, draining or stalled, then finished or aborted (`DrainPhase`); each of its machines
+State machines: a drain is requested, draining or stalled, then finished or aborted (`DrainPhase`). Each of its machines
 is cordoned, draining, empty, and then deleted or released (`StepPhase`). `DrainTransitions` makes every change by the
-leader: it is stored before it is acted on, and disruptions before the commands that cause them.
+leader: a change is stored before it is acted on, and a disruption is stored before the commands that cause it are sent.
 
-| modules | duty |
+| modules | responsibility |
 | --- | --- |
-| `drain_writer`, `drain_transitions` | the leader's conditional writes; each change stored, then carried out |
-| `disruption_ledger`, `disruption_recorder` | what counts against the budgets, and what is entered there |
-| `drain_plan`, `planner`, `capacity_reservation`, `wait_reasons` | the next steps, a pure function; why none |
-| `planning_view`, `plan_builder` | what the planner needs to know, from the leader's memory, within a budget of time |
-| `arguments`, `command_line`, `command`, `request`, `report` | the operators' command: arguments, checks, output |
-| `cluster_snapshot`, `preview`, `lower_bound` | a read of the cluster, a drain played forward on it, the fewest waves |
+| `drain_writer`, `drain_transitions` | the leader's conditional writes; each change is stored, then carried out |
+| `disruption_ledger`, `disruption_recorder` | the disruptions that count against budgets, and recording them |
+| `drain_plan`, `planner`, `capacity_reservation`, `wait_reasons` | a pure function: the next steps, or why to wait |
+| `planning_view`, `plan_builder` | the planner's input, from the leader's memory, within a time limit |
+| `arguments`, `command_line`, `command`, `request`, `report` | the operators' command: arguments, validation, output |
+| `cluster_snapshot`, `preview`, `lower_bound` | a read of the cluster, a simulated drain on it, the fewest waves |
 
-Asks of others: the fleet (`workers`) to stop tasks and to tell of every disruption, the scheduler for the capacity that
-evicted jobs need, who leads with which fencing token (`leadership`), the key-value store (`storage`), and from the node
-whether every program knows drains and whether a machine is known to be deleted.
+Dependencies: the fleet (`workers`) stops tasks and reports every disruption; the scheduler provides the capacity that
+evicted jobs need; `leadership` provides the role and the fencing token; `storage` provides the key-value store. The
+node tells whether the programs of all nodes support drains and whether a machine is confirmed to be deleted.
 """
--- a/hookwall/drains/arguments.py
+++ b/hookwall/drains/arguments.py
@@ -1,6 +1,7 @@
 """The arguments of `hookwall drain`.
 
-Invariant: the command itself is imported only when it is run, so that other commands start without it.
+Invariant: the module that implements the command is imported only when the command runs, so that other commands start
+without it.
 """
 
 import argparse
@@ -13,14 +14,14 @@
 
 
 def run_drain(args: argparse.Namespace) -> int:
-    """Run the command; gives its exit code."""
+    """Run the command and return its exit code."""
     from hookwall.drains import command_line
 
     return command_line.run(args)
 
 
 def add_parser(commands: "Subcommands[argparse.ArgumentParser]") -> None:
-    """Add the command with its actions."""
+    """Add the command and its actions to the parser."""
     drain = commands.add_parser("drain", help="empty machines in steps, within each team's disruption budget")
     actions = drain.add_subparsers(dest="action", required=True, metavar="ACTION")
     plan = _add_action(actions, "plan", "show what a drain would disrupt; changes nothing")
--- a/hookwall/drains/capacity_reservation.py
+++ b/hookwall/drains/capacity_reservation.py
@@ -1,6 +1,6 @@
-"""Capacity elsewhere that evicted jobs would need.
+"""Reservation of the capacity that evicted jobs need on other machines.
 
-Invariant: capacity is given once, and either all jobs of an eviction get theirs or nothing is reserved.
+Invariant: capacity is reserved only once, and either all jobs of an eviction get capacity or nothing is reserved.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reservation:
-    """Capacity of a machine that so many tasks of a job take; a negative number is what they give back."""
+    """Capacity that `task_count` tasks of a job take on a machine; a negative count returns capacity."""
 
     machine: FreeCapacity
     request: ResourceRequest
@@ -31,19 +31,19 @@
 
 
 def reserve_all(occupants: Sequence[Occupant], free_capacities: Sequence[FreeCapacity]) -> list[Occupant]:
-    """Reserve capacity for these jobs, taking it from `free_capacities`; gives the jobs for which there is none.
+    """Reserve capacity for all of these jobs out of `free_capacities`, and return the jobs that can't be placed.
 
-    Where that is any, nothing is reserved.
+    If any job can't be placed, nothing is reserved.
     """
     machines = {machine.index: machine for machine in free_capacities}
     reservations: list[_Reservation] = []
     unplaced: list[Occupant] = []
     for occupant in occupants:
-        own = _reserve(occupant, machines)
-        if own is None:
+        job_reservations = _reserve(occupant, machines)
+        if job_reservations is None:
             unplaced.append(occupant)
         else:
-            reservations += own
+            reservations += job_reservations
     if unplaced:
         for reservation in reservations:
             reservation.undo()
@@ -51,9 +51,9 @@
 
 
 def _reserve(occupant: Occupant, machines: dict[int, FreeCapacity]) -> list[_Reservation] | None:
-    """Reserve capacity for one job. None, and nothing reserved, if there is not enough.
+    """Reserve capacity for one job. If there is not enough, reserve nothing and return None.
 
-    A gang may use again what it leaves on other machines.
+    A gang may reuse the capacity that its own tasks free on other machines.
     """
     request = occupant.request
     freed = [
--- a/hookwall/drains/cluster_snapshot.py
+++ b/hookwall/drains/cluster_snapshot.py
@@ -1,6 +1,6 @@
-"""What the operators' command knows: one read of the key-value store and of the cloud's inventory.
+"""The operators' command's view of the cluster: one read of the key-value store and of the cloud's inventory.
 
-Invariant: it writes nothing.
+Invariant: this module writes nothing.
 """
 
 import time
@@ -25,18 +25,19 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.machine import MachinePhase
 
-UNKNOWN_EPOCH = 1  # of a worker whose heartbeats the command does not get; 0 stands for none
+# Epoch that is assumed for a running worker, as the command receives no heartbeats; 0 means that there is no worker.
+ASSUMED_EPOCH = 1
 RUNNING = "running"  # the phase of a machine in the cloud's inventory
 
 
 class ClusterSnapshot:
-    """The cluster as records and inventory show it, in the form in which a leader holds it.
+    """The cluster according to the stored records and the inventory, in the leader's in-memory structures.
 
-    Records don't say whether a task runs; each allocation that they name is taken to run.
+    Records don't say whether a task runs, so each allocation in a record is assumed to run.
     """
 
     def __init__(self, settings: Settings, operations: Operations, store: KeyValueClient) -> None:
-        """An empty snapshot; `read` fills it from `store` and the cloud."""
+        """Create an empty snapshot; `read` fills it from `store` and the cloud."""
         params = settings.platform
         self.settings = settings
         self.operations = operations
@@ -50,10 +51,10 @@
         self.planning_view = PlanningView(self.jobs, self.fleet, self.scheduler, self.ledger)
         node_names = [seed.node_name for seed in settings.seeds]
         self.storage_versions = StorageVersionGate(settings.node_name, node_names, store)
-        self.cloud_failure = ""  # why the cloud's inventory is missing
+        self.cloud_failure = ""  # why the cloud's inventory could not be read; empty if it was read
 
     async def read(self, client: CloudClient) -> None:
-        """Read everything there is. A cloud that does not answer is noted in `cloud_failure`.
+        """Read all records and the inventory. If the cloud does not answer, set `cloud_failure`.
 
         Raises:
             RequestRejectedError: the store did not execute a request.
@@ -67,7 +68,7 @@
             self.cloud_failure = f"the cloud does not answer: {error}"
 
     def load_entries(self, entries: Sequence[KeyValueEntry]) -> None:
-        """All that the key-value store holds. Chunks come first, as records refer to them."""
+        """Load all keys of the key-value store. Chunks are loaded first, as job records refer to them."""
         for key, value, version in entries:
             if key.startswith(keys.CHUNK_PREFIX):
                 self.jobs.apply_chunk(key, value, version)
@@ -89,12 +90,12 @@
             self.cloud_failure = "the stored machine types are malformed"
 
     def load_inventory(self, listed: Sequence[ListedMachine]) -> None:
-        """The cloud's inventory: the workers of machines that run are taken to respond."""
+        """Load the cloud's inventory. The workers of running machines are assumed to respond."""
         for entry in listed:
             machine = self.fleet.ensure_machine(entry.name, entry.type, entry.zone, entry.spot)
             if entry.phase == RUNNING:
                 machine.phase = MachinePhase.UP
-                machine.epoch = UNKNOWN_EPOCH
+                machine.epoch = ASSUMED_EPOCH
                 machine.acknowledges = True
 
     def selectable_machines(self) -> list[SelectableMachine]:
@@ -112,12 +113,12 @@
         ]
 
     def machine_types(self) -> list[str]:
-        """The names of the machine types, sorted; empty where the catalog is missing."""
+        """The names of the machine types, sorted; empty if the catalog is missing."""
         catalog = self.fleet.catalog
         return sorted(machine_type.name for machine_type in catalog.types) if catalog else []
 
     def nodes_without_drains(self) -> list[str]:
-        """Nodes whose program is not known to know drains: nothing is drained before it does."""
+        """Nodes that have not confirmed that their program supports drains; no drain begins before all nodes have."""
         markers = self.storage_versions.markers
         return sorted(
             node
--- a/hookwall/drains/command.py
+++ b/hookwall/drains/command.py
@@ -1,7 +1,7 @@
 """`hookwall drain`: preview, start, follow, abort and resume drains.
 
-Invariant: operators act on the key-value store, as the nodes do: with one conditional write, which the leader observes.
-Nothing but `start`, `abort`, `resume` and `release` writes.
+Invariant: like the nodes, the command changes the key-value store with conditional writes, which the leader observes.
+Only `start`, `abort`, `resume` and `release` write.
 """
 
 import asyncio
@@ -27,21 +27,21 @@
 from hookwall.storage.entries import Precondition, Put
 from hookwall.storage.errors import PreconditionFailedError
 
-POLL_INTERVAL_S = 1.0  # of `status --wait`
-MAX_ATTEMPTS = 3  # of a write that met the leader's
+POLL_INTERVAL_S = 1.0  # interval at which `status --wait` reads the cluster
+MAX_ATTEMPTS = 3  # attempts of a write that conflicts with a concurrent change, such as the leader's
 ABSENT = 0  # the version of a key that does not exist
 
 
 class ExitCode(IntEnum):
-    """What scripts can tell apart."""
+    """Exit codes, by which scripts distinguish the outcomes of a command."""
 
     OK = 0
     BAD_INPUT = 2
     NOT_FOUND = 3
-    CONFLICT = 4  # somebody else changed it meanwhile
-    UNAVAILABLE = 5  # the key-value store or the cloud does not answer, or refuses for now
-    WAITING = 6  # the time to wait is over, the drain is not
-    REFUSED = 7  # the key-value store calls the request malformed or too large
+    CONFLICT = 4  # the record was changed concurrently
+    UNAVAILABLE = 5  # the key-value store or the cloud does not answer, or rejects requests temporarily
+    WAITING = 6  # `--wait` timed out before the drain ended
+    REFUSED = 7  # the key-value store rejects the request as malformed or too large
 
 
 class _StoredStep(NamedTuple):
@@ -52,7 +52,7 @@
 
 
 class DrainCommand:
-    """One call of the command. Its actions raise the errors of `drains` and of the key-value store."""
+    """One invocation of the command. Its actions raise the errors of `drains` and of the key-value store."""
 
     def __init__(
         self,
@@ -66,7 +66,10 @@
         *,
         json: bool = False,
     ) -> None:
-        """Print through `print_line`, as one JSON value or as text; `time_of_day` and `clock` are in seconds."""
+        """Create a command that prints through `print_line`, as one JSON value or as text.
+
+        `time_of_day` and `clock`, which is monotonic, return seconds.
+        """
         self.settings = settings
         self.operations = operations
         self.store = store
@@ -96,7 +99,7 @@
         return ExitCode.OK
 
     async def start(self, name: str, requested: DrainRequest) -> ExitCode:
-        """Store a new drain. The same request again is answered with its state."""
+        """Store a new drain. If the same request is already stored under this name, print its state instead."""
         request.validate_name(name)
         self._require_budgets(requested)
         snapshot = await self._read_cluster_with_inventory()
@@ -115,7 +118,7 @@
         return ExitCode.OK
 
     async def status(self, name: str | None, wait_s: float) -> ExitCode:
-        """Print drains and budgets; waits for the end of one drain, or of all."""
+        """Print drains and budgets, after waiting up to `wait_s` seconds for the end of one drain, or of all drains."""
         until = self.clock() + wait_s
         while True:
             snapshot = await self._read_cluster()
@@ -131,11 +134,11 @@
         return ExitCode.WAITING if wait_s and active else ExitCode.OK
 
     async def abort(self, name: str) -> ExitCode:
-        """End a drain: no further step."""
+        """Abort a drain: the leader takes no further step for it."""
         return await self._change_drain(name, records.ACTIVE_PHASES, request.aborted_record)
 
     async def resume(self, name: str) -> ExitCode:
-        """Go on with an aborted drain."""
+        """Continue an aborted drain."""
         return await self._change_drain(name, (DrainPhase.ABORTED,), request.resumed_record)
 
     async def release(self, name: str, machines: Sequence[str]) -> ExitCode:
@@ -166,7 +169,7 @@
         return snapshot
 
     async def _read_empty_step(self, name: str, machine: str) -> _StoredStep:
-        """The step of a machine that this drain has emptied."""
+        """Read the step of a machine that this drain has emptied, or raise an error."""
         stored = await self.store.get(drain_keys.step_key(machine))
         step = None if stored is None else records.decode(stored.value, StepRecord)
         if stored is None or step is None or step.drain != name:
@@ -193,7 +196,7 @@
     async def _change_drain(
         self, name: str, from_phases: Sequence[DrainPhase], change: Callable[[DrainRecord, float], DrainRecord]
     ) -> ExitCode:
-        """Change a drain that is in one of these phases; the leader may be changing it too."""
+        """Change a drain that is in one of these phases. Retry if the leader has changed it concurrently."""
         for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
                 changed = await self._try_change(name, from_phases, change)
@@ -242,7 +245,7 @@
 
 
 def _machine_loads(simulation: DrainSimulation) -> list[MachineLoad]:
-    """The machines and their jobs, before the simulation moves them."""
+    """The machines and their jobs; to be called before the simulation evicts any."""
     return [
         MachineLoad(
             name,
@@ -255,7 +258,7 @@
 def _lower_bound(
     loads: Sequence[MachineLoad], preview: Preview, requested: DrainRequest, snapshot: ClusterSnapshot
 ) -> WaveLowerBound:
-    """The fewest waves for what the preview could drain."""
+    """The fewest waves for the machines that the preview could drain."""
     drained = {machine for wave in preview.waves for machine in wave.machines}
     drained_loads = [load for load in loads if load.machine in drained]
     budgets = snapshot.planning_view.team_budgets().total
--- a/hookwall/drains/command_line.py
+++ b/hookwall/drains/command_line.py
@@ -1,6 +1,6 @@
-"""Carries out `hookwall drain` with parsed arguments.
+"""Execution of `hookwall drain` with parsed arguments.
 
-Invariant: every failure that operators can meet becomes one exit code and one line on standard error.
+Invariant: every failure that an operator can cause or encounter becomes an exit code and one line on standard error.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry out one action against the real store and cloud; gives the exit code."""
+    """Run one action against the real store and cloud, and return the exit code."""
     try:
         return int(asyncio.run(_run(args)))
     except InvalidSettingsError as error:
@@ -55,7 +55,7 @@
 
 
 async def execute(command: DrainCommand, args: argparse.Namespace) -> ExitCode:
-    """Carry out one action; failures become an exit code and a line on standard error."""
+    """Run one action. A failure becomes an exit code and a line on standard error."""
     try:
         return await _run_action(command, args)
     except InvalidDrainRequestError as error:
@@ -79,7 +79,7 @@
 
 
 async def _run_action(command: DrainCommand, args: argparse.Namespace) -> ExitCode:
-    """Carry out the action that the arguments name."""
+    """Run the action that the arguments name."""
     match args.action:
         case "plan":
             return await command.plan(requested_drain(args), args.fewest)
@@ -96,7 +96,7 @@
 
 
 def requested_drain(args: argparse.Namespace) -> DrainRequest:
-    """The request that the arguments describe, or InvalidDrainRequestError."""
+    """Return the request that the arguments describe, or raise InvalidDrainRequestError."""
     selection = Selection(
         machines=tuple(sorted(set(args.machine))), machine_type=args.type, zone=args.zone, share=args.share
     )
--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -1,7 +1,8 @@
-"""The leader's part in drains: one cycle a second over all drains.
+"""The leader's drain controller: it advances all drains in one cycle per second.
 
-Invariant: every write is conditional on the leader key and on the versions of what it changes, so a leader that was
-replaced can't change a drain any more, and an operator's abort meets either the step before or the step after.
+Invariant: every write is conditional on the leader key and on the versions of the records that it changes. A leader
+that was replaced therefore can't change a drain any more, and an operator's abort takes effect either before a step or
+after it.
 """
 
 import asyncio
@@ -40,16 +41,16 @@
 log = logging.getLogger(__name__)
 
 RETRY_DELAY_S = 0.7
-STALLED_AFTER_S = 60.0  # so long without progress, a drain is stalled
-REASON_INTERVAL_S = 5.0  # how often the reason of one drain is stored at the most
-LEDGER_INTERVAL_S = 2.0  # the same of disruptions that no drain has caused
-# Stored as the reason, and so shown to operators.
+STALLED_AFTER_S = 60.0  # a drain that makes no progress for this long is stalled
+REASON_INTERVAL_S = 5.0  # minimum interval between writes of one drain's reason
+LEDGER_INTERVAL_S = 2.0  # minimum interval between writes of disruptions that were not caused by a drain
+# These texts are stored as a drain's reason, and operators see them.
 UNSUPPORTED_REASON = "not all nodes run a program that knows drains"
 DEADLINE_REASON = "its deadline has passed"
 
 
 class DrainController:
-    """Carries out drains while this node leads."""
+    """Executes drains while this node leads."""
 
     def __init__(
         self,
@@ -65,10 +66,10 @@
         drains_allowed: Callable[[], bool],
         is_confirmed_deleted: Callable[[str], bool],
     ) -> None:
-        """Share the cordoned machines with `fleet` and the relocated jobs with `scheduler`.
+        """Create a controller that shares the cordoned machines with `fleet` and the relocated jobs with `scheduler`.
 
-        `clock` is monotonic; it and `time_of_day` are in seconds. `drains_allowed`: whether the program of every node
-        knows drains; `is_confirmed_deleted`: whether a machine is known to be deleted.
+        `clock`, which is monotonic, and `time_of_day` return seconds. `drains_allowed` tells whether the programs of
+        all nodes support drains; `is_confirmed_deleted` tells whether a machine is confirmed to be deleted.
         """
         self.fleet = fleet
         self.clock = clock
@@ -83,12 +84,16 @@
         self.plan_builder = PlanBuilder(self.table, self.planning_view, scheduler, clock, time_of_day)
         self.disruptions = DisruptionRecorder(self.ledger, jobs, fleet, clock, time_of_day)
         self.transitions = DrainTransitions(self.table, self.writer, fleet, self.disruptions, clock, time_of_day)
-        self.awaiting_capacity: dict[str, list[Occupant]] = {}  # by drain, jobs that wait for capacity elsewhere
+        # By drain: jobs that wait for capacity on other machines.
+        self.awaiting_capacity: dict[str, list[Occupant]] = {}
         self._ledger_stored_at: float | None = None
         self._connect(fleet, scheduler)
 
     def _connect(self, fleet: Fleet, scheduler: Scheduler) -> None:
-        """The fleet and the scheduler work without drains until here, as most of the time there is none."""
+        """Register with the fleet and the scheduler.
+
+        They work without drains until then, as there are no drains most of the time.
+        """
         fleet.cordoned = self.table.cordoned
         fleet.in_maintenance = self.table.in_maintenance
         fleet.on_stop_requested = self.disruptions.record_stop_request
@@ -96,7 +101,7 @@
         scheduler.relocated = self.disruptions.relocating
 
     def load_for_leadership(self, entries: Sequence[KeyValueEntry]) -> None:
-        """A new leadership begins with what is stored."""
+        """Load the stored state at the beginning of a leadership."""
         self.table.apply_snapshot(entries)
         self.table.load_ledger(entries)
         self.awaiting_capacity.clear()
@@ -105,13 +110,13 @@
         self.transitions.reset()
 
     def relocation_requests(self) -> list[ResourceRequest]:
-        """What machines have to be provisioned for before jobs can be evicted."""
+        """Resource requests of jobs that can't be evicted before machines are provisioned for them."""
         return [replace(occupant.request) for occupants in self.awaiting_capacity.values() for occupant in occupants]
 
     # -- the cycle -------------------------------------------------------------------------------
 
     async def run_cycle(self) -> None:
-        """Advance all drains; what fails is tried again with the next cycle."""
+        """Advance all drains. A step that fails is retried in the next cycle."""
         if self.fleet.catalog is None:
             return
         try:
@@ -130,7 +135,7 @@
             log.debug("drain keys not read: reason=%s", error)
 
     async def advance_all(self) -> None:
-        """Advance every drain as far as it goes now; raises what `DrainWriter` raises."""
+        """Advance every drain as far as possible now. Raises the errors of `DrainWriter`."""
         self.disruptions.update_recovery()
         await self._write_ledger_if_due()
         if not self.table.has_work():
@@ -149,14 +154,17 @@
             await self._roll_back(name)
 
     async def _write_ledger_if_due(self) -> None:
-        """Store disruptions that no drain has caused."""
+        """Store the ledger's changed pages if the interval has passed; these are disruptions not caused by a drain."""
         now = self.clock()
         if self._ledger_stored_at is None or now - self._ledger_stored_at >= LEDGER_INTERVAL_S:
             self._ledger_stored_at = now
             await self.writer.write_ledger()
 
     async def _store_unsupported(self) -> None:
-        """An older leader would place new work on a machine that is being drained."""
+        """Store as the reason of all active drains that not all nodes support drains.
+
+        A leader with an older program would place new work on a machine that is being drained.
+        """
         for name, stored in list(self.table.drains.items()):
             if stored.record.is_active() and stored.record.wait_reason != UNSUPPORTED_REASON:
                 await self.transitions.transition_to(name, stored.record.phase, UNSUPPORTED_REASON)
@@ -164,14 +172,14 @@
     # -- one drain -------------------------------------------------------------------------------
 
     async def _advance(self, name: str) -> None:
-        """All that can be done for one drain now."""
+        """Take all steps that are possible for one drain now."""
         record = self.table.drains[name].record
         if record.phase is DrainPhase.REQUESTED:
             await self.transitions.begin(name)
         if record.is_overdue(self.time_of_day()) and record.deadline_policy is DeadlinePolicy.ABORT:
             await self.transitions.transition_to(name, DrainPhase.ABORTED, DEADLINE_REASON)
             return
-        await self._follow_machines(name)
+        await self._reconcile_machines(name)
         record = self.table.drains[name].record
         if not self.table.machines[name] and not self.table.steps_of(name):
             await self.transitions.transition_to(name, DrainPhase.FINISHED, "")
@@ -186,24 +194,24 @@
             self._end_stopping_tasks(name, plan.waits)
         await self._store_wait_reason(name, plan.waits)
 
-    async def _follow_machines(self, name: str) -> None:
-        """Follow machines that have become empty, were released, or are deleted."""
+    async def _reconcile_machines(self, name: str) -> None:
+        """Process machines that have become empty, were released, or are deleted."""
         record = self.table.drains[name].record
         steps = self.table.steps_of(name)
-        deleted_before = [
+        already_deleted = [
             machine
             for machine in self.table.machines[name]
             if machine not in steps and self._is_confirmed_deleted(machine)
         ]
-        if deleted_before:
-            await self.transitions.remove_machines(name, deleted_before, MachineOutcome.LOST)
+        if already_deleted:
+            await self.transitions.remove_machines(name, already_deleted, MachineOutcome.LOST)
         for machine, step in steps.items():
-            await self._follow_machine(name, record, machine, step.phase)
+            await self._reconcile_machine(name, record, machine, step.phase)
         if record.empty_machine_policy is EmptyMachinePolicy.DELETE:
             self._delete_empty_machines(name)
 
-    async def _follow_machine(self, name: str, record: DrainRecord, machine: str, phase: StepPhase) -> None:
-        """Follow one cordoned machine, whose step is in this phase."""
+    async def _reconcile_machine(self, name: str, record: DrainRecord, machine: str, phase: StepPhase) -> None:
+        """Process one cordoned machine, whose step is in this phase."""
         if self._is_confirmed_deleted(machine):
             deleted = phase is StepPhase.EMPTY and record.empty_machine_policy is EmptyMachinePolicy.DELETE
             outcome = MachineOutcome.DELETED if deleted else MachineOutcome.LOST
@@ -221,7 +229,7 @@
                 self.fleet.transition_to(known, MachinePhase.DELETING, f"drain {name}")
 
     def _end_stopping_tasks(self, name: str, waits: Iterable[Wait]) -> None:
-        """After the deadline: tasks that are stopping and still write a checkpoint are ended. Earlier ones stay."""
+        """End tasks that still write a checkpoint after the drain's deadline. Checkpoints written earlier remain."""
         for wait in waits:
             machine = self.fleet.machines.get(wait.machine)
             if wait.kind is not WaitKind.STOPPING or machine is None:
@@ -235,7 +243,7 @@
                     allocation.stop_grace_s = 0.0
 
     async def _store_wait_reason(self, name: str, waits: Sequence[Wait]) -> None:
-        """Store why a drain waits, and whether it is stalled."""
+        """Store why a drain waits and whether it is stalled."""
         record = self.table.drains[name].record
         reason = summarize_waits(waits)
         now = self.clock()
@@ -247,7 +255,7 @@
             await self.transitions.transition_to(name, phase, reason)
 
     async def _roll_back(self, name: str) -> None:
-        """A drain that was aborted or deleted: machines that are not being deleted already go back in service."""
+        """Uncordon the machines of an aborted or deleted drain, except those that are already being deleted."""
         for machine, step in self.table.steps_of(name).items():
             known = self.fleet.machines.get(machine)
             if known is not None and known.phase is MachinePhase.DELETING:
--- a/hookwall/drains/disruption_ledger.py
+++ b/hookwall/drains/disruption_ledger.py
@@ -1,9 +1,10 @@
-"""Which jobs are disrupted, and what that leaves of each team's disruption budget.
+"""The disrupted jobs, and how many disruptions count against each team's disruption budget.
 
-Whatever disrupts a job is entered here: drains, lost machines, preemption and spot notices. Only drains ask what is
-left. Invariant: an entry counts against its team's budget until the period is over and the job runs again as it did
-before; a job that is disrupted once more after it had recovered counts once more. Entries of drains are stored before
-anything is stopped; those of other causes, which nobody can hold back, soon after.
+Disruptions of every cause are recorded here: drains, lost machines, preemption and spot notices. Only drains are
+limited by what remains of a budget. Invariant: an entry counts against its team's budget until the period is over and
+the job runs as many tasks as before the disruption. A job that is disrupted again after it had recovered counts again.
+Entries of drains are stored before any task is stopped. Entries of other causes, which can't be delayed, are stored
+soon after the disruption.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,16 +13,16 @@
 from hookwall.config.operations import DisruptionBudget
 from hookwall.drains.records import Disruption, DisruptionPage
 
-ENTRY_BYTES = 72  # of JSON, for a job's id, a team's name and three numbers
+ENTRY_BYTES = 72  # size of an entry in JSON: a job's id, a team's name and three numbers
 MIN_PAGE_ENTRIES = 8
 MAX_PAGE_ENTRIES = 200
-ROUNDING_TOLERANCE = 1e-9  # a share of 0.1 of 30 jobs is 3, whatever the floating point product is
+ROUNDING_TOLERANCE = 1e-9  # a share of 0.1 of 30 jobs is 3, regardless of floating-point error
 
 
 def allowed_disruptions(budget: DisruptionBudget, running_jobs: int) -> int:
-    """How many of a team's running jobs may be disrupted at a time.
+    """How many of a team's running jobs may be disrupted at the same time.
 
-    A share is rounded down, but never to nothing: a team with few jobs could else never be moved.
+    A share above 0 is rounded down, but not below 1: otherwise the jobs of a team with few jobs could never be moved.
     """
     limits: list[int] = []
     if budget.jobs is not None:
@@ -33,7 +34,7 @@
 
 @dataclass(slots=True)
 class LedgerPage:
-    """One stored page: its entries, its version (0: not stored), and whether it has changed since."""
+    """A page of the ledger: its entries, its stored version (0: not stored), and whether it has changed since."""
 
     entries: list[Disruption]
     version: int = 0
@@ -41,33 +42,33 @@
 
 
 class DisruptionLedger:
-    """All disruptions that still count. The leader keeps it; followers only hold what is stored."""
+    """All disruptions that still count. The leader maintains them; followers don't update them."""
 
     def __init__(self, budgets: Iterable[DisruptionBudget], value_limit: int, clock_skew_s: float) -> None:
-        """An empty ledger.
+        """Create an empty ledger.
 
         Args:
-            budgets: the teams' budgets; disruptions of other teams are not entered.
-            value_limit: bytes that a stored value may have.
-            clock_skew_s: by how many seconds the times of day of two nodes may differ.
+            budgets: the teams' budgets; disruptions of other teams are not recorded.
+            value_limit: maximum size of a stored value in bytes.
+            clock_skew_s: maximum difference between the times of day of two nodes, in seconds.
         """
         self.budgets = {budget.team: budget for budget in budgets}
         self.page_entries = max(MIN_PAGE_ENTRIES, min(MAX_PAGE_ENTRIES, value_limit // ENTRY_BYTES))
         self.clock_skew_s = clock_skew_s
         self.pages: dict[int, LedgerPage] = {}
 
-    # -- what is stored --------------------------------------------------------------------------
+    # -- pages -----------------------------------------------------------------------------------
 
     def load_page(self, number: int, record: DisruptionPage, version: int) -> None:
-        """A page as a new leader reads it."""
+        """Load a page that a new leader has read."""
         self.pages[number] = LedgerPage(list(record.entries), version)
 
     def dirty_pages(self) -> list[int]:
-        """Pages that are to be written, or deleted if they have no entries."""
+        """The numbers of the pages that have to be written, or deleted if they have no entries."""
         return [number for number, page in self.pages.items() if page.dirty]
 
     def record_page_version(self, number: int, version: int) -> None:
-        """A page was written, or with version 0 deleted. It may have changed since."""
+        """Record that a page was written, or deleted if `version` is 0. The page may have changed since."""
         page = self.pages[number]
         page.version = version
         if not page.entries and not version:
@@ -81,11 +82,11 @@
             yield from page.entries
 
     def unrecovered_entry(self, job_id: str) -> Disruption | None:
-        """The entry of a job that has not recovered."""
+        """The entry of a job that has not recovered from its disruption, or None."""
         return next((entry for entry in self.entries() if entry.job_id == job_id and not entry.recovered), None)
 
     def record_disruption(self, job_id: str, team: str, running_tasks: int, now: float) -> None:
-        """A job loses running tasks. One that has not recovered from an earlier loss is not counted twice."""
+        """Record that a job loses running tasks. A job that has not recovered from an earlier loss counts only once."""
         if team not in self.budgets:
             return
         for page in self.pages.values():
@@ -95,11 +96,11 @@
                     entry.running_before = max(entry.running_before, running_tasks)
                     page.dirty = True
                     return
-        page = self._page_with_room()
+        page = self._page_with_free_slot()
         page.entries.append(Disruption(job_id, team, now, running_tasks))
         page.dirty = True
 
-    def _page_with_room(self) -> LedgerPage:
+    def _page_with_free_slot(self) -> LedgerPage:
         for page in self.pages.values():
             if len(page.entries) < self.page_entries:
                 return page
@@ -108,10 +109,11 @@
         return self.pages[number]
 
     def begin_leadership(self, now: float) -> None:
-        """A new leader: whatever has not recovered may have been lost until now.
+        """Set the last loss of all jobs that have not recovered to `now`, the beginning of a leadership.
 
-        An entry is stored when a stop is decided. The leader that saw the tasks end a second or two later may have been
-        refused by the key-value store, so its successor counted the period from too early.
+        An entry is stored when a stop is decided. The previous leader may have seen the tasks end a second or two later
+        and may have failed to store that, as the key-value store rejected the write. The period would then begin too
+        early.
         """
         for page in self.pages.values():
             for entry in page.entries:
@@ -120,24 +122,25 @@
                     page.dirty = True
 
     def disruption_count(self, team: str) -> int:
-        """How many disruptions count against a team's budget now."""
+        """The number of disruptions that count against a team's budget now."""
         return sum(entry.team == team for entry in self.entries())
 
     def disruptions_by_team(self) -> dict[str, int]:
-        """The same for all teams."""
+        """The number of disruptions that count against each team's budget now."""
         counts: dict[str, int] = dict.fromkeys(self.budgets, 0)
         for entry in self.entries():
             counts[entry.team] = counts.get(entry.team, 0) + 1
         return counts
 
     def update_recovery(self, running_tasks: Callable[[str], int | None], now: float) -> None:
-        """Mark the jobs that have recovered, and drop entries that no longer count.
+        """Mark the jobs that have recovered, and remove entries that no longer count.
 
-        `running_tasks`: how many tasks of a job run now and are meant to go on, at least as many as it has left
-        counting as recovered; None: the job is over.
+        `running_tasks` returns how many tasks of a job run and are not being stopped, or None once the job has ended.
+        If all unfinished tasks of a job run, it returns a number that is large enough for the job to count as
+        recovered.
         """
         for page in self.pages.values():
-            counting: list[Disruption] = []
+            counted_entries: list[Disruption] = []
             for entry in page.entries:
                 if not entry.recovered:
                     running = running_tasks(entry.job_id)
@@ -145,9 +148,9 @@
                         entry.recovered = True
                         page.dirty = True
                 if not (entry.recovered and self._period_is_over(entry, now)):
-                    counting.append(entry)
-            if len(counting) < len(page.entries):
-                page.entries = counting
+                    counted_entries.append(entry)
+            if len(counted_entries) < len(page.entries):
+                page.entries = counted_entries
                 page.dirty = True
 
     def _period_is_over(self, entry: Disruption, now: float) -> bool:
--- a/hookwall/drains/drain_keys.py
+++ b/hookwall/drains/drain_keys.py
@@ -1,4 +1,4 @@
-"""The stored keys of drains, in the one place where they are put together and recognised."""
+"""Construction and recognition of the stored keys of drains, in one place."""
 
 from hookwall.storage import keys
 
@@ -11,21 +11,21 @@
 
 
 def drain_key(name: str) -> str:
-    """Where a drain is stored."""
+    """The key of a drain."""
     return keys.DRAIN_PREFIX + name
 
 
 def step_key(machine: str) -> str:
-    """Where the step of a machine is stored."""
+    """The key of a machine's step."""
     return keys.CORDON_PREFIX + machine
 
 
 def page_key(page: int) -> str:
-    """Where a page of the disruption ledger is stored."""
+    """The key of a page of the disruption ledger."""
     return f"{keys.DISRUPTION_PREFIX}{page}"
 
 
 def page_number(key: str) -> int | None:
-    """The number of the ledger's page that a key stores; None for any other key."""
+    """The number of the ledger page that is stored under a key; None for any other key."""
     number = key.removeprefix(keys.DISRUPTION_PREFIX)
     return int(number) if key.startswith(keys.DISRUPTION_PREFIX) and number.isdigit() else None
--- a/hookwall/drains/drain_plan.py
+++ b/hookwall/drains/drain_plan.py
@@ -1,4 +1,4 @@
-"""What the planner of drains decides on, and what it decides."""
+"""Input and output of the drain planner."""
 
 from dataclasses import dataclass, field
 
@@ -13,9 +13,10 @@
     job_id: str
     team: str
     lost_work_s: float  # work that an eviction loses, in seconds of a whole machine
-    request: ResourceRequest  # what it needs elsewhere
-    already_disrupted: bool = False  # its disruption counts already, as it has not recovered from the last one
-    freed_tasks: tuple[Placement, ...] = ()  # tasks of the same gang on other machines that stop with it
+    request: ResourceRequest  # what the job needs on other machines
+    # Whether the job has not recovered from an earlier disruption, which counts already.
+    already_disrupted: bool = False
+    freed_tasks: tuple[Placement, ...] = ()  # tasks of the same gang on other machines that are stopped as well
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,39 +25,39 @@
 
     name: str
     occupants: tuple[Occupant, ...] = ()
-    waits: tuple[Wait, ...] = ()  # why nothing can be done here now
+    waits: tuple[Wait, ...] = ()  # why no step is possible for this machine now
     cordoned: bool = False
     cordoned_at: float = 0.0  # time of day in seconds
-    task_count: int = 0  # tasks there of any kind, also those that are stopping
+    task_count: int = 0  # all tasks on the machine, including those that are stopping
 
     def lost_work_s(self) -> float:
-        """Work that is lost if all jobs there are evicted, in seconds of a whole machine."""
+        """Work that is lost if all jobs on the machine are evicted, in seconds of a whole machine."""
         return sum(occupant.lost_work_s for occupant in self.occupants)
 
 
 @dataclass(frozen=True, slots=True)
 class DrainTerms:
-    """What the drain has to respect."""
+    """The limits and options of a drain."""
 
     batch_size: int
-    finish_grace_s: float  # how long tasks on a cordoned machine may go on to end by themselves
+    finish_grace_s: float  # how long tasks on a cordoned machine may continue so that they can end by themselves
     allow_unbudgeted: bool = False
-    skip_waits: bool = False  # its deadline has passed, and it is to wait for nothing but budgets
+    skip_waits: bool = False  # the deadline has passed, and the drain waits only for budgets from then on
 
 
 @dataclass(slots=True)
 class TeamBudgets:
-    """What is left of each team's budget, and the whole of it; teams that are not named have none."""
+    """The remaining and the total budget of each team; teams that are not listed have no budget."""
 
     remaining: dict[str, int] = field(default_factory=dict)
     total: dict[str, int] = field(default_factory=dict)
 
     def replenished(self) -> "TeamBudgets":
-        """The same once everything has recovered and all periods are over."""
+        """The budgets after all jobs have recovered and all periods are over."""
         return TeamBudgets(dict(self.total), self.total)
 
     def has_budget(self, team: str) -> bool:
-        """Whether the team is named; one that is not may only be disrupted where the drain allows that."""
+        """Whether a team has a budget. A team without one may be disrupted only if the drain allows that."""
         return team in self.total
 
 
@@ -68,15 +69,15 @@
     occupants: tuple[Occupant, ...]
 
     def job_ids(self) -> set[str]:
-        """The jobs' ids."""
+        """The ids of the jobs."""
         return {occupant.job_id for occupant in self.occupants}
 
 
 @dataclass(slots=True)
 class DrainPlan:
-    """What is to be done now, and why no more."""
+    """The next steps, and the reasons why there are no more."""
 
     cordon: list[str] = field(default_factory=list)
     evictions: list[Eviction] = field(default_factory=list)
     waits: list[Wait] = field(default_factory=list)
-    relocations: list[Occupant] = field(default_factory=list)  # jobs for which machines would have to be provisioned
+    relocations: list[Occupant] = field(default_factory=list)  # jobs that need machines to be provisioned first
--- a/hookwall/drains/drain_subsystem.py
+++ b/hookwall/drains/drain_subsystem.py
@@ -1,7 +1,7 @@
-"""What a node has of drains before there is any drain.
+"""A node's entry point to drains, which creates the controller lazily.
 
-Invariant: the controller is made, and its modules imported, when there is a need: a process that restarts has to listen
-soon, and most of the time nothing is drained.
+Invariant: the controller is created, and its modules are imported, only when they are needed. A process that restarts
+has to listen soon, and there are no drains most of the time.
 """
 
 import asyncio
@@ -19,48 +19,48 @@
 
 
 class DrainSubsystem:
-    """Hands keys to the controller, which it makes for the first of them, or at once where there are budgets."""
+    """Passes keys to the controller, which is created for the first key, or immediately if budgets are configured."""
 
-    def __init__(self, enabled: bool, needed_now: bool, make_controller: Callable[[], "DrainController"]) -> None:
-        """Make the controller at once where it is `needed_now`; a subsystem that is not enabled never makes it."""
+    def __init__(self, enabled: bool, create_now: bool, create_controller: Callable[[], "DrainController"]) -> None:
+        """Create the controller immediately if `create_now`. A subsystem that is not enabled never creates it."""
         self.enabled = enabled
-        self._make_controller = make_controller
-        self.controller: DrainController | None = make_controller() if enabled and needed_now else None
+        self._create_controller = create_controller
+        self.controller: DrainController | None = create_controller() if enabled and create_now else None
 
     def owns_key(self, key: str) -> bool:
-        """Whether a key belongs to this subsystem; none does while drains are switched off."""
+        """Whether a key belongs to this subsystem; no key does if drains are disabled."""
         return self.enabled and is_drain_key(key)
 
     def _require_controller(self) -> "DrainController":
         if self.controller is None:
-            self.controller = self._make_controller()
+            self.controller = self._create_controller()
         return self.controller
 
     def apply_key(self, key: str, value: object, version: int) -> None:
-        """A key has this value since `version`."""
+        """Apply the value that a key has had since `version`."""
         self._require_controller().table.apply_key(key, value, version)
 
     def apply_deletion(self, key: str, revision: int) -> None:
-        """A key was deleted at `revision`."""
+        """Apply the deletion of a key at `revision`."""
         if self.controller is not None:
             self.controller.table.apply_deletion(key, revision)
 
     def apply_snapshot(self, entries: Sequence[KeyValueEntry]) -> None:
-        """A full read of the keys."""
-        if self._concerns_drains(entries):
+        """Apply a full read of the keys."""
+        if self._needs_controller(entries):
             self._require_controller().table.apply_snapshot(entries)
 
     def load_for_leadership(self, entries: Sequence[KeyValueEntry]) -> None:
-        """A full read by a new leader."""
-        if self._concerns_drains(entries):
+        """Apply a full read by a new leader."""
+        if self._needs_controller(entries):
             self._require_controller().load_for_leadership(entries)
 
-    def _concerns_drains(self, entries: Sequence[KeyValueEntry]) -> bool:
-        """Whether there is a controller that a full read concerns, or a key that needs one."""
+    def _needs_controller(self, entries: Sequence[KeyValueEntry]) -> bool:
+        """Whether a controller has to apply a full read: one exists, or the read contains a key of drains."""
         return self.controller is not None or any(self.owns_key(key) for key, _, _ in entries)
 
     def relocation_requests(self) -> list[ResourceRequest]:
-        """What machines have to be provisioned for before jobs can be evicted."""
+        """Resource requests of jobs that can't be evicted before machines are provisioned for them."""
         return [] if self.controller is None else self.controller.relocation_requests()
 
     async def run(self, valid: Callable[[], bool]) -> None:
--- a/hookwall/drains/drain_table.py
+++ b/hookwall/drains/drain_table.py
@@ -1,7 +1,7 @@
-"""All drains, their steps and the cordoned machines, as a node knows them from the key-value store.
+"""A node's copy of all drains, their steps and the cordoned machines in the key-value store.
 
-Invariant: a record is only ever replaced by one of a newer version, and a machine whose key exists is cordoned even
-where its value can't be read.
+Invariant: a record is replaced only by a newer version, and a machine whose step key exists is cordoned even if the
+key's value can't be decoded.
 """
 
 import logging
@@ -30,31 +30,31 @@
 
 
 class DrainTable:
-    """Follows the keys below `hookwall/drain/`, `hookwall/cordon/` and `hookwall/disrupted/`."""
+    """Tracks the keys under `hookwall/drain/` and `hookwall/cordon/`, and loads those under `hookwall/disrupted/`."""
 
     def __init__(self, ledger: DisruptionLedger) -> None:
-        """An empty table; `ledger` gets the stored pages when this node becomes the leader."""
+        """Create an empty table; `ledger` receives the stored pages when this node becomes the leader."""
         self.ledger = ledger
         self.drains: dict[str, VersionedRecord[DrainRecord]] = {}
         self.steps: dict[str, VersionedRecord[StepRecord]] = {}
-        self.cordoned: set[str] = set()  # machines that get no new work; shared with the fleet
-        self.in_maintenance: set[str] = set()  # those of them that are empty until they are released; shared as well
-        self.machines: dict[str, list[str]] = {}  # by drain, those that have not left it
+        self.cordoned: set[str] = set()  # machines that receive no new work; shared with the fleet
+        self.in_maintenance: set[str] = set()  # cordoned machines in phase EMPTY; also shared with the fleet
+        self.machines: dict[str, list[str]] = {}  # by drain, the machines that have not left it
 
     # -- keys ------------------------------------------------------------------------------------
 
     def apply_key(self, key: str, value: object, version: int) -> None:
-        """A drain or a step as read or watched; an older version of it changes nothing."""
+        """Apply a drain or a step that was read or observed by the watch. An older version is ignored."""
         try:
             if key.startswith(keys.DRAIN_PREFIX):
                 self._apply_drain(key.removeprefix(keys.DRAIN_PREFIX), value, version)
             elif key.startswith(keys.CORDON_PREFIX):
                 self._apply_step(key.removeprefix(keys.CORDON_PREFIX), value, version)
         except (MalformedRecordError, ValueError) as error:
-            log.error("malformed drain record ignored key=%s reason=%s", key, error)
+            log.error("malformed drain record ignored: key=%s reason=%s", key, error)
 
     def apply_deletion(self, key: str, revision: int) -> None:
-        """A key was deleted at this revision."""
+        """Apply the deletion of a key at this revision."""
         name = key.rpartition("/")[2]
         if key.startswith(keys.DRAIN_PREFIX):
             if name in self.drains and revision > self.drains[name].version:
@@ -63,18 +63,18 @@
             self.remove_step(name)
 
     def apply_snapshot(self, entries: Iterable[KeyValueEntry]) -> None:
-        """A full read: what it does not show no longer exists."""
-        own = [(key, value, version) for key, value, version in entries if drain_keys.is_drain_key(key)]
-        present = {key for key, _, _ in own}
+        """Apply a full read. Drains and steps that it doesn't contain no longer exist."""
+        drain_entries = [(key, value, version) for key, value, version in entries if drain_keys.is_drain_key(key)]
+        present = {key for key, _, _ in drain_entries}
         for drain in [name for name in self.drains if drain_keys.drain_key(name) not in present]:
             self.remove_drain(drain)
         for machine in [name for name in self.cordoned if drain_keys.step_key(name) not in present]:
             self.remove_step(machine)
-        for key, value, version in own:
+        for key, value, version in drain_entries:
             self.apply_key(key, value, version)
 
     def load_ledger(self, entries: Iterable[KeyValueEntry]) -> None:
-        """The ledger as a new leader reads it. Nobody else writes it while it leads, so it is not watched."""
+        """Load the ledger for a new leader. It is not watched, as no other node writes it while this node leads."""
         self.ledger.pages.clear()
         for key, value, version in entries:
             number = drain_keys.page_number(key)
@@ -83,7 +83,7 @@
             try:
                 self.ledger.load_page(number, decode(value, DisruptionPage), version)
             except MalformedRecordError as error:
-                log.error("malformed ledger page ignored key=%s reason=%s", key, error)
+                log.error("malformed ledger page ignored: key=%s reason=%s", key, error)
 
     # -- records ---------------------------------------------------------------------------------
 
@@ -93,12 +93,12 @@
             self.set_drain(name, decode(value, DrainRecord), version)
 
     def set_drain(self, name: str, record: DrainRecord, version: int) -> None:
-        """A drain as it is stored now."""
+        """Set a drain to its stored record."""
         self.machines[name] = record.machines()
         self.drains[name] = VersionedRecord(record, version)
 
     def remove_drain(self, name: str) -> None:
-        """A drain was deleted."""
+        """Remove a deleted drain."""
         del self.drains[name]
         del self.machines[name]
 
@@ -106,12 +106,12 @@
         known = self.steps.get(machine)
         if known is not None and version <= known.version:
             return
-        # Whatever the value says, its key keeps new work off the machine.
+        # The existence of the key cordons the machine, even if the value can't be decoded.
         self.cordoned.add(machine)
         self.set_step(machine, decode(value, StepRecord), version)
 
     def set_step(self, machine: str, record: StepRecord, version: int) -> None:
-        """A step as it is stored now."""
+        """Set a machine's step to its stored record."""
         self.steps[machine] = VersionedRecord(record, version)
         self.cordoned.add(machine)
         if record.phase is StepPhase.EMPTY:
@@ -120,18 +120,18 @@
             self.in_maintenance.discard(machine)
 
     def remove_step(self, machine: str) -> None:
-        """A machine is in service again, or deleted."""
+        """Remove the step of a machine that is back in service or deleted."""
         self.steps.pop(machine, None)
         self.cordoned.discard(machine)
         self.in_maintenance.discard(machine)
 
     def step_of(self, machine: str) -> StepRecord | None:
-        """The step of a machine, whichever drain it belongs to."""
+        """The step of a machine, whichever drain the step belongs to, or None."""
         stored = self.steps.get(machine)
         return None if stored is None else stored.record
 
     def steps_of(self, drain: str) -> dict[str, StepRecord]:
-        """The machines that a drain works on."""
+        """The steps of the machines that a drain has cordoned, by machine."""
         return {machine: step.record for machine, step in self.steps.items() if step.record.drain == drain}
 
     def has_work(self) -> bool:
--- a/hookwall/drains/drain_transitions.py
+++ b/hookwall/drains/drain_transitions.py
@@ -1,8 +1,8 @@
-"""Every change of a drain and of its machines' steps, by the leader.
+"""All changes that the leader makes to drains and to the steps of their machines.
 
-Invariant: each step is stored before it is acted on. A job is entered in the ledger, and the ledger stored, before the
-first command to stop it; a new leader therefore knows of each job that may have been stopped. Where it can't tell
-whether a stop was sent it counts the job as disrupted all the same.
+Invariant: each step is stored before it is acted on. A job is recorded in the ledger, and the ledger is stored, before
+the first command to stop the job is sent. A new leader therefore knows every job that may have been stopped. If it
+can't tell whether a stop command was sent, it counts the job as disrupted anyway.
 """
 
 import logging
@@ -22,11 +22,13 @@
 
 
 class DrainTransitions:
-    """Stores a change, then carries it out. Each raises what `DrainWriter` raises, and has then changed nothing else.
+    """Stores a change, then carries it out.
+
+    Each method raises the errors of `DrainWriter`, and has then changed nothing else.
 
     Attributes:
-        progressed_at: by drain, when a machine of it last moved on, on the monotonic clock in seconds.
-        reason_stored_at: by drain, when its phase or reason was last stored.
+        progressed_at: by drain, when it began or one of its machines last advanced, on the monotonic clock in seconds.
+        reason_stored_at: by drain, when its phase or reason was last stored, on the same clock.
     """
 
     def __init__(
@@ -38,7 +40,7 @@
         clock: Callable[[], float],
         time_of_day: Callable[[], float],
     ) -> None:
-        """Change `table` through `writer`; `clock` is monotonic; it and `time_of_day` are in seconds."""
+        """Change `table` through `writer`; `clock`, which is monotonic, and `time_of_day` return seconds."""
         self.table = table
         self.writer = writer
         self.fleet = fleet
@@ -49,14 +51,14 @@
         self.reason_stored_at: dict[str, float] = {}
 
     def reset(self) -> None:
-        """A new leadership: when drains moved on is not known."""
+        """Begin a leadership: it is not known when drains last made progress."""
         self.progressed_at.clear()
         self.reason_stored_at.clear()
 
     # -- drains ----------------------------------------------------------------------------------
 
     async def transition_to(self, name: str, phase: DrainPhase, reason: str) -> None:
-        """The one function for every change of a drain's phase or reason."""
+        """Change a drain's phase or reason; every such change by the leader is made here."""
         record = self.table.drains[name].record
         now = self.time_of_day()
         if phase is not record.phase:
@@ -67,12 +69,12 @@
         await self.writer.write_drain(name, record.transitioned(phase, reason, now))
 
     async def begin(self, name: str) -> None:
-        """A requested drain begins."""
+        """Begin a requested drain."""
         await self.transition_to(name, DrainPhase.DRAINING, "")
         self.progressed_at[name] = self.clock()
 
     async def remove_machines(self, name: str, machines: Sequence[str], outcome: MachineOutcome) -> None:
-        """Machines leave a drain for good."""
+        """Remove machines from a drain permanently."""
         record = self.table.drains[name].record
         await self.writer.remove_machines(name, machines, record.without_machines(machines, outcome))
         self.progressed_at[name] = self.clock()
@@ -83,7 +85,7 @@
     # -- steps -----------------------------------------------------------------------------------
 
     async def cordon(self, name: str, machine: str) -> None:
-        """A machine gets no new work, and nothing stays reserved on it."""
+        """Cordon a machine, so that it receives no new work, and drop its reservation."""
         now = self.time_of_day()
         step = StepRecord(drain=name, phase=StepPhase.CORDONED, cordoned_at=now, changed_at=now)
         await self._write_step(name, machine, step)
@@ -92,7 +94,7 @@
             known.reserved_for = ""
 
     async def evict(self, name: str, eviction: Eviction) -> None:
-        """Evict jobs from a machine: the ledger first, then the step, then the stop commands."""
+        """Evict jobs from a machine: store the ledger, then the step, then issue the stop commands."""
         for occupant in eviction.occupants:
             job = self.fleet.table.open_jobs.get(occupant.job_id)
             if job is not None:
@@ -108,7 +110,7 @@
         self.fleet.on_change()
 
     def _request_stops(self, name: str, eviction: Eviction) -> None:
-        """The tasks get their usual time for a checkpoint."""
+        """Request the stop of the jobs' tasks, which get the usual grace period for a checkpoint."""
         machine = self.fleet.machines.get(eviction.machine)
         if machine is None:
             return
@@ -118,12 +120,12 @@
                 self.fleet.request_stop(job, allocation, stop_grace_s(job.spec), f"drain {name}")
 
     async def mark_empty(self, name: str, machine: str) -> None:
-        """No task remains on a machine."""
+        """Store that no task remains on a machine."""
         step = self.table.steps[machine].record
         await self._write_step(name, machine, self._changed(step, StepPhase.EMPTY))
 
     async def uncordon(self, name: str, machine: str) -> None:
-        """A machine is in service again."""
+        """Put a machine back in service."""
         await self.writer.uncordon(name, machine)
         log.info("machine uncordoned: drain=%s machine=%s", name, machine)
         self.fleet.on_change()
--- a/hookwall/drains/drain_writer.py
+++ b/hookwall/drains/drain_writer.py
@@ -1,7 +1,7 @@
-"""What the leader stores about drains.
+"""The leader's conditional writes of drains.
 
-Invariant: every write has as preconditions the leader key and whatever it changes, and what is known here changes only
-after the write succeeded.
+Invariant: the preconditions of every write include the leader key and the keys that it changes, and the copy in memory
+changes only after the write has succeeded.
 """
 
 from collections.abc import Sequence
@@ -21,21 +21,21 @@
 class DrainWriter:
     """Writes drains, steps and the ledger as the leader.
 
-    Each write raises PreconditionFailedError where a key has changed meanwhile, RequestRejectedError where it was not
-    executed, and OutcomeUnknownError where it may have been.
+    Each write raises PreconditionFailedError if a key was changed concurrently, RequestRejectedError if the write was
+    not executed, and OutcomeUnknownError if the write may have been executed.
     """
 
     def __init__(
         self, table: DrainTable, ledger: DisruptionLedger, store: KeyValueClient, leadership: Leadership
     ) -> None:
-        """Write to `store` with the fencing token of `leadership`."""
+        """Create a writer that writes to `store` with the fencing token of `leadership`."""
         self.table = table
         self.store = store
         self.leadership = leadership
         self._ledger = ledger
 
     async def _commit(self, preconditions: list[Precondition], put: Sequence[Put], delete: Sequence[str] = ()) -> int:
-        """A write that only the current leader can make; gives the store's revision."""
+        """Commit a write that only the current leader can make, and return the revision that it gets from the store."""
         if not put and not delete:
             return 0
         leader_unchanged = Precondition(keys.LEADER_KEY, self.leadership.fencing_token)
@@ -55,16 +55,16 @@
         self.table.set_drain(name, record, version)
 
     async def write_step(self, name: str, machine: str, record: StepRecord) -> None:
-        """Replace a machine's step, or create it."""
+        """Replace or create a machine's step."""
         preconditions = [self._drain_unchanged(name), self._step_unchanged(machine)]
         put = [Put(drain_keys.step_key(machine), records.encode(record))]
         version = await self._commit(preconditions, put)
         self.table.set_step(machine, record, version)
 
     async def remove_machines(self, name: str, machines: Sequence[str], record: DrainRecord) -> None:
-        """Replace a drain by one without these machines, and delete their steps."""
-        own = self.table.steps_of(name)
-        steps = [machine for machine in machines if machine in own]
+        """Replace a drain by `record`, which is without these machines, and delete the machines' steps."""
+        steps_of_drain = self.table.steps_of(name)
+        steps = [machine for machine in machines if machine in steps_of_drain]
         preconditions = [self._drain_unchanged(name), *map(self._step_unchanged, steps)]
         put = [Put(drain_keys.drain_key(name), records.encode(record))]
         version = await self._commit(preconditions, put, [drain_keys.step_key(machine) for machine in steps])
@@ -73,7 +73,7 @@
             self.table.remove_step(machine)
 
     async def uncordon(self, name: str, machine: str) -> None:
-        """Delete a machine's step: it is in service again. The drain may have been deleted."""
+        """Delete a machine's step, which puts the machine back in service. The drain itself may have been deleted."""
         preconditions = [self._step_unchanged(machine)]
         if name in self.table.drains:
             preconditions.append(self._drain_unchanged(name))
@@ -81,7 +81,7 @@
         self.table.remove_step(machine)
 
     async def write_ledger(self) -> None:
-        """Store the pages of the ledger that have changed, as many at a time as a transaction may."""
+        """Store the changed pages of the ledger, as many in each transaction as the store allows."""
         pages_at_once = max(1, self.store.batch_size() - 1)
         dirty = self._ledger.dirty_pages()
         for first in range(0, len(dirty), pages_at_once):
@@ -99,7 +99,7 @@
                 put.append(Put(key, records.encode(DisruptionPage(entries=page.entries))))
             elif page.version:
                 delete.append(key)
-            page.dirty = False  # what changes during the request is written by the next one
+            page.dirty = False  # a change during the request sets this again, and the next request writes it
         try:
             version = await self._commit(preconditions, put, delete)
         except Exception:
@@ -112,7 +112,7 @@
             self._ledger.record_page_version(number, version if is_written else ABSENT)
 
     async def reread(self, changed_keys: Sequence[str]) -> None:
-        """Read keys again whose versions were not as expected."""
+        """Read the keys again whose versions were not the expected ones."""
         for key in changed_keys:
             if not drain_keys.is_drain_key(key):
                 continue
@@ -125,7 +125,10 @@
                 self.table.apply_deletion(key, state.revision)
 
     def _adopt_page_version(self, key: str, version: int) -> None:
-        """An earlier write of a page had no answer; the entries here are newer, and are written over it."""
+        """Adopt the stored version of a page after a write without a response.
+
+        The entries in memory are newer, and overwrite the stored ones.
+        """
         page = self._ledger.pages.get(int(key.removeprefix(keys.DISRUPTION_PREFIX)))
         if page is not None:
             page.version = version
--- a/hookwall/drains/errors.py
+++ b/hookwall/drains/errors.py
@@ -1,4 +1,4 @@
-"""Errors of drains, as the operators' command tells them apart."""
+"""Errors of drains, as the operators' command distinguishes them."""
 
 from hookwall.errors import HookwallError
 
@@ -8,11 +8,11 @@
 
 
 class InvalidDrainRequestError(DrainError):
-    """The request can't be meant; the text names the field and its allowed values."""
+    """The request is invalid; the message names the field and its allowed values."""
 
 
 class DrainNotFoundError(DrainError):
-    """No such drain, or no such machine in it."""
+    """The drain does not exist, or the machine is not part of it."""
 
 
 class ClusterUnavailableError(DrainError):
@@ -24,4 +24,4 @@
 
 
 class TooFewWavesError(DrainError, ValueError):
-    """The waves that were thought to be enough are not."""
+    """The number of waves that was given as sufficient is too small."""
--- a/hookwall/drains/lower_bound.py
+++ b/hookwall/drains/lower_bound.py
@@ -1,8 +1,8 @@
-"""The fewest waves in which a drain can be done, whoever plans it: what the preview's number is compared with.
+"""The fewest waves in which any plan can carry out a drain; the preview's number of waves is compared with it.
 
 A constraint solver assigns machines to waves, so that no wave holds more machines than a batch or disrupts more jobs of
-a team than its budget. Invariant: this is a lower bound, as capacity elsewhere and run times are left out. It is for
-the command only: the solver is an extra (`pip install hookwall[plan]`).
+a team than its budget. Invariant: the result is a lower bound, as the model leaves out capacity on other machines and
+run times. Only the command uses it: the solver is an optional dependency (`pip install hookwall[plan]`).
 """
 
 import math
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from ortools.sat.python import cp_model
 
-SOLVER_S = 10.0
-ROUNDING_TOLERANCE = 1e-6  # of the bound that the solver gives
+SOLVER_TIMEOUT_S = 10.0
+ROUNDING_TOLERANCE = 1e-6  # for the bound that the solver returns
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedJob:
-    """A job on a machine. A gang that is evicted leaves all of its machines."""
+    """A job on a machine. A gang that is evicted from one machine leaves all of its machines."""
 
     job_id: str
     team: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLoad:
-    """A machine and the jobs on it. `weight`: what it takes of a batch."""
+    """A machine and the jobs on it. `weight`: how many places of a batch the machine takes."""
 
     machine: str
     jobs: tuple[LoadedJob, ...]
@@ -40,14 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WaveLowerBound:
-    """At least so many waves; `exact`: so many are enough as well, but for capacity elsewhere."""
+    """At least `waves` are needed. `exact`: they are also sufficient, apart from capacity on other machines."""
 
     waves: int
     exact: bool
 
 
-def _separable(loads: Sequence[MachineLoad], budgets: Mapping[str, int]) -> list[MachineLoad]:
-    """A machine with more jobs of a team than its whole budget is emptied job by job, in several waves."""
+def _split_overloaded_machines(loads: Sequence[MachineLoad], budgets: Mapping[str, int]) -> list[MachineLoad]:
+    """Split machines with more jobs of a team than its total budget into one load per job.
+
+    Such a machine is emptied job by job, in several waves.
+    """
     result: list[MachineLoad] = []
     for load in loads:
         jobs_by_team = Counter(job.team for job in load.jobs)
@@ -59,10 +62,10 @@
 
 
 class _WaveModel:
-    """The constraint model: which load in which wave, and which jobs are evicted in it."""
+    """The constraint model: the wave of each load, and the jobs that are evicted in each wave."""
 
     def __init__(self, loads: Sequence[MachineLoad], waves: int) -> None:
-        """The variables for these loads in so many waves."""
+        """Create the variables for these loads and this number of waves."""
         from ortools.sat.python import cp_model
 
         self._loads = loads
@@ -77,25 +80,25 @@
         return self.model.new_bool_var("")
 
     def build(self, batch_size: int, budgets: Mapping[str, int]) -> None:
-        """All constraints, and that as few waves as possible are used."""
+        """Add all constraints, and the objective to use as few waves as possible."""
         for load in self._loads:
             self.model.add_exactly_one(self._in_wave[load.machine, wave] for wave in self._waves)
             for job in load.jobs:
-                self._evict_in_time(load, job)
+                self._require_eviction(load, job)
         for wave in self._waves:
             self._limit_machines(wave, batch_size)
             self._limit_disruptions(wave, budgets)
         self.model.minimize(sum(self._used))
 
-    def _evict_in_time(self, load: MachineLoad, job: LoadedJob) -> None:
-        """A load's jobs are evicted in its wave; a gang in this or an earlier one."""
+    def _require_eviction(self, load: MachineLoad, job: LoadedJob) -> None:
+        """Require that a job is evicted in its load's wave, or, if it is a gang, in this or an earlier wave."""
         for wave in self._waves:
             earliest = 0 if job.gang else wave
             evicted = [self._evicted[job, at] for at in range(earliest, wave + 1)]
             self.model.add_bool_or(evicted).only_enforce_if(self._in_wave[load.machine, wave])
 
     def _limit_machines(self, wave: int, batch_size: int) -> None:
-        """A wave that is used holds a batch at the most, and comes after one that is used."""
+        """Limit a used wave to one batch of machines, and require that the previous wave is used as well."""
         weight = sum(load.weight * self._in_wave[load.machine, wave] for load in self._loads)
         self.model.add(weight <= batch_size * self._used[wave])
         for load in self._loads:
@@ -113,17 +116,17 @@
     loads: Sequence[MachineLoad],
     batch_size: int,
     budgets: Mapping[str, int],
-    enough_waves: int,
-    solver_s: float = SOLVER_S,
+    max_waves: int,
+    solver_timeout_s: float = SOLVER_TIMEOUT_S,
 ) -> WaveLowerBound:
-    """The fewest waves for these machines; teams without a budget are not limited.
+    """Return the fewest waves for these machines. Teams without a budget are not limited.
 
-    `enough_waves` are known to be enough. The solver may take `solver_s` seconds; without a proof by then the bound is
-    not exact.
+    `max_waves` is a number of waves that is known to be sufficient. The solver stops after `solver_timeout_s` seconds;
+    if it has found no proof by then, the bound is not exact.
 
     Raises:
         SolverMissingError: the solver is not installed.
-        TooFewWavesError: `enough_waves` are not enough.
+        TooFewWavesError: `max_waves` is not sufficient.
     """
     try:
         from ortools.sat.python import cp_model
@@ -131,14 +134,14 @@
         raise SolverMissingError("the solver is not installed: pip install 'hookwall[plan]'") from error
     if not loads:
         return WaveLowerBound(0, True)
-    model = _WaveModel(_separable(loads, budgets), enough_waves)
+    model = _WaveModel(_split_overloaded_machines(loads, budgets), max_waves)
     model.build(batch_size, budgets)
     solver = cp_model.CpSolver()
-    solver.parameters.max_time_in_seconds = solver_s
+    solver.parameters.max_time_in_seconds = solver_timeout_s
     solver.parameters.num_workers = 1
     status = solver.solve(model.model)
     if status == cp_model.OPTIMAL:
         return WaveLowerBound(round(solver.objective_value), True)
     if status == cp_model.INFEASIBLE:
-        raise TooFewWavesError(f"{enough_waves} waves are not enough")
+        raise TooFewWavesError(f"{max_waves} waves are not enough")
     return WaveLowerBound(max(1, math.ceil(solver.best_objective_bound - ROUNDING_TOLERANCE)), False)
--- a/hookwall/drains/plan_builder.py
+++ b/hookwall/drains/plan_builder.py
@@ -1,6 +1,6 @@
-"""Gives the planner a drain as it is now.
+"""Collects the planner's input for one drain and runs the planner.
 
-Invariant: a plan takes no longer than a round's budget of time, however large the fleet is.
+Invariant: a plan takes no longer than the time budget of a scheduling round, however large the fleet is.
 """
 
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from hookwall.drains.records import DeadlinePolicy
 from hookwall.scheduling.scheduler import Scheduler
 
-SEARCH_INTERVAL_S = 5.0  # how often the next machines are searched for while none can be found
+SEARCH_INTERVAL_S = 5.0  # interval between searches for the next machines while a search finds none
 
 
 class PlanBuilder:
-    """Looks at the machines that a drain works on, and for the next ones where its batch has room."""
+    """Examines the machines that a drain has cordoned, and searches for the next ones if its batch is not full."""
 
     def __init__(
         self,
@@ -26,28 +26,28 @@
         clock: Callable[[], float],
         time_of_day: Callable[[], float],
     ) -> None:
-        """Plan from `table` and `planning_view`; `clock` is monotonic; it and `time_of_day` are in seconds."""
+        """Plan from `table` and `planning_view`; `clock`, which is monotonic, and `time_of_day` return seconds."""
         self.table = table
         self.planning_view = planning_view
         self.scheduler = scheduler
         self.clock = clock
         self.time_of_day = time_of_day
-        self._next_search_at: dict[str, float] = {}  # by drain; not before this moment again
-        self._cursor: dict[str, int] = {}  # by drain, where the search goes on
+        self._next_search_at: dict[str, float] = {}  # by drain, the earliest time of the next search
+        self._cursor: dict[str, int] = {}  # by drain, the index at which the next search begins
 
     def reset(self) -> None:
-        """A new leadership: search at once, and from the first machine."""
+        """Begin a leadership: search immediately, and from the first machine."""
         self._next_search_at.clear()
         self._cursor.clear()
 
     def build_plan(self, name: str) -> DrainPlan:
-        """What is to be done now for one drain."""
+        """Plan the next steps of one drain."""
         record = self.table.drains[name].record
         now = self.clock()
         steps = self.table.steps_of(name)
         candidates = [self.planning_view.candidate(machine, step, name, now) for machine, step in steps.items()]
-        searches = len(steps) < record.batch_size and self._may_search(name, now)
-        if searches:
+        is_searching = len(steps) < record.batch_size and self._may_search(name, now)
+        if is_searching:
             candidates += self._next_candidates(name, now)
         skip_waits = record.deadline_policy is DeadlinePolicy.SKIP_WAITS and record.is_overdue(self.time_of_day())
         terms = DrainTerms(record.batch_size, record.finish_grace_s, record.allow_unbudgeted, skip_waits)
@@ -55,7 +55,7 @@
         until = self.clock() + self.scheduler.budget_s
         budgets = self.planning_view.team_budgets()
         plan = plan_drain(terms, candidates, budgets, free_capacities, self.time_of_day(), lambda: self.clock() < until)
-        if searches and not plan.cordon:
+        if is_searching and not plan.cordon:
             self._next_search_at[name] = now + SEARCH_INTERVAL_S
         return plan
 
@@ -64,7 +64,7 @@
         return next_search_at is None or now >= next_search_at
 
     def _next_candidates(self, name: str, now: float) -> list[Candidate]:
-        """Machines that might be next: as many as there is time for, beginning where the last search ended."""
+        """Machines that may be cordoned next: as many as time allows, starting where the last search ended."""
         machines = self.table.machines[name]
         first = self._cursor.get(name, 0)
         until = now + self.scheduler.budget_s
--- a/hookwall/drains/planner.py
+++ b/hookwall/drains/planner.py
@@ -1,10 +1,10 @@
-"""Which machines of a drain come next and which jobs are evicted there: a pure function of what is known.
+"""The planner of drains: a pure function that chooses the next machines to cordon and the jobs to evict.
 
-A machine is cordoned first. Its tasks may end by themselves for a while; then the jobs that remain are evicted, the
-cheapest machine first, as far as the budgets of all their teams allow it and there is capacity for them elsewhere.
-Invariant: no budget is exceeded, and a machine is emptied in one go where the budgets allow that, so that no job is
-stopped for a machine that another team's budget holds back all the same. Only one that has more jobs of a team than
-its whole budget goes job by job.
+A machine is cordoned first. For a grace period its tasks may end by themselves. Then the remaining jobs are evicted,
+the cheapest machine first, if the budgets of all their teams allow it and there is capacity for them on other machines.
+Invariant: no budget is exceeded, and a machine is emptied in a single step if the budgets allow that, so that no job is
+stopped on a machine that can't be emptied yet because of another team's budget. Only a machine that has more jobs of a
+team than the team's total budget is emptied job by job.
 """
 
 from collections import Counter
@@ -18,7 +18,7 @@
 
 
 class _DisruptionCost(NamedTuple):
-    """Orders machines by what emptying them costs, the cheapest first."""
+    """Sort key that orders machines by the cost of emptying them, the cheapest first."""
 
     lost_work_s: float
     task_count: int
@@ -31,28 +31,28 @@
     budgets: TeamBudgets,
     free_capacities: Sequence[FreeCapacity],
     now: float,
-    in_time: Callable[[], bool] = lambda: True,
+    has_time: Callable[[], bool] = lambda: True,
 ) -> DrainPlan:
     """Decide the next steps of one drain.
 
     Args:
-        terms: what the drain has to respect.
-        candidates: the machines that are cordoned for it, and those that may be next.
-        budgets: what teams have left; used up by what is decided.
-        free_capacities: capacity elsewhere; used up by what is decided.
+        terms: the limits and options of the drain.
+        candidates: the machines that are cordoned for the drain, and those that may be cordoned next.
+        budgets: the teams' budgets; `remaining` is reduced by the evictions that are decided.
+        free_capacities: capacity on other machines; reduced by the evictions that are decided.
         now: time of day in seconds.
-        in_time: whether there is time to look at one more machine; the rest waits for the next call.
+        has_time: whether there is time for one more machine; the remaining machines wait for the next call.
     """
     plan = DrainPlan()
     planner = _EvictionPlanner(terms, budgets, free_capacities, now, plan)
     for candidate in sorted((candidate for candidate in candidates if candidate.cordoned), key=_disruption_cost):
         if candidate.waits:
             plan.waits.extend(candidate.waits)
-        elif candidate.occupants and not in_time():
+        elif candidate.occupants and not has_time():
             break
         else:
             planner.evict_from(candidate)
-    _choose_cordons(terms, candidates, budgets, plan, in_time)
+    _choose_cordons(terms, candidates, budgets, plan, has_time)
     return plan
 
 
@@ -68,28 +68,28 @@
     candidates: Sequence[Candidate],
     budgets: TeamBudgets,
     plan: DrainPlan,
-    in_time: Callable[[], bool],
+    has_time: Callable[[], bool],
 ) -> None:
-    """Choose the next machines: those that can be emptied soonest beside what is cordoned already, then the cheapest.
+    """Choose the next machines: those that can be emptied soonest after the cordoned ones, then the cheapest.
 
-    By cost alone a batch came to hold jobs of one team only, and the other teams' budgets stayed unused.
+    Choosing by cost alone filled batches with jobs of a single team, and the other teams' budgets stayed unused.
     """
     needed: Counter[str] = Counter()
-    spare = terms.batch_size
+    free_slots = terms.batch_size
     for candidate in candidates:
         if candidate.cordoned:
             needed.update(_budget_needs(candidate))
-            spare -= 1
+            free_slots -= 1
     choices: dict[str, Candidate] = {}
     for candidate in candidates:
         if candidate.waits and not candidate.cordoned:
             plan.waits.extend(candidate.waits)
-        elif spare > 0 and not candidate.cordoned and _can_be_emptied(terms, candidate, budgets, plan):
+        elif free_slots > 0 and not candidate.cordoned and _can_be_emptied(terms, candidate, budgets, plan):
             choices[candidate.name] = candidate
     needs = {name: _budget_needs(candidate) for name, candidate in choices.items()}
     costs = {name: _disruption_cost(candidate) for name, candidate in choices.items()}
-    for _ in range(min(spare, len(choices))):
-        if plan.cordon and not in_time():
+    for _ in range(min(free_slots, len(choices))):
+        if plan.cordon and not has_time():
             return
         chosen = min(needs, key=lambda name: (_periods_to_empty(needs[name], needed, budgets), costs[name]))
         needed.update(needs.pop(chosen))
@@ -97,12 +97,12 @@
 
 
 def _budget_needs(candidate: Candidate) -> Counter[str]:
-    """How much of each team's budget emptying a machine takes."""
+    """How much of each team's budget is needed to empty a machine."""
     return Counter(occupant.team for occupant in candidate.occupants if not occupant.already_disrupted)
 
 
 def _periods_to_empty(needs: Counter[str], needed_before: Counter[str], budgets: TeamBudgets) -> float:
-    """How many of its teams' periods it takes to empty a machine after what is needed already."""
+    """How many budget periods it takes to empty a machine after the needs of the machines chosen before."""
     return max(
         (
             (needed_before[team] + count) / max(1, budgets.total[team])
@@ -114,7 +114,7 @@
 
 
 def _can_be_emptied(terms: DrainTerms, candidate: Candidate, budgets: TeamBudgets, plan: DrainPlan) -> bool:
-    """Whether every team there has a budget or needs none; else cordoning the machine would only idle it."""
+    """Whether every team on a machine has a budget or needs none; otherwise a cordon would only leave it idle."""
     for occupant in candidate.occupants:
         if not budgets.has_budget(occupant.team) and not terms.allow_unbudgeted:
             plan.waits.append(Wait(WaitKind.NO_BUDGET, candidate.name, occupant.team))
@@ -126,7 +126,7 @@
 
 
 class _EvictionPlanner:
-    """Decides what is evicted from cordoned machines, one after another."""
+    """Decides which jobs are evicted from cordoned machines, one machine after another."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         self._plan = plan
 
     def evict_from(self, candidate: Candidate) -> None:
-        """Evict what may be evicted from a cordoned machine."""
+        """Add to the plan the jobs that may be evicted from a cordoned machine now, or why none may."""
         if not candidate.occupants:
             return
         terms = self._terms
@@ -161,7 +161,10 @@
         self._plan.evictions.append(Eviction(candidate.name, tuple(chosen)))
 
     def _within_budgets(self, candidate: Candidate) -> list[Occupant]:
-        """The jobs there that budgets allow to be evicted now: all, or where they never allow all, the cheapest."""
+        """The jobs on a machine that the budgets allow to evict now.
+
+        These are all jobs or none, but the cheapest ones if the total budgets never allow all at once.
+        """
         budgets = self._budgets
         needs = _budget_needs(candidate)
         exhausted = [team for team, count in needs.items() if self._exceeds_budget(team, count)]
@@ -180,7 +183,7 @@
         return count > self._budgets.remaining.get(team, 0)
 
     def _cheapest_within_budgets(self, candidate: Candidate, exhausted: Sequence[str]) -> list[Occupant]:
-        """The cheapest jobs there, of the exhausted teams only as many as they have left."""
+        """The cheapest jobs on a machine; of the exhausted teams, only as many as their remaining budgets allow."""
         remaining = dict(self._budgets.remaining)
         chosen: list[Occupant] = []
         for occupant in sorted(candidate.occupants, key=lambda occupant: (occupant.lost_work_s, occupant.job_id)):
@@ -192,7 +195,7 @@
         return chosen
 
     def _reserve_capacity(self, candidate: Candidate, chosen: Sequence[Occupant]) -> bool:
-        """Reserve capacity elsewhere for all of these jobs, or for none; the jobs without any are relocations."""
+        """Reserve capacity on other machines for all of these jobs or for none; unplaced jobs become relocations."""
         unplaced = reserve_all(chosen, self._free_capacities)
         for occupant in unplaced:
             self._plan.waits.append(Wait(WaitKind.CAPACITY, candidate.name, occupant.job_id))
--- a/hookwall/drains/planning_view.py
+++ b/hookwall/drains/planning_view.py
@@ -1,6 +1,6 @@
-"""What the planner needs to know about a drain's machines, from the leader's memory.
+"""The planner's input about a drain's machines, from the leader's memory.
 
-Invariant: it changes nothing; what it gives are copies, which the planner may use up.
+Invariant: this module changes nothing. It returns copies, which the planner may modify.
 """
 
 from collections import Counter
@@ -20,14 +20,14 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.machine import Machine, MachinePhase
 
-LATE_HEARTBEATS = 3  # a stopping task is late once its worker could have sent so many heartbeats since
+OVERDUE_HEARTBEATS = 3  # a stopping task is overdue this many heartbeat intervals after its expected end
 
 
 class PlanningView:
-    """Gives the planner its view of the fleet, the jobs and the budgets."""
+    """Provides the planner with the state of the fleet, the jobs and the budgets."""
 
     def __init__(self, table: JobTable, fleet: Fleet, scheduler: Scheduler, ledger: DisruptionLedger) -> None:
-        """A view of these, as they are at each call."""
+        """Create a view, which reads the current state of its sources at each call."""
         self.table = table
         self.fleet = fleet
         self.scheduler = scheduler
@@ -36,7 +36,7 @@
     # -- budgets ---------------------------------------------------------------------------------
 
     def team_budgets(self) -> TeamBudgets:
-        """What is left of each team's budget now."""
+        """The remaining and the total budget of each team now."""
         running = self._running_jobs_by_team()
         disruptions = self.ledger.disruptions_by_team()
         budgets = TeamBudgets()
@@ -46,7 +46,7 @@
         return budgets
 
     def _running_jobs_by_team(self) -> Counter[str]:
-        """Jobs that run, or were disrupted and have no allocation yet."""
+        """The number of jobs by team that run, or that were disrupted and have no allocation yet."""
         running: Counter[str] = Counter()
         for job in self.table.open_jobs.values():
             if job.spec is not None and job.phase == OPEN and job.allocations:
@@ -60,7 +60,7 @@
     # -- capacity --------------------------------------------------------------------------------
 
     def free_capacities(self, now: float) -> list[FreeCapacity]:
-        """Free capacity where the work of drained machines could go."""
+        """Copies of the free capacity of all machines on which evicted jobs can be placed."""
         return [
             replace(self.fleet.free_capacity(machine))
             for machine in self.fleet.machines.values()
@@ -70,7 +70,7 @@
     # -- machines --------------------------------------------------------------------------------
 
     def candidate(self, name: str, step: StepRecord | None, drain: str, now: float) -> Candidate:
-        """One machine of a drain. `step`: its step, whichever drain that belongs to; `now`: on the fleet's clock."""
+        """A machine of a drain. `step`: its step, which may belong to another drain; `now`: on the fleet's clock."""
         machine = self.fleet.machines.get(name)
         if machine is None:
             return Candidate(name, waits=(Wait(WaitKind.UNRESPONSIVE, name),), cordoned=step is not None)
@@ -88,7 +88,7 @@
         )
 
     def _waits(self, machine: Machine, step: StepRecord | None, now: float) -> tuple[Wait, ...]:
-        """Why nothing can be decided about a machine now."""
+        """The reasons why no step is possible for a machine now."""
         if step is not None and step.phase is StepPhase.EMPTY:
             kind = WaitKind.DELETING if machine.phase is MachinePhase.DELETING else WaitKind.IN_MAINTENANCE
             return (Wait(kind, machine.name),)
@@ -98,23 +98,23 @@
             return (Wait(WaitKind.UNRESPONSIVE, machine.name),)
         if machine.phase in (MachinePhase.DELETING, MachinePhase.DELETED):
             return (Wait(WaitKind.DELETING, machine.name),)
-        late_tasks = [
+        overdue_tasks = [
             f"{job.job_id}/{allocation.task}"
             for job, allocation in machine.allocations.values()
-            if self._stops_late(job, allocation, now)
+            if self._is_stop_overdue(job, allocation, now)
         ]
-        return tuple(Wait(WaitKind.STOPPING, machine.name, task) for task in sorted(late_tasks)[:1])
+        return tuple(Wait(WaitKind.STOPPING, machine.name, task) for task in sorted(overdue_tasks)[:1])
 
-    def _stops_late(self, job: Job, allocation: Allocation, now: float) -> bool:
-        """Whether a task whose worker got the stop command should have ended by now."""
+    def _is_stop_overdue(self, job: Job, allocation: Allocation, now: float) -> bool:
+        """Whether a task whose worker received the stop command should have ended by now."""
         if allocation.stop_grace_s is None or allocation.stop_sent_at < 0 or job.spec is None:
             return False
         workers = self.fleet.params.workers
-        usual_s = job.spec.checkpoint_cost_s + workers.gang_peer_s + LATE_HEARTBEATS * workers.report_s
-        return now - allocation.stop_sent_at > usual_s
+        overdue_after_s = job.spec.checkpoint_cost_s + workers.gang_peer_s + OVERDUE_HEARTBEATS * workers.report_s
+        return now - allocation.stop_sent_at > overdue_after_s
 
     def _occupants(self, machine: Machine, now: float) -> tuple[Occupant, ...]:
-        """The jobs there that go on unless they are evicted."""
+        """The jobs on a machine that continue unless they are evicted."""
         allocations_by_job: dict[str, list[Allocation]] = {}
         jobs: dict[str, Job] = {}
         for job, allocation in machine.allocations.values():
@@ -155,7 +155,7 @@
         return tuple(Placement(index, count) for index, count in counts.items())
 
     def _resource_request(self, job: Job, allocations: Iterable[Allocation]) -> ResourceRequest:
-        """What these tasks need elsewhere: they no longer bind the job to their zones."""
+        """What these tasks need on other machines. Their current zones no longer constrain the job."""
         leaving = {allocation.task for allocation in allocations}
         request = self.scheduler.resource_request(job, len(leaving))
         for task in leaving:
@@ -168,13 +168,13 @@
 
     @staticmethod
     def _lost_work_s(spec: JobSpec, allocation: Allocation, now: float) -> float:
-        """Seconds of a task's work that a stop loses."""
+        """Seconds of a task's work that are lost if it is stopped."""
         if spec.checkpoint_interval_s > 0:
             return spec.checkpoint_cost_s
         return max(0.0, now - allocation.running_since) if allocation.running_since >= 0 else 0.0
 
     def is_empty(self, name: str) -> bool:
-        """Whether a machine whose worker responds has no task any more."""
+        """Whether a machine has a responsive worker and no task any more."""
         machine = self.fleet.machines.get(name)
         if machine is None or machine.epoch == 0 or machine.unresponsive or machine.phase is MachinePhase.BOOTING:
             return False
--- a/hookwall/drains/preview.py
+++ b/hookwall/drains/preview.py
@@ -1,8 +1,8 @@
-"""What a drain would disrupt, wave by wave, with the planner that the leader uses.
+"""A simulation of what a drain would disrupt, wave by wave, with the planner that the leader uses.
 
-A wave is what budgets and batch allow at a time. The preview takes each job that is evicted to run again before the
-next wave, on a machine that is not drained, and each empty machine to be replaced or back by then. Invariant: it writes
-nothing.
+A wave is what the budgets and the batch size allow at the same time. The preview assumes that before the next wave each
+evicted job runs again on a machine that is not drained, and that each empty machine is replaced or back in service.
+Invariant: this module writes nothing.
 """
 
 from collections.abc import Sequence
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True)
 class Wave:
-    """What is drained at a time."""
+    """The machines and jobs that are drained at the same time."""
 
     machines: list[str] = field(default_factory=list)
-    jobs_by_team: dict[str, list[str]] = field(default_factory=dict)  # ids by team, those that are evicted
+    jobs_by_team: dict[str, list[str]] = field(default_factory=dict)  # ids of the evicted jobs, by team
 
 
 @dataclass(slots=True)
 class Preview:
-    """All waves, and why what is left can't be drained as things are."""
+    """All waves, and why the remaining machines can't be drained in the current state of the cluster."""
 
     waves: list[Wave] = field(default_factory=list)
     waits: list[Wait] = field(default_factory=list)
@@ -34,7 +34,7 @@
     jobs_without_capacity: int = 0  # jobs for which a machine would have to be provisioned first
 
     def disruptions_by_team(self) -> dict[str, int]:
-        """Disruptions by team."""
+        """The number of disruptions by team."""
         total: dict[str, int] = {}
         for wave in self.waves:
             for team, jobs in wave.jobs_by_team.items():
@@ -42,18 +42,18 @@
         return total
 
 
-class _PlayedWave(NamedTuple):
-    """What was planned for a wave, and what that has done."""
+class _SimulatedWave(NamedTuple):
+    """The plan of a wave, and the wave that results from it."""
 
     plan: DrainPlan
     wave: Wave
 
 
 class DrainSimulation:
-    """Plays a drain forward, a wave at a time."""
+    """Simulates a drain wave by wave."""
 
     def __init__(self, snapshot: ClusterSnapshot, machines: Sequence[str], terms: DrainTerms) -> None:
-        """Play a drain of these machines on the cluster as it was read; the time for tasks to end is left out."""
+        """Create a simulation of a drain of these machines, without the grace period in which tasks may end."""
         self.snapshot = snapshot
         self.terms = replace(terms, finish_grace_s=0.0)
         now = snapshot.fleet.clock()
@@ -63,11 +63,11 @@
         self.free_capacities = snapshot.planning_view.free_capacities(now)
 
     def run(self) -> Preview:
-        """All waves."""
+        """Simulate all waves."""
         preview = Preview()
         budgets = self.snapshot.planning_view.team_budgets()
         while self.candidates:
-            plan, wave = self._play_wave(budgets)
+            plan, wave = self._simulate_wave(budgets)
             if wave.machines or wave.jobs_by_team:
                 preview.waves.append(wave)
                 budgets = budgets.replenished()
@@ -78,14 +78,14 @@
                 preview.undrainable = sorted(self.candidates)
                 preview.jobs_without_capacity = len({occupant.job_id for occupant in plan.relocations})
                 break
-            budgets = replenished  # what is disrupted now has recovered by the next wave
+            budgets = replenished  # jobs that are disrupted now have recovered by the next wave
         return preview
 
-    def _play_wave(self, budgets: TeamBudgets) -> _PlayedWave:
-        """Cordon as many as a batch may hold, and evict what may be evicted there."""
+    def _simulate_wave(self, budgets: TeamBudgets) -> _SimulatedWave:
+        """Cordon machines until the batch is full, and evict the jobs that may be evicted from cordoned machines."""
         waiting = [candidate for candidate in self.candidates.values() if not candidate.cordoned]
-        spare = self.terms.batch_size - (len(self.candidates) - len(waiting))
-        cordons = plan_drain(replace(self.terms, batch_size=spare), waiting, budgets, self.free_capacities, 0.0)
+        free_slots = self.terms.batch_size - (len(self.candidates) - len(waiting))
+        cordons = plan_drain(replace(self.terms, batch_size=free_slots), waiting, budgets, self.free_capacities, 0.0)
         for name in cordons.cordon:
             self.candidates[name] = replace(self.candidates[name], cordoned=True)
         cordoned = [candidate for candidate in self.candidates.values() if candidate.cordoned]
@@ -97,10 +97,10 @@
         for candidate in cordoned:
             self._remove_if_empty(candidate.name, wave)
         wave.machines.sort()
-        return _PlayedWave(plan, wave)
+        return _SimulatedWave(plan, wave)
 
     def _evict(self, eviction: Eviction, wave: Wave) -> None:
-        """Jobs have left a machine; gangs have left all of theirs."""
+        """Remove evicted jobs from their machine; remove evicted gangs from all of their machines."""
         for occupant in eviction.occupants:
             wave.jobs_by_team.setdefault(occupant.team, []).append(occupant.job_id)
         job_ids = eviction.job_ids()
@@ -116,7 +116,7 @@
                 self.candidates[name] = replace(candidate, occupants=remaining)
 
     def _remove_if_empty(self, name: str, wave: Wave) -> None:
-        """A machine without jobs and without a reason to wait leaves the drain."""
+        """Remove a machine from the drain if it has neither jobs nor a reason to wait."""
         candidate = self.candidates[name]
         if candidate.occupants or candidate.waits:
             return
@@ -125,12 +125,12 @@
         self._add_replacement(name)
 
     def _add_replacement(self, name: str) -> None:
-        """An empty machine of the kind of one that was drained."""
+        """Add the free capacity of an empty machine of the same type and zone as a drained one."""
         fleet = self.snapshot.fleet
         machine = fleet.machines[name]
         info = fleet.machine_type(machine.type)
         if info is not None:
-            index = -1 - machine.index  # no machine has a negative one
+            index = -1 - machine.index  # negative, as no machine's own index is
             self.free_capacities.append(
                 FreeCapacity(index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory_gb)
             )
--- a/hookwall/drains/report.py
+++ b/hookwall/drains/report.py
@@ -1,6 +1,6 @@
-"""What the command prints: plain data for `--json`, and the same as text.
+"""The output of the command: plain data for `--json`, and the same data as text.
 
-Invariant: the fields' names and the texts are read by scripts, so they never change.
+Invariant: scripts parse the field names and the texts, so they never change.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,7 +14,7 @@
 
 
 class StepView(msgspec.Struct, kw_only=True):
-    """One machine on its way out of service."""
+    """A machine that is being drained."""
 
     machine: str
     phase: str
@@ -32,7 +32,7 @@
 
 
 class DrainView(msgspec.Struct, kw_only=True):
-    """One drain."""
+    """A drain."""
 
     name: str
     phase: str
@@ -46,14 +46,14 @@
 
 
 class StatusView(msgspec.Struct, kw_only=True):
-    """All that `status` prints."""
+    """The output of `status`."""
 
     drains: list[DrainView]
     budgets: list[BudgetView]
 
 
 class WaitView(msgspec.Struct, kw_only=True):
-    """Why something can't be drained as things are."""
+    """Why a machine can't be drained in the current state of the cluster."""
 
     kind: str
     machine: str
@@ -61,14 +61,14 @@
 
 
 class WaveView(msgspec.Struct, kw_only=True):
-    """What is drained at a time: machines that become empty, and the ids of jobs by team that are evicted."""
+    """A wave: the machines that become empty, and the ids of the evicted jobs by team."""
 
     machines: list[str]
     jobs: dict[str, list[str]]
 
 
 class PlanView(msgspec.Struct, kw_only=True):
-    """All that `plan` prints."""
+    """The output of `plan`."""
 
     machines: int
     waves: list[WaveView]
@@ -81,14 +81,14 @@
 
 
 def step_view(machine: str, step: StepRecord, now: float) -> StepView:
-    """A machine on its way out of service; `now` is a time of day in seconds."""
+    """Return the view of a machine that is being drained; `now` is a time of day in seconds."""
     return StepView(
         machine=machine, phase=step.phase.value, age_s=round(now - step.cordoned_at, 1), disrupted=step.disrupted_jobs
     )  # fmt: skip
 
 
 def drain_view(name: str, record: DrainRecord, steps: Mapping[str, StepRecord], now: float) -> DrainView:
-    """One drain with its steps."""
+    """Return the view of a drain and its steps."""
     reason = record.wait_reason
     if record.phase is DrainPhase.REQUESTED and not reason:
         reason = "no leader has taken it up yet; drains must be switched on in the nodes' operations file"
@@ -107,7 +107,7 @@
 
 
 def status_view(snapshot: ClusterSnapshot, names: Sequence[str], now: float) -> StatusView:
-    """The drains of these names, and all budgets."""
+    """Return the view of the drains with these names, and of all budgets."""
     table = snapshot.drains
     drains = [drain_view(name, table.drains[name].record, table.steps_of(name), now) for name in names]
     budgets = snapshot.planning_view.team_budgets()
@@ -120,7 +120,7 @@
 
 
 def plan_view(machines: int, preview: Preview) -> PlanView:
-    """A preview of a drain of so many machines."""
+    """Return the view of a preview; `machines` is the number of selected machines."""
     return PlanView(
         machines=machines,
         waves=[WaveView(machines=wave.machines, jobs=wave.jobs_by_team) for wave in preview.waves],
@@ -132,12 +132,12 @@
 
 
 def wait_view(wait: Wait) -> WaitView:
-    """Why something waits."""
+    """Return the view of a reason to wait."""
     return WaitView(kind=wait.kind.value, machine=wait.machine, text=wait.text())
 
 
 def status_text(status: StatusView) -> list[str]:
-    """The lines that `status` prints as text."""
+    """Return the lines that `status` prints as text."""
     lines: list[str] = []
     for drain in status.drains:
         lines += _drain_text(drain)
@@ -160,7 +160,7 @@
 
 
 def plan_text(plan: PlanView) -> list[str]:
-    """The lines that `plan` prints as text."""
+    """Return the lines that `plan` prints as text."""
     lines = [f"{plan.machines} machines in {len(plan.waves)} waves"]
     for number, wave in enumerate(plan.waves, 1):
         jobs = "; ".join(f"{team}: {', '.join(refs)}" for team, refs in sorted(wave.jobs.items())) or "no job"
--- a/hookwall/drains/request.py
+++ b/hookwall/drains/request.py
@@ -1,4 +1,4 @@
-"""What an operator requests of a drain.
+"""An operator's request for a drain: its validation, the selection of machines and the resulting records.
 
 Invariant: a request is validated before anything is stored.
 """
@@ -15,12 +15,12 @@
 from hookwall.workers import name_codec
 
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}", re.ASCII)
-MAX_NAMES_SHOWN = 8  # how many allowed values a message names
-ROUNDING_TOLERANCE = 1e-9  # a share of 0.1 of 30 machines is 3, whatever the floating point product is
+MAX_NAMES_SHOWN = 8  # how many allowed values a message lists
+ROUNDING_TOLERANCE = 1e-9  # a share of 0.1 of 30 machines is 3, regardless of floating-point error
 
 
 class Selection(msgspec.Struct, frozen=True, kw_only=True):
-    """Which machines: those named, or all of a type and zone, or a share of these."""
+    """Selection of machines: the named ones, or all of a type and zone, or a share of these."""
 
     machines: tuple[str, ...] = ()
     machine_type: str | None = msgspec.field(name="type", default=None)
@@ -29,7 +29,7 @@
 
 
 class DrainRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A drain as it is requested. The encoded names are part of the stored digest, so they never change."""
+    """The terms of a requested drain. The encoded names are part of the stored digest, so they never change."""
 
     selection: Selection
     batch_size: int = msgspec.field(name="batch", default=1)
@@ -40,12 +40,12 @@
     allow_unbudgeted: bool = msgspec.field(name="unbudgeted", default=False)
 
     def digest(self) -> str:
-        """Sixteen hexadecimal digits, the same for the same request."""
+        """Return sixteen hexadecimal digits that are the same for equal requests."""
         return hashlib.sha256(msgspec.json.encode(self, order="deterministic")).hexdigest()[:16]
 
 
 class SelectableMachine(msgspec.Struct, frozen=True):
-    """A machine that the cloud lists, and how many tasks the records name there."""
+    """A machine in the cloud's inventory, and how many tasks the records place on it."""
 
     name: str
     type: str
@@ -54,7 +54,7 @@
 
 
 def validate_name(name: str) -> str:
-    """A drain's name, which becomes part of a key, or InvalidDrainRequestError."""
+    """Return the drain's name, which becomes part of a key, or raise InvalidDrainRequestError."""
     if not NAME_PATTERN.fullmatch(name):
         raise InvalidDrainRequestError(
             f"NAME: up to 64 of a-z, 0-9, '.', '_' and '-', the first a letter or digit; is {name!r}"
@@ -63,7 +63,7 @@
 
 
 def validate_request(request: DrainRequest) -> DrainRequest:
-    """The request, or InvalidDrainRequestError for numbers and combinations that can't be meant."""
+    """Return the request, or raise InvalidDrainRequestError for invalid numbers and combinations."""
     if request.batch_size < 1:
         raise InvalidDrainRequestError(f"--batch: must be a whole number from 1, is {request.batch_size}")
     grace_s = request.finish_grace_s
@@ -82,10 +82,10 @@
     share = selection.share
     if share is not None and not 0.0 < share <= 1.0:
         raise InvalidDrainRequestError(f"--share: must be a number above 0 and up to 1, is {share}")
-    by_kind = share is not None or selection.machine_type or selection.zone
-    if selection.machines and by_kind:
+    by_filter = share is not None or selection.machine_type or selection.zone
+    if selection.machines and by_filter:
         raise InvalidDrainRequestError("--machine: can't be combined with --type, --zone or --share")
-    if not selection.machines and not by_kind:
+    if not selection.machines and not by_filter:
         raise InvalidDrainRequestError("which machines: name --machine, --type, --zone or --share")
 
 
@@ -102,7 +102,7 @@
 def select_machines(
     selection: Selection, machines: Sequence[SelectableMachine], types: Sequence[str], zones: Sequence[str]
 ) -> list[str]:
-    """The names of the selected machines, sorted; of a share, those with the fewest tasks.
+    """Return the sorted names of the selected machines. A share takes the machines with the fewest tasks.
 
     Raises:
         InvalidDrainRequestError: a machine, type or zone is unknown, or nothing is selected.
@@ -133,12 +133,12 @@
 
 
 def _share_of(count: int, share: float | None) -> int:
-    """How many of so many machines a share is, rounded up; without a share all of them."""
+    """How many of `count` machines a share is, rounded up; all of them without a share."""
     return count if share is None else math.ceil(share * count - ROUNDING_TOLERANCE)
 
 
 def _list_names(names: Sequence[str]) -> str:
-    """Names for a message: not thousands of them."""
+    """Format names for a message, which lists at most `MAX_NAMES_SHOWN` of them."""
     if not names:
         return "none"
     shown = ", ".join(names[:MAX_NAMES_SHOWN])
@@ -147,7 +147,7 @@
 
 
 def new_drain_record(request: DrainRequest, machines: Sequence[str], now: float) -> DrainRecord:
-    """The record with which a drain begins."""
+    """Return the initial record of a drain."""
     return DrainRecord(
         phase=DrainPhase.REQUESTED,
         request_digest=request.digest(),
@@ -165,12 +165,12 @@
 
 
 def aborted_record(record: DrainRecord, now: float) -> DrainRecord:
-    """A drain that an operator aborts."""
+    """Return the record of a drain that an operator aborts."""
     return msgspec.structs.replace(
         record, phase=DrainPhase.ABORTED, changed_at=now, wait_reason="aborted by an operator"
     )
 
 
 def resumed_record(record: DrainRecord, now: float) -> DrainRecord:
-    """An aborted drain that goes on with the machines that remain; its deadline counts from now."""
+    """Return the record of an aborted drain that resumes with its remaining machines; its deadline counts from now."""
     return msgspec.structs.replace(record, phase=DrainPhase.REQUESTED, requested_at=now, changed_at=now, wait_reason="")
--- a/hookwall/drains/wait_reasons.py
+++ b/hookwall/drains/wait_reasons.py
@@ -1,6 +1,7 @@
-"""Why drains wait, in the words that operators read.
+"""The reasons why drains wait, and the texts that operators read.
 
-Invariant: whatever can't be done now has a reason, and the one shown is what an operator can do most about.
+Invariant: every step that is not possible now has a reason, and the reason shown is the one that an operator can best
+act on.
 """
 
 from collections.abc import Sequence
@@ -9,7 +10,7 @@
 
 
 class WaitKind(Enum):
-    """Why a drain, or one machine of it, does not go on. The values are printed by `--json`."""
+    """Why a drain, or one of its machines, makes no progress. The values are printed by `--json`."""
 
     BUDGET = "budget"
     NO_BUDGET = "no budget"
@@ -25,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """One reason to wait: what kind, of which machine, and the team, job, task or drain that it is about."""
+    """A reason to wait: its kind, the machine, and the team, job, task or drain that causes it."""
 
     kind: WaitKind
     machine: str
     subject: str = ""
 
     def text(self) -> str:
-        """The reason as operators read it."""
+        """The text that operators read."""
         return _TEXTS[self.kind].format(machine=self.machine, subject=self.subject)
 
 
@@ -50,8 +51,8 @@
     WaitKind.DELETING: "{machine} is empty and is being returned",
 }
 
-# What an operator can do something about comes first.
-_URGENCY = [
+# Reasons that an operator can act on come first.
+_PRIORITY = [
     WaitKind.NO_BUDGET,
     WaitKind.BUDGET,
     WaitKind.CAPACITY,
@@ -66,9 +67,9 @@
 
 
 def summarize_waits(waits: Sequence[Wait]) -> str:
-    """The most urgent reason, and how many more machines wait; empty without any."""
-    most_urgent = min(waits, key=lambda wait: (_URGENCY.index(wait.kind), wait.machine), default=None)
-    if most_urgent is None:
+    """The reason of the highest priority and how many other machines wait; empty if there are no reasons."""
+    highest_priority = min(waits, key=lambda wait: (_PRIORITY.index(wait.kind), wait.machine), default=None)
+    if highest_priority is None:
         return ""
     others = len({wait.machine for wait in waits}) - 1
-    return most_urgent.text() + (f", and {others} more machines wait" if others > 0 else "")
+    return highest_priority.text() + (f", and {others} more machines wait" if others > 0 else "")
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -195,14 +195,14 @@
     ],
 )
 def test_the_lower_bound_is_the_fewest_waves(machines, batch, budget, fewest):
-    bound = wave_lower_bound(loads(*machines), batch, {"red": budget}, enough_waves=6)
+    bound = wave_lower_bound(loads(*machines), batch, {"red": budget}, max_waves=6)
     assert (bound.waves, bound.exact) == (fewest, True)
 
 
 def test_a_gang_that_was_evicted_once_has_left_its_other_machines():
     gang = loads(("g", "a"), ("g", "b"), gangs=frozenset("g"))
-    assert wave_lower_bound(gang, 1, {"red": 2}, enough_waves=4).waves == 2
-    assert wave_lower_bound(gang, 2, {"red": 3}, enough_waves=4).waves == 1
+    assert wave_lower_bound(gang, 1, {"red": 2}, max_waves=4).waves == 2
+    assert wave_lower_bound(gang, 2, {"red": 3}, max_waves=4).waves == 1
 
 
 # -- the operators' file ---------------------------------------------------------------------------
