--- a/hookwall/drains/command.py
+++ b/hookwall/drains/command.py
@@ -28,7 +28,7 @@
 from hookwall.storage.errors import PreconditionFailedError
 
 POLL_INTERVAL_S = 1.0  # interval at which `status --wait` reads the cluster
-MAX_ATTEMPTS = 3  # attempts of a write that conflicts with a concurrent change, such as the leader's
+MAX_ATTEMPTS = 3  # maximum attempts of a write that conflicts with a concurrent change, as by the leader
 ABSENT = 0  # the version of a key that does not exist
 
 
--- a/hookwall/drains/planning_view.py
+++ b/hookwall/drains/planning_view.py
@@ -155,7 +155,7 @@
         return tuple(Placement(index, count) for index, count in counts.items())
 
     def _resource_request(self, job: Job, allocations: Iterable[Allocation]) -> ResourceRequest:
-        """What these tasks need on other machines. Their current zones no longer constrain the job."""
+        """What these tasks need on other machines. The tasks no longer bind the job to their current zones."""
         leaving = {allocation.task for allocation in allocations}
         request = self.scheduler.resource_request(job, len(leaving))
         for task in leaving:
--- a/hookwall/drains/preview.py
+++ b/hookwall/drains/preview.py
@@ -130,7 +130,7 @@
         machine = fleet.machines[name]
         info = fleet.machine_type(machine.type)
         if info is not None:
-            index = -1 - machine.index  # negative, as no machine's own index is
+            index = -1 - machine.index  # negative, so that it differs from the index of every machine
             self.free_capacities.append(
                 FreeCapacity(index, machine.type, machine.zone, machine.spot, info.cpus, info.gpus, info.memory_gb)
             )
--- a/hookwall/drains/records.py
+++ b/hookwall/drains/records.py
@@ -75,7 +75,7 @@
     # Digest of the operator's request; a repeated request with the same digest creates no new drain.
     request_digest: str = msgspec.field(name="request")
     requested_at: float = msgspec.field(name="asked_at")
-    changed_at: float  # of the phase
+    changed_at: float  # when the phase last changed
     machine_count: int = msgspec.field(name="total")
     # Machines that have not left the drain, as `name_codec` encodes them.
     remaining_machines: dict[str, object] = msgspec.field(name="remaining")
@@ -124,7 +124,7 @@
     drain: str
     phase: StepPhase
     cordoned_at: float = msgspec.field(name="since")  # time of day
-    changed_at: float  # of the phase; time of day
+    changed_at: float  # time of day when the phase last changed
     disrupted_jobs: int = msgspec.field(name="disrupted", default=0)  # jobs that were evicted from the machine
 
 
@@ -168,5 +168,5 @@
     except msgspec.ValidationError as error:
         raise MalformedRecordError(str(error)) from error
     if record.version > VERSION:
-        raise MalformedRecordError(f"version {record.version}, this program knows {VERSION}")
+        raise MalformedRecordError(f"record version {record.version} is newer than the supported version {VERSION}")
     return record
--- a/tests/drain_histories.py
+++ b/tests/drain_histories.py
@@ -1,10 +1,11 @@
-"""Random histories of drains, arrivals and overlapping troubles, checked against what workers show.
+"""Random histories of drains, job arrivals and overlapping faults, checked against the state of the workers.
 
-A history is drawn from a seed: jobs of two teams, one or two drains with random terms, some aborted and resumed, and
-the troubles of `histories.py`. Checked: the rules and invariants there; that drains alone never disrupt more jobs of a
-team than its budget; and that each drain ends soon after the troubles, or says why it waits.
+A history is generated from a seed. It has jobs of two teams, one or two drains with random terms, some of them aborted
+and resumed, and the faults of `histories.py`. The checks are the rules and invariants of `histories.py`, that drains
+alone never disrupt more jobs of a team than its budget, and that each drain ends soon after the faults. The record of a
+drain that does not end is reported, with its reason to wait.
 
-`python tests/drain_histories.py FIRST LAST` plays the seeds of a range on all cores.
+`python tests/drain_histories.py FIRST LAST` plays a range of seeds on all cores.
 """
 
 import asyncio
@@ -24,11 +25,11 @@
 BUDGETS = {"red": 1, "blue": 2}
 MACHINES = 8
 CLOUD_ROOM = 30
-ENDS_S = 260.0  # after the last trouble; jobs run for up to 120 s
+END_TIMEOUT_S = 260.0  # for drains to end after the last fault; jobs run for up to 120 s
 
 
 class BudgetInvariants(Invariants):
-    """The invariants of `histories.py`, and budgets."""
+    """The invariants of `histories.py`, and the disruption budgets."""
 
     def watch(self) -> None:
         super().watch()
@@ -36,7 +37,7 @@
 
 
 class DrainHistory(History):
-    """Drains among troubles."""
+    """A history with drains and faults."""
 
     def __init__(self, simulation: Simulation, seed: int) -> None:
         super().__init__(simulation, seed)
@@ -49,14 +50,14 @@
         await asyncio.sleep(25.0)
         names = [f"drain-{n}" for n in range(self.random.randint(1, 2))]
         drains = [simulation.go(self._run_drain(name)) for name in names]
-        troubles = [
+        faults = [
             simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(0, 4))
         ]
-        await asyncio.gather(*drains, *troubles)
-        await self._check_ends(names)
+        await asyncio.gather(*drains, *faults)
+        await self._check_drains_end(names)
 
     async def _submit_job(self, number: int) -> None:
-        """A job is submitted at some time."""
+        """Submit a random job at a random time."""
         await asyncio.sleep(self.span(0.0, 60.0) if number > 4 else 0.0)
         whole = self.random.random() < 0.5
         ref = self.simulation.job(
@@ -66,31 +67,31 @@
         )  # fmt: skip
         await self.simulation.accepted(ref, within_s=200.0)
 
-    async def _repeat_until_answered(self, *words: str) -> None:
-        """The operator repeats a call until it is answered."""
-        self.note(f"drain {' '.join(words)}")
+    async def _repeat_until_answered(self, *arguments: str) -> None:
+        """Repeat a command until it is neither in conflict nor unavailable."""
+        self.note(f"drain {' '.join(arguments)}")
         for _ in range(60):
-            code, _ = await self.operator(*words)
+            code, _ = await self.operator(*arguments)
             if code not in (ExitCode.CONFLICT, ExitCode.UNAVAILABLE):
                 return
             await asyncio.sleep(2.0)
 
     async def _run_drain(self, name: str) -> None:
-        """One drain with random terms; some are aborted after a while and resumed."""
+        """Run a drain with random terms. Some drains are aborted after some time and resumed."""
         await asyncio.sleep(self.span(0.0, 10.0))
-        which = self.random.choice([["--zone", "east"], ["--zone", "west"], ["--share", "0.5"], ["--share", "1"]])
+        selection = self.random.choice([["--zone", "east"], ["--zone", "west"], ["--share", "0.5"], ["--share", "1"]])
         batch = str(self.random.randint(1, 4))
         finish = str(self.random.choice([0, 0, 10]))
-        await self._repeat_until_answered("start", name, *which, "--batch", batch, "--finish", finish)
+        await self._repeat_until_answered("start", name, *selection, "--batch", batch, "--finish", finish)
         if self.random.random() < 0.3:
             await asyncio.sleep(self.span(1.0, 20.0))
             await self._repeat_until_answered("abort", name)
             await asyncio.sleep(self.span(0.0, 10.0))
             await self._repeat_until_answered("resume", name)
 
-    async def _check_ends(self, names: list[str]) -> None:
-        """Each drain ends; nothing stays cordoned for one that has."""
-        until = self.simulation.now() + ENDS_S
+    async def _check_drains_end(self, names: list[str]) -> None:
+        """Check that each drain ends, and that no machine remains cordoned afterwards."""
+        until = self.simulation.now() + END_TIMEOUT_S
         active = list(names)
         while active and self.simulation.now() < until:
             await asyncio.sleep(1.0)
@@ -104,7 +105,7 @@
 
 
 def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
-    """Play a history of drains."""
+    """Play the history of a seed."""
     return broken_in(
         DrainHistory, BudgetInvariants, seed, quiet, machines=MACHINES, teams=TEAMS, operations=operations(**BUDGETS)
     )
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -1,4 +1,4 @@
-"""`hookwall drain`: what it refuses, what it prints, and that only some of it writes."""
+"""`hookwall drain`: rejected input, output, exit codes, and that the read-only actions write nothing."""
 
 import asyncio
 import subprocess
@@ -9,7 +9,7 @@
 from harness.drain_simulation import TEAMS, Operator, cordoned, drain_phases, operations
 from harness.play import play
 from harness.simulation import Simulation
-from test_drains import BLUE, LONG_S, RED, WHOLE, drained, machine_of, running_jobs
+from test_drains import BLUE, LONG_RUN_S, RED, WHOLE_MACHINE, machine_of, play_with_budgets, running_jobs
 
 from hookwall.config.operations import Operations, validate_operations
 from hookwall.config.operations import load_operations as load_operations
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "message"),
+    ("arguments", "message"),
     [
         (["--zone", "north"], "--zone: unknown: 'north'; the zones are east, west"),
         (["--type", "g9"], "--type: unknown: 'g9'; the machine types are g4"),
@@ -36,90 +36,90 @@
         (["--share", "1.5"], "--share: must be a number above 0 and up to 1"),
     ],
 )
-def test_invalid_input_is_named_and_changes_nothing(words, message, capsys: pytest.CaptureFixture[str]):
-    async def scenario(w: Simulation, operator):
+def test_invalid_arguments_are_reported_and_change_nothing(arguments, message, capsys: pytest.CaptureFixture[str]):
+    async def scenario(simulation: Simulation, operator):
         for action in (["plan"], ["start", "kernel"]):
-            code, value = await operator(*action, *words)
+            code, value = await operator(*action, *arguments)
             assert (code, value) == (ExitCode.BAD_INPUT, None)
             assert message in capsys.readouterr().err
-        assert not drain_phases(w)
+        assert not drain_phases(simulation)
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
-def test_invalid_names_and_options_that_are_no_numbers_are_refused(capsys: pytest.CaptureFixture[str]):
-    async def scenario(w: Simulation, operator):
+def test_invalid_names_and_option_values_are_rejected(capsys: pytest.CaptureFixture[str]):
+    async def scenario(simulation: Simulation, operator):
         for name in ("Kernel", "a/b", "x" * 65, ""):
             assert (await operator("start", name, "--zone", "east"))[0] == ExitCode.BAD_INPUT
             assert "NAME: up to 64 of" in capsys.readouterr().err
-        for words in (["--batch", "two"], ["--share", "half"], ["--at-deadline", "kill"], ["--then", "burn"]):
-            with pytest.raises(SystemExit) as ended:
-                await operator("plan", "--zone", "east", *words)
-            assert ended.value.code == 2 and words[0] in capsys.readouterr().err
+        for arguments in (["--batch", "two"], ["--share", "half"], ["--at-deadline", "kill"], ["--then", "burn"]):
+            with pytest.raises(SystemExit) as exit_info:
+                await operator("plan", "--zone", "east", *arguments)
+            assert exit_info.value.code == 2 and arguments[0] in capsys.readouterr().err
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
-def test_teams_without_a_budget_are_only_disrupted_with_unbudgeted(capsys: pytest.CaptureFixture[str]):
-    async def scenario(w: Simulation, operator):
+def test_teams_without_a_budget_are_disrupted_only_with_unbudgeted(capsys: pytest.CaptureFixture[str]):
+    async def scenario(simulation: Simulation, operator):
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.BAD_INPUT
         assert "no disruption budget for blue" in capsys.readouterr().err
-        (ref,) = await running_jobs(w, BLUE, **WHOLE)
-        w.cloud.room = 2
-        await operator.start("kernel", "--machine", machine_of(w, ref), "--unbudgeted")
+        (ref,) = await running_jobs(simulation, BLUE, **WHOLE_MACHINE)
+        simulation.cloud.room = 2
+        await operator.start("kernel", "--machine", machine_of(simulation, ref), "--unbudgeted")
         await operator.ends("kernel", 60.0)
 
-    drained(scenario, budgets={"red": 1})
+    play_with_budgets(scenario, budgets={"red": 1})
 
 
-def test_a_repeated_request_prints_the_drain_s_state_and_other_terms_are_refused(capsys: pytest.CaptureFixture[str]):
-    async def scenario(w: Simulation, operator):
-        await running_jobs(w, RED, **WHOLE)
+def test_a_repeated_request_prints_the_drain_s_state_and_other_terms_are_rejected(capsys: pytest.CaptureFixture[str]):
+    async def scenario(simulation: Simulation, operator):
+        await running_jobs(simulation, RED, **WHOLE_MACHINE)
         await operator.start("kernel", "--zone", "east")
-        before = w.service.keys[keys.DRAIN_PREFIX + "kernel"]
+        before = simulation.service.keys[keys.DRAIN_PREFIX + "kernel"]
         code, printed = await operator("start", "kernel", "--zone", "east")
         assert code == ExitCode.OK and printed["drains"][0]["name"] == "kernel"
         assert (await operator("start", "kernel", "--zone", "west"))[0] == ExitCode.BAD_INPUT
         assert "exists already with other terms" in capsys.readouterr().err
-        assert w.service.keys[keys.DRAIN_PREFIX + "kernel"][0]["request"] == before[0]["request"]
+        assert simulation.service.keys[keys.DRAIN_PREFIX + "kernel"][0]["request"] == before[0]["request"]
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
 def test_failures_of_the_store_and_the_cloud_have_their_own_exit_codes():
-    async def scenario(w: Simulation, operator):
+    async def scenario(simulation: Simulation, operator):
         assert (await operator("status", "none"))[0] == ExitCode.NOT_FOUND
         assert (await operator("abort", "none"))[0] == ExitCode.NOT_FOUND
-        await running_jobs(w, RED, **WHOLE)
-        w.cloud.down = True
+        await running_jobs(simulation, RED, **WHOLE_MACHINE)
+        simulation.cloud.down = True
         assert (await operator("plan", "--zone", "east"))[0] == ExitCode.UNAVAILABLE
         assert (await operator("status"))[0] == ExitCode.OK, "status needs no list"
-        w.cloud.down = False
-        w.service.refused.add("operator")
+        simulation.cloud.down = False
+        simulation.service.refused.add("operator")
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.UNAVAILABLE
-        w.service.refused.clear()
-        w.service.late = lambda node, body: 1.0 if node == "operator" else None
+        simulation.service.refused.clear()
+        simulation.service.late = lambda node, body: 1.0 if node == "operator" else None
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.UNAVAILABLE
-        w.service.late = lambda node, body: None
+        simulation.service.late = lambda node, body: None
         await asyncio.sleep(2.0)
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.OK, "it was carried out late"
-        commit = w.service.commit
-        w.service.commit = lambda body: (400, {"error": "malformed"})
+        commit = simulation.service.commit
+        simulation.service.commit = lambda body: (400, {"error": "malformed"})
         assert (await operator("start", "other", "--zone", "west"))[0] == ExitCode.REFUSED
-        w.service.commit = lambda body: (409, {"failed": [keys.DRAIN_PREFIX + "kernel"], "epoch": 1})
+        simulation.service.commit = lambda body: (409, {"failed": [keys.DRAIN_PREFIX + "kernel"], "epoch": 1})
         assert (await operator("abort", "kernel"))[0] == ExitCode.CONFLICT
-        w.service.commit = commit
+        simulation.service.commit = commit
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
-def test_a_preview_names_the_jobs_of_each_wave_and_changes_nothing():
-    async def scenario(w: Simulation, operator):
-        w.cloud.room = 2
-        refs = await running_jobs(w, RED, RED, BLUE, **WHOLE)
+def test_a_preview_lists_the_jobs_of_each_wave_and_changes_nothing():
+    async def scenario(simulation: Simulation, operator):
+        simulation.cloud.room = 2
+        refs = await running_jobs(simulation, RED, RED, BLUE, **WHOLE_MACHINE)
         await asyncio.sleep(10.0)
-        before = dict(w.service.keys)
-        machines = [part for ref in refs for part in ("--machine", machine_of(w, ref))]
+        before = dict(simulation.service.keys)
+        machines = [argument for ref in refs for argument in ("--machine", machine_of(simulation, ref))]
         code, printed = await operator("plan", *machines, "--batch", "3", "--fewest")
         assert code == ExitCode.OK and printed["disrupted"] == {"red": 2, "blue": 1}
         assert printed["fewest_waves"] == 2 and printed["fewest_is_exact"]
@@ -129,61 +129,62 @@
         assert all(len(jobs) <= 1 for wave in printed["waves"] for jobs in wave["jobs"].values())
         assert [len(wave["machines"]) for wave in printed["waves"]] == [1, 1, 1], "one free machine at a time"
         drains = {
-            k: v
-            for k, v in w.service.keys.items()
-            if k.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX))
+            key: stored
+            for key, stored in simulation.service.keys.items()
+            if key.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX))
         }
-        assert not drains and before.keys() == w.service.keys.keys()
+        assert not drains and before.keys() == simulation.service.keys.keys()
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
-def test_a_preview_lists_what_can_t_be_drained_and_why():
-    async def scenario(w: Simulation, operator):
-        refs = await running_jobs(w, RED, RED, BLUE, BLUE, **WHOLE)
+def test_a_preview_lists_undrainable_machines_and_the_reasons():
+    async def scenario(simulation: Simulation, operator):
+        refs = await running_jobs(simulation, RED, RED, BLUE, BLUE, **WHOLE_MACHINE)
         code, printed = await operator("plan", "--zone", "east")
         assert code == ExitCode.OK and not printed["waves"] and len(printed["left"]) == 2
         assert {wait["kind"] for wait in printed["waits"]} == {"room"} and printed["jobs_without_room"] == 1
         assert refs
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
-def test_status_waits_for_the_end_for_as_long_as_its_option_allows():
-    async def scenario(w: Simulation, operator):
-        (ref,) = await running_jobs(w, RED, run_s=LONG_S, **WHOLE)
-        await operator.start("kernel", "--machine", machine_of(w, ref), "--finish", "30")
-        began = w.now()
+def test_status_waits_for_the_end_up_to_its_timeout():
+    async def scenario(simulation: Simulation, operator):
+        (ref,) = await running_jobs(simulation, RED, run_s=LONG_RUN_S, **WHOLE_MACHINE)
+        await operator.start("kernel", "--machine", machine_of(simulation, ref), "--finish", "30")
+        began = simulation.now()
         assert (await operator("status", "kernel", "--wait", "5"))[0] == ExitCode.WAITING
-        assert 5.0 <= w.now() - began < 8.0 and cordoned(w)
-        w.cloud.room = 1
+        assert 5.0 <= simulation.now() - began < 8.0 and cordoned(simulation)
+        simulation.cloud.room = 1
         assert (await operator("status", "kernel", "--wait", "200"))[0] == ExitCode.OK
 
-    drained(scenario)
+    play_with_budgets(scenario)
 
 
-def test_a_share_takes_the_machines_with_the_fewest_tasks():
-    async def scenario(w: Simulation):
-        operator = Operator(w)
-        refs = await running_jobs(w, RED, BLUE, **WHOLE)
-        busy = {machine_of(w, ref) for ref in refs}
+def test_a_share_selects_the_machines_with_the_fewest_tasks():
+    async def scenario(simulation: Simulation):
+        operator = Operator(simulation)
+        refs = await running_jobs(simulation, RED, BLUE, **WHOLE_MACHINE)
+        busy = {machine_of(simulation, ref) for ref in refs}
         await operator.start("kernel", "--share", "0.5")
         assert not busy & set(operator.record("kernel").machines())
 
     play(scenario, teams=TEAMS, operations=operations(red=1, blue=1))
 
 
-# -- the fewest waves ------------------------------------------------------------------------------
+# -- lower bound of waves --------------------------------------------------------------------------
 
 
 def loads(*machines: tuple[str, ...], gangs: frozenset[str] = frozenset()) -> list[MachineLoad]:
     return [
-        MachineLoad(f"vm-{i}", tuple(LoadedJob(j, "red", j in gangs) for j in jobs)) for i, jobs in enumerate(machines)
+        MachineLoad(f"vm-{number}", tuple(LoadedJob(job, "red", job in gangs) for job in jobs))
+        for number, jobs in enumerate(machines)
     ]
 
 
 @pytest.mark.parametrize(
-    ("machines", "batch", "budget", "fewest"),
+    ("machines", "batch", "budget", "expected_waves"),
     [
         ([("a",), ("b",), ("c",)], 3, 3, 1),
         ([("a",), ("b",), ("c",)], 2, 3, 2),
@@ -194,18 +195,18 @@
         ([], 1, 1, 0),
     ],
 )
-def test_the_lower_bound_is_the_fewest_waves(machines, batch, budget, fewest):
+def test_the_lower_bound_is_the_fewest_waves(machines, batch, budget, expected_waves):
     bound = wave_lower_bound(loads(*machines), batch, {"red": budget}, max_waves=6)
-    assert (bound.waves, bound.exact) == (fewest, True)
+    assert (bound.waves, bound.exact) == (expected_waves, True)
 
 
-def test_a_gang_that_was_evicted_once_has_left_its_other_machines():
+def test_a_gang_is_evicted_from_all_of_its_machines_at_once():
     gang = loads(("g", "a"), ("g", "b"), gangs=frozenset("g"))
     assert wave_lower_bound(gang, 1, {"red": 2}, max_waves=4).waves == 2
     assert wave_lower_bound(gang, 2, {"red": 3}, max_waves=4).waves == 1
 
 
-# -- the operators' file ---------------------------------------------------------------------------
+# -- operations file -------------------------------------------------------------------------------
 
 
 def load(tmp_path, text: str, params) -> Operations:
@@ -229,32 +230,36 @@
         ("[drain", "not TOML"),
     ],
 )
-def test_an_invalid_operations_file_is_refused_by_field(tmp_path: Path, params: PlatformParameters, text, message):
+def test_an_invalid_operations_file_is_rejected_with_the_field_name(
+    tmp_path: Path, params: PlatformParameters, text, message
+):
     with pytest.raises(InvalidSettingsError, match="(?s).*" + message.replace("'", ".")):
         load(tmp_path, text, params)
 
 
-def test_unknown_settings_are_ignored_and_without_a_file_drains_are_off(tmp_path: Path, params: PlatformParameters):
-    own = load(tmp_path, "colour = 1\n[drain]\nenabled = true\nlater = 2\n", params)
-    assert own.drain.enabled and not load_operations(None, params).drain.enabled
+def test_unknown_settings_are_ignored_and_drains_are_disabled_without_a_file(
+    tmp_path: Path, params: PlatformParameters
+):
+    operations_settings = load(tmp_path, "colour = 1\n[drain]\nenabled = true\nlater = 2\n", params)
+    assert operations_settings.drain.enabled and not load_operations(None, params).drain.enabled
     with pytest.raises(InvalidSettingsError, match="cannot read"):
         load_operations(str(tmp_path / "none.toml"), params)
 
 
-def test_the_deployed_file_holds_for_any_teams(params: PlatformParameters):
-    own = load_operations(str(ROOT / "deploy" / "operations.toml"), params)
-    assert own.drain.enabled and validate_operations(own, params) == own
+def test_the_deployed_operations_file_is_valid_for_any_teams(params: PlatformParameters):
+    operations_settings = load_operations(str(ROOT / "deploy" / "operations.toml"), params)
+    assert operations_settings.drain.enabled and validate_operations(operations_settings, params) == operations_settings
 
 
-def test_the_program_refuses_an_invalid_operations_file_with_exit_code_2(tmp_path: Path):
-    bad = tmp_path / "operations.toml"
-    bad.write_text("[drain]\nenabled = 3\n")
+def test_the_program_rejects_an_invalid_operations_file_with_exit_code_2(tmp_path: Path):
+    invalid_file = tmp_path / "operations.toml"
+    invalid_file.write_text("[drain]\nenabled = 3\n")
     config = tmp_path / "settings.toml"
     config.write_text(SETTINGS)
-    for words in (["serve"], ["drain", "status"]):
-        run = [sys.executable, "-m", "hookwall", *words, "--config", str(config), "--operations", str(bad)]
-        ended = subprocess.run(run, cwd=ROOT, capture_output=True, text=True, timeout=60)
-        assert ended.returncode == 2 and "drain.enabled" in ended.stderr, ended.stderr
+    for arguments in (["serve"], ["drain", "status"]):
+        run = [sys.executable, "-m", "hookwall", *arguments, "--config", str(config), "--operations", str(invalid_file)]
+        completed = subprocess.run(run, cwd=ROOT, capture_output=True, text=True, timeout=60)
+        assert completed.returncode == 2 and "drain.enabled" in completed.stderr, completed.stderr
 
 
 SETTINGS = """
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -1,4 +1,4 @@
-"""The leader's part in drains, step by step: what is stored before what, and on which conditions."""
+"""The leader's drain controller, step by step: the order of its writes and their preconditions."""
 
 import asyncio
 
@@ -25,20 +25,20 @@
 
 
 class Leader:
-    """A leader with a job on each of some machines, free machines beside them, and a state service."""
+    """A leader with `MACHINES` machines that run one job each, as many free machines, and a key-value store."""
 
     def __init__(self, params, clock: Clock, state: FakeState) -> None:
         self.clock, self.state = clock, state
         state.epoch = 20
         state.keys[keys.LEADER_KEY] = ({}, 5)
         self.node = self._node(params)
-        self.written: list[str] = []  # the keys of each commit in turn
-        self.before: dict[str, object] = {}  # what happens just before a key is written
+        self.written: list[str] = []  # the keys that were written, in order
+        self.before_write: dict[str, object] = {}  # by key, a function that is called just before the key is written
         commit = state.commit
 
         async def recording_commit(when, put=(), hold=None, timeout=1.5, delete=()):
             for key, _ in put:
-                change = self.before.pop(key, None)
+                change = self.before_write.pop(key, None)
                 if change is not None:
                     change()
             result = await commit(when, put, hold, timeout, delete)
@@ -56,26 +56,26 @@
             )
         self.clock.tick(1.0)
         for number in range(2 * MACHINES):
-            node.heartbeat_router.respond(report(number, 2) if number < MACHINES else _idle(number))
+            node.heartbeat_router.respond(report(number, 2) if number < MACHINES else _idle_heartbeat(number))
         return node
 
     def _enable_drains(self, node: Node) -> None:
         from hookwall.drains.controller import DrainController
 
-        own = operations(grey=1)
+        operations_settings = operations(grey=1)
         node.drains.controller = DrainController(
-            own.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
+            operations_settings.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
             self.clock, self.clock, drains_allowed=lambda: True, is_confirmed_deleted=node.scale_out.is_gone,
         )  # fmt: skip
         node.fleet.set_catalog(_catalog())
 
     def request_drain(self, *machines: str, batch: int = 2, **terms) -> None:
-        """An operator has stored a drain."""
+        """Store a drain, as an operator does."""
         request = DrainRequest(selection=Selection(machines=machines), batch_size=batch, **terms)
         self.put(DRAIN, records.encode(new_drain_record(request, machines, self.clock())))
 
     def put(self, key: str, value: object) -> None:
-        """Somebody writes a key, and this node's watch shows it."""
+        """Write a key, and apply it as this node's watch does."""
         self.state.epoch += 1
         self.state.keys[key] = (value, self.state.epoch)
         self.node.drains.controller.table.apply_key(key, value, self.state.epoch)
@@ -84,11 +84,11 @@
         self.clock.tick(seconds)
         asyncio.run(self.node.drains.controller.advance_all())
 
-    def stopping(self) -> set[str]:
+    def stopping_jobs(self) -> set[str]:
         return {
             ref
             for ref, job in self.node.job_table.jobs.items()
-            if any(a.stop_grace_s for a in job.allocations.values())
+            if any(allocation.stop_grace_s for allocation in job.allocations.values())
         }
 
     def step(self, machine: str) -> StepRecord | None:
@@ -99,7 +99,7 @@
         return self.node.drains.controller.ledger.disruption_count("grey")
 
 
-def _idle(number: int) -> bytes:
+def _idle_heartbeat(number: int) -> bytes:
     head = report(number, 2)
     return head[: head.index(b'"pieces"')] + b'"pieces":[]}'
 
@@ -118,15 +118,15 @@
 
 def test_the_ledger_is_stored_before_the_step_and_the_step_before_the_stop(leader: Leader):
     leader.request_drain(FIRST)
-    seen: list[tuple[bool, bool]] = []
+    observed: list[tuple[bool, bool]] = []
     leader.tick()
-    assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping()
+    assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping_jobs()
     step = keys.CORDON_PREFIX + FIRST
-    leader.before[step] = lambda: seen.append(
-        (keys.DISRUPTION_PREFIX + "0" in leader.state.keys, bool(leader.stopping()))
+    leader.before_write[step] = lambda: observed.append(
+        (keys.DISRUPTION_PREFIX + "0" in leader.state.keys, bool(leader.stopping_jobs()))
     )
     leader.tick()
-    assert seen == [(True, False)] and leader.stopping() == {"run-000000"}
+    assert observed == [(True, False)] and leader.stopping_jobs() == {"run-000000"}
     page = records.decode(leader.state.keys[keys.DISRUPTION_PREFIX + "0"][0], DisruptionPage)
     assert [entry.job_id for entry in page.entries] == ["run-000000"]
     assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted_jobs == 1
@@ -138,16 +138,16 @@
     leader.request_drain(FIRST, SECOND)
     for _ in range(3):
         leader.tick()
-    assert leader.stopping() == {"run-000000"} and leader.disruption_count() == 1
+    assert leader.stopping_jobs() == {"run-000000"} and leader.disruption_count() == 1
     node = leader._node(params)
     node.drains.controller.load_for_leadership([KeyValueEntry(key, *stored) for key, stored in state.keys.items()])
     assert node.drains.controller.ledger.disruption_count("grey") == 1 and node.fleet.cordoned == {FIRST, SECOND}
     leader.node = node
     for _ in range(5):
         leader.tick()
-        assert not leader.stopping(), "whether the stop was sent is not known, so the budget stays spent"
+        assert not leader.stopping_jobs(), "whether the stop was sent is not known, so the budget stays spent"
     leader.tick(PERIOD_S)
-    assert len(leader.stopping()) == 1
+    assert len(leader.stopping_jobs()) == 1
 
 
 def test_a_leader_with_an_old_fencing_token_changes_nothing(leader: Leader, state: FakeState):
@@ -157,12 +157,12 @@
     before = dict(state.keys)
     with pytest.raises(PreconditionFailedError):
         leader.tick()
-    assert state.keys == before and not leader.stopping()
+    assert state.keys == before and not leader.stopping_jobs()
 
 
 @pytest.mark.parametrize("at_step", [1, 2])
 def test_an_abort_just_before_a_step_prevents_the_step(leader: Leader, at_step):
-    """The operator's write reaches the service just before the leader's, and the leader has not observed it."""
+    """The operator's write reaches the store just before the leader's, and the leader has not observed it."""
     leader.request_drain(FIRST)
     if at_step == 2:
         leader.tick()
@@ -172,13 +172,13 @@
         leader.state.epoch += 1
         leader.state.keys[DRAIN] = (records.encode(aborted_record(record, leader.clock())), leader.state.epoch)
 
-    leader.before[keys.CORDON_PREFIX + FIRST] = abort
+    leader.before_write[keys.CORDON_PREFIX + FIRST] = abort
     with pytest.raises(PreconditionFailedError) as conflict:
         leader.tick()
-    assert not leader.stopping()
+    assert not leader.stopping_jobs()
     asyncio.run(leader.node.drains.controller.writer.reread(conflict.value.keys))
     leader.tick()
-    assert leader.step(FIRST) is None and not leader.stopping() and not leader.node.fleet.cordoned
+    assert leader.step(FIRST) is None and not leader.stopping_jobs() and not leader.node.fleet.cordoned
     assert leader.node.drains.controller.table.drains["kernel"].record.phase is DrainPhase.ABORTED
 
 
@@ -190,7 +190,7 @@
         leader.state.epoch += 1
         leader.state.keys[keys.CORDON_PREFIX + FIRST] = (records.encode(other), leader.state.epoch)
 
-    leader.before[keys.CORDON_PREFIX + FIRST] = cordon
+    leader.before_write[keys.CORDON_PREFIX + FIRST] = cordon
     with pytest.raises(PreconditionFailedError):
         leader.tick()
     assert leader.step(FIRST) == other
@@ -204,19 +204,19 @@
         raise RequestRejectedError("503")
 
     for _ in range(3):
-        leader.before[keys.CORDON_PREFIX + FIRST] = fail
+        leader.before_write[keys.CORDON_PREFIX + FIRST] = fail
         with pytest.raises(RequestRejectedError):
             leader.tick()
-        assert leader.disruption_count() == 1 and not leader.stopping()
+        assert leader.disruption_count() == 1 and not leader.stopping_jobs()
     leader.tick()
-    assert leader.disruption_count() == 1 and leader.stopping() == {"run-000000"}
+    assert leader.disruption_count() == 1 and leader.stopping_jobs() == {"run-000000"}
 
 
 def test_a_ledger_page_with_an_unknown_outcome_is_written_again(leader: Leader, state: FakeState):
     leader.request_drain(FIRST)
     leader.tick()
     page = keys.DISRUPTION_PREFIX + "0"
-    leader.before[page] = lambda: setattr(state, "mode", "ghost")
+    leader.before_write[page] = lambda: setattr(state, "mode", "ghost")
     with pytest.raises(OutcomeUnknownError):
         leader.tick()
     state.mode = "ok"
@@ -224,7 +224,7 @@
         leader.tick()
     asyncio.run(leader.node.drains.controller.writer.reread(conflict.value.keys))
     leader.tick()
-    assert leader.stopping() == {"run-000000"} and leader.disruption_count() == 1
+    assert leader.stopping_jobs() == {"run-000000"} and leader.disruption_count() == 1
 
 
 def test_a_disruption_by_another_cause_is_stored_within_the_ledger_interval(leader: Leader):
@@ -242,30 +242,30 @@
 
 
 def test_a_cordoned_machine_is_not_schedulable_from_the_next_round_on(leader: Leader):
-    """A free machine is to be drained, and another job comes before it is returned."""
+    """A free machine is being drained, and another job arrives before the machine is back in service or deleted."""
     fleet, free = leader.node.fleet, f"vm-{MACHINES:06d}"
     assert fleet.is_schedulable(fleet.machines[free], leader.clock())
     leader.request_drain(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
     leader.tick()
     assert not fleet.is_schedulable(fleet.machines[free], leader.clock())
-    standing, _ = leader.node.scale_out.capacity.machine_counts(leader.clock())
-    assert standing == 2 * MACHINES - 1, "a replacement is rented where need says so"
+    machine_count, _ = leader.node.scale_out.capacity.machine_counts(leader.clock())
+    assert machine_count == 2 * MACHINES - 1, "a replacement is rented where need says so"
 
 
-def test_a_start_that_is_stored_but_not_launched_is_not_launched_on_a_cordoned_machine(leader: Leader):
+def test_a_stored_allocation_is_not_launched_once_its_machine_is_cordoned(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
     job = node.job_table.jobs["run-000002"]
-    (start,) = _allocations(leader, job.job_id)
+    (allocation,) = _allocations(leader, job.job_id)
     record = {**job.stored_value, "on": [[free, 1, 2, "0"]], "next": 3}
     node.job_table.apply_record(keys.JOB_PREFIX + job.job_id, record, 90)
-    assert job.allocations[0].machine == free != start.machine
+    assert job.allocations[0].machine == free != allocation.machine
     leader.put(keys.CORDON_PREFIX + free, records.encode(StepRecord(
         drain="kernel", phase=StepPhase.CORDONED, cordoned_at=1.0, changed_at=1.0)))  # fmt: skip
-    _, answer = node.heartbeat_router.respond(_idle(MACHINES).replace(b'"tick":2', b'"tick":3'))
-    assert b"launch" not in answer and not job.allocations, "it is placed elsewhere"
+    _, response = node.heartbeat_router.respond(_idle_heartbeat(MACHINES).replace(b'"tick":2', b'"tick":3'))
+    assert b"launch" not in response and not job.allocations, "it is placed elsewhere"
 
 
-def test_scale_in_leaves_a_machine_in_maintenance_alone(leader: Leader):
+def test_scale_in_does_not_drain_a_machine_in_maintenance(leader: Leader):
     node, free = leader.node, f"vm-{MACHINES:06d}"
     leader.request_drain(free, empty_machine_policy=EmptyMachinePolicy.HOLD)
     for _ in range(2):
@@ -275,11 +275,11 @@
     node.fleet.machines[free].first_heartbeat_at = 0.0
     node.scale_out.scale_in.drain_excess_machines(leader.clock())
     assert node.fleet.machines[free].phase is MachinePhase.UP
-    others = [m for m in node.fleet.machines.values() if m.phase is MachinePhase.DRAINING]
+    others = [machine for machine in node.fleet.machines.values() if machine.phase is MachinePhase.DRAINING]
     assert others, "idle machines beside it are beyond need"
 
 
-def test_a_machine_of_another_drain_is_left_to_it_and_named_as_the_reason(leader: Leader):
+def test_a_machine_of_another_drain_is_skipped_and_reported_as_the_reason(leader: Leader):
     leader.put(keys.CORDON_PREFIX + FIRST, records.encode(StepRecord(
         drain="other", phase=StepPhase.CORDONED, cordoned_at=leader.clock(), changed_at=1.0)))  # fmt: skip
     other = DrainRequest(selection=Selection(machines=(FIRST,)), finish_grace_s=600.0)
@@ -287,14 +287,17 @@
     leader.request_drain(FIRST)
     leader.tick()
     leader.tick(6.0)
-    assert leader.step(FIRST).drain == "other" and not leader.stopping()
+    assert leader.step(FIRST).drain == "other" and not leader.stopping_jobs()
     assert (
         leader.node.drains.controller.table.drains["kernel"].record.wait_reason == f"{FIRST} is being drained by other"
     )
 
 
-def test_a_relocated_job_is_served_as_one_that_starves(leader: Leader):
-    """What is kept for gangs to come was found for it; it waited a minute beside it."""
+def test_a_relocated_job_is_scheduled_like_a_starving_job(leader: Leader):
+    """The planner finds capacity for the job that the scheduler withholds for gangs.
+
+    Without this priority the job waited a minute beside that capacity.
+    """
     scheduler = leader.node.scheduler
     leader.request_drain(FIRST)
     for _ in range(2):
@@ -309,8 +312,8 @@
     assert not scheduler._starves(other, leader.clock())
 
 
-def test_a_machine_with_tasks_is_neither_empty_nor_deleted(leader: Leader):
+def test_a_machine_with_tasks_is_neither_marked_empty_nor_deleted(leader: Leader):
     leader.request_drain(FIRST, finish_grace_s=600.0)
     for _ in range(4):
         leader.tick()
-    assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping()
+    assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping_jobs()
--- a/tests/drains/test_drain_ledger.py
+++ b/tests/drains/test_drain_ledger.py
@@ -1,4 +1,4 @@
-"""Disruptions, budgets, and how drains are stored."""
+"""The disruption ledger, budgets, and the stored records of drains."""
 
 import json
 from pathlib import Path
@@ -35,11 +35,11 @@
         (DisruptionBudget("red", jobs=50, share=0.1), 100, 10),
     ],
 )
-def test_a_share_is_rounded_down_but_not_to_nothing_and_the_smaller_limit_holds(budget, running, allowed):
+def test_a_share_is_rounded_down_but_not_to_zero_and_the_smaller_limit_applies(budget, running, allowed):
     assert allowed_disruptions(budget, running) == allowed
 
 
-def test_a_disruption_counts_until_its_period_is_over_and_the_job_runs_as_before(ledger: DisruptionLedger):
+def test_a_disruption_counts_until_its_period_is_over_and_the_job_has_recovered(ledger: DisruptionLedger):
     ledger.record_disruption("run-000001", "red", running_tasks=3, now=100.0)
     ledger.update_recovery(lambda ref: 2, 100.0 + 2 * PERIOD_S)
     assert ledger.disruption_count("red") == 1, "it has not recovered"
@@ -49,13 +49,13 @@
     assert ledger.disruption_count("red") == 0, "it had recovered before"
 
 
-def test_a_job_that_is_over_has_recovered(ledger: DisruptionLedger):
+def test_an_ended_job_counts_as_recovered(ledger: DisruptionLedger):
     ledger.record_disruption("run-000001", "red", running_tasks=3, now=100.0)
     ledger.update_recovery(lambda ref: None, 100.0)
     assert ledger.unrecovered_entry("run-000001") is None and ledger.disruption_count("red") == 1
 
 
-def test_a_job_counts_once_until_it_recovers_and_once_more_after(ledger: DisruptionLedger):
+def test_a_job_counts_once_until_it_recovers_and_again_if_disrupted_later(ledger: DisruptionLedger):
     ledger.record_disruption("run-000001", "red", running_tasks=3, now=100.0)
     ledger.record_disruption("run-000001", "red", running_tasks=1, now=110.0)
     assert ledger.disruption_count("red") == 1 and ledger.unrecovered_entry("run-000001").running_before == 3
@@ -66,7 +66,7 @@
     assert ledger.disruption_count("blue") == 0, "nobody asks about a team without a budget"
 
 
-def test_more_entries_than_a_value_holds_go_on_further_pages(ledger: DisruptionLedger):
+def test_entries_that_exceed_the_value_limit_are_stored_on_several_pages(ledger: DisruptionLedger):
     for n in range(100):
         ledger.record_disruption(f"run-{n:06d}", "red", running_tasks=1, now=100.0)
     assert len(ledger.pages) == 4
@@ -78,8 +78,11 @@
     assert not ledger.pages
 
 
-def test_a_new_leader_counts_the_period_of_what_has_not_recovered_from_its_beginning(ledger: DisruptionLedger):
-    """Its predecessor saw the loss after the stop was stored, and could not store that (drain_histories, seed 1000)."""
+def test_a_new_leader_restarts_the_period_of_jobs_that_have_not_recovered(ledger: DisruptionLedger):
+    """The previous leader may see a loss after it has stored the stop, and fail to store the loss's later time.
+
+    Found by drain_histories with seed 1000.
+    """
     ledger.record_disruption("run-000001", "red", running_tasks=1, now=100.0)
     ledger.record_disruption("run-000002", "red", running_tasks=1, now=100.0)
     ledger.update_recovery(lambda ref: 1 if ref == "run-000002" else 0, 101.0)
@@ -102,13 +105,13 @@
 
 
 @pytest.mark.parametrize(("name", "kind"), [("drain", DrainRecord), ("step", StepRecord), ("page", DisruptionPage)])
-def test_stored_records_are_read_and_written_as_they_were(name, kind):
+def test_golden_records_are_decoded_and_encoded_unchanged(name, kind):
     record = records.decode(GOLDEN[name], kind)
     assert records.encode(record) == GOLDEN[name]
 
 
-def test_the_digest_of_a_request_is_the_one_that_earlier_programs_stored():
-    """Under another digest the same request again would be refused as one with other terms."""
+def test_the_digest_of_a_request_equals_the_one_stored_by_earlier_versions():
+    """If the digest changed, a repeated request would be rejected as one with other terms."""
     request = DrainRequest(
         selection=Selection(machines=("vm-1",), machine_type="g4", zone="east", share=0.5),
         batch_size=3,
@@ -122,7 +125,7 @@
     assert DrainRequest(selection=Selection(zone="east")).digest() == "555291da0088a307"
 
 
-def test_the_golden_drain_means_what_it_did():
+def test_the_golden_drain_record_keeps_its_meaning():
     record = records.decode(GOLDEN["drain"], DrainRecord)
     assert record.machines() == ["vm-000002", "vm-000007"] and record.machine_count == 3 and record.is_active()
     assert record.is_overdue(1900.1) and not record.is_overdue(1899.9)
@@ -137,7 +140,7 @@
         records.decode({**GOLDEN["step"], "version": 2}, StepRecord)
 
 
-def test_a_malformed_step_cordons_its_machine_all_the_same():
+def test_a_malformed_step_still_cordons_its_machine():
     table = DrainTable(DisruptionLedger([], 2048, 0.0))
     table.apply_key("hookwall/cordon/vm-000002", {**GOLDEN["step"], "version": 2}, 5)
     assert table.cordoned == {"vm-000002"} and not table.steps
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -1,4 +1,4 @@
-"""Drains with real controller processes that are killed, workers and services on loopback."""
+"""Drains with real controller processes, which are killed, and with workers and services on the loopback interface."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from harness import drain_simulation
 from harness.drain_simulation import TEAMS, BudgetOracle, cordoned, operations
 from harness.loopback import LoopbackCluster, play_loopback
-from test_drains import BLUE, RED, WHOLE, machine_of
+from test_drains import BLUE, RED, WHOLE_MACHINE, machine_of
 
 from hookwall.drains.command import ExitCode
 from hookwall.drains.records import DrainRecord, decode
@@ -17,42 +17,46 @@
 
 
 def test_no_team_loses_more_running_jobs_than_its_budget_while_controllers_are_killed(monkeypatch: pytest.MonkeyPatch):
-    """Half of the machines are replaced; the leader is killed while the first is emptied, and the next one later."""
+    """The machines of four jobs are drained. Leaders are killed after the first cordon and after two evictions."""
     monkeypatch.setattr(drain_simulation, "PERIOD_S", 4.0)
 
-    async def scenario(w: LoopbackCluster) -> None:
-        oracle = BudgetOracle(w, BUDGETS).watch()
-        w.cloud.room = 6
-        refs = [w.job(n, run_s=RUN_S, **(RED, BLUE)[n % 2], **WHOLE) for n in range(1, 5)]
+    async def scenario(cluster: LoopbackCluster) -> None:
+        oracle = BudgetOracle(cluster, BUDGETS).watch()
+        cluster.cloud.room = 6
+        refs = [cluster.job(n, run_s=RUN_S, **(RED, BLUE)[n % 2], **WHOLE_MACHINE) for n in range(1, 5)]
         for ref in refs:
-            await w.accepted(ref, w.names[0], 40.0)
+            await cluster.accepted(ref, cluster.names[0], 40.0)
         for ref in refs:
-            await w.runs(ref, 40.0)
-        machines = [machine_of(w, ref) for ref in refs]
-        named = [part for machine in machines for part in ("--machine", machine)]
-        code, printed = await w.call("drain", "plan", *named, "--batch", "2")
+            await cluster.runs(ref, 40.0)
+        machines = [machine_of(cluster, ref) for ref in refs]
+        arguments = [argument for machine in machines for argument in ("--machine", machine)]
+        code, printed = await cluster.call("drain", "plan", *arguments, "--batch", "2")
         assert code == ExitCode.OK and printed["disrupted"] == {"blue": 2, "red": 2}
-        assert not any(key.startswith(keys.DRAIN_PREFIX) for key in w.service.keys)
-        code, _ = await w.call("drain", "start", "kernel", *named, "--batch", "2")
+        assert not any(key.startswith(keys.DRAIN_PREFIX) for key in cluster.service.keys)
+        code, _ = await cluster.call("drain", "start", "kernel", *arguments, "--batch", "2")
         assert code == ExitCode.OK
-        await w.until(lambda: bool(cordoned(w)), 30.0, "no cordon")
-        await replaced(w, w.leader_name())
-        await w.until(lambda: len(oracle.by_drains) >= 2, 120.0, "nothing is drained after the leader was killed")
-        await replaced(w, w.leader_name())
-        code, printed = await w.call("drain", "status", "kernel", "--wait", "150")
+        await cluster.until(lambda: bool(cordoned(cluster)), 30.0, "no cordon")
+        await restart_controller(cluster, cluster.leader_name())
+        await cluster.until(lambda: len(oracle.by_drains) >= 2, 120.0, "nothing is drained after the leader was killed")
+        await restart_controller(cluster, cluster.leader_name())
+        code, printed = await cluster.call("drain", "status", "kernel", "--wait", "150")
         assert code == ExitCode.OK and printed["drains"][0]["phase"] == "finished", printed
-        record = decode(w.service.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
-        assert record.outcome_counts == {"returned": 4} and not set(machines) & w.workers.keys() and not cordoned(w)
+        record = decode(cluster.service.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
+        assert (
+            record.outcome_counts == {"returned": 4}
+            and not set(machines) & cluster.workers.keys()
+            and not cordoned(cluster)
+        )
         for ref in refs:
-            await w.runs(ref, 60.0)
+            await cluster.runs(ref, 60.0)
         assert sorted(set(oracle.by_drains)) == sorted(refs)
 
     play_loopback(scenario, machines=6, teams=TEAMS, operations=operations(**BUDGETS))
 
 
-async def replaced(w: LoopbackCluster, name: str | None) -> None:
-    """A controller is killed and comes back after three seconds."""
+async def restart_controller(cluster: LoopbackCluster, name: str | None) -> None:
+    """Kill a controller and start it again after three seconds."""
     assert name is not None
-    w.crash(name)
+    cluster.crash(name)
     await asyncio.sleep(3.0)
-    w.start(name)
+    cluster.start(name)
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -1,12 +1,12 @@
-"""What a drain takes, on simulated machines and one clock, and what it costs the leader with thousands of machines.
+"""Measures the duration of a drain in a simulation, and its cost for a leader with thousands of machines.
 
     python tools/drain_measure.py empty [--machines 40] [--batch 4] [--jobs 2] [--no-drain]
     python tools/drain_measure.py cost [--machines 4000]
 
-`empty` drains one of two zones of a fleet under load and prints one line of JSON: the time that it took against the
-lower bound that batch and budgets allow, the time of each machine from cordon to deletion, how long stopped jobs were
-away, and how long urgent jobs that came meanwhile waited. `cost` times the leader's plans of a drain beside a round of
-decisions.
+`empty` drains one of two zones of a fleet under load and prints one line of JSON: the duration of the drain and the
+lower bound that follows from the batch size and the budgets, the time from cordon to deletion of the machines, how long
+stopped jobs did not run, and how long urgent jobs that arrived during the drain waited. `cost` measures the time of the
+leader's drain plans and of a scheduling round.
 """
 
 import argparse
@@ -37,11 +37,11 @@
 
 RUN_S = 900.0
 WARM_UP_S = 30.0
-URGENT_EVERY_S = 6.0
-URGENT_FOR_S = 240.0
-ENDS_S = 3000.0
-LONGEST_MS = 3_600_000
-DIGITS = 3  # significant digits of a histogram
+URGENT_INTERVAL_S = 6.0
+URGENT_DURATION_S = 240.0
+END_TIMEOUT_S = 3000.0
+MAX_DURATION_MS = 3_600_000
+SIGNIFICANT_DIGITS = 3  # precision of the histograms
 REPEATS = 20
 
 
@@ -49,7 +49,7 @@
     """A distribution of durations."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, LONGEST_MS, DIGITS)
+        self.histogram = HdrHistogram(1, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
 
     def add(self, seconds: float) -> None:
         self.histogram.record_value(max(1, round(1000 * seconds)))
@@ -61,7 +61,7 @@
 
 
 class DrainObserver:
-    """Times steps and urgent jobs in a simulation."""
+    """Measures the durations of steps and the waiting times of urgent jobs in a simulation."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
@@ -79,49 +79,56 @@
         for machine in self.cordoned_at.keys() - cordoned_now:
             self.steps.add(now - self.cordoned_at.pop(machine))
 
-    async def urgent_jobs(self, first: int) -> None:
-        """An urgent job now and then; how long it waits for its start."""
-        for n in range(first, first + int(URGENT_FOR_S / URGENT_EVERY_S)):
-            self.simulation.go(self._urgent(n))
-            await asyncio.sleep(URGENT_EVERY_S)
+    async def submit_urgent_jobs(self, first: int) -> None:
+        """Submit urgent jobs at a fixed interval, and measure how long each waits for its start."""
+        for number in range(first, first + int(URGENT_DURATION_S / URGENT_INTERVAL_S)):
+            self.simulation.go(self._measure_urgent_job(number))
+            await asyncio.sleep(URGENT_INTERVAL_S)
 
-    async def _urgent(self, n: int) -> None:
-        w = self.simulation
-        ref, began = w.job(n, run_s=40.0, owner="blue", rank="urgent", cards=4.0), w.now()
-        await w.accepted(ref)
-        await w.until(lambda: w.jobs[ref].first_start is not None, 600.0, f"{ref} was not started")
-        self.urgent.add(w.jobs[ref].first_start - began)
+    async def _measure_urgent_job(self, number: int) -> None:
+        simulation = self.simulation
+        ref, started_at = simulation.job(number, run_s=40.0, owner="blue", rank="urgent", cards=4.0), simulation.now()
+        await simulation.accepted(ref)
+        await simulation.until(lambda: simulation.jobs[ref].first_start is not None, 600.0, f"{ref} was not started")
+        self.urgent.add(simulation.jobs[ref].first_start - started_at)
 
 
 def empty(args: argparse.Namespace) -> dict[str, Any]:
-    """Drain a zone of a fleet under load."""
+    """Measure the drain of a zone of a fleet under load."""
     budgets = {"red": args.jobs, "blue": args.jobs}
-    found: dict[str, Any] = {}
-
-    async def scenario(w: Simulation) -> None:
-        w.cloud.room = args.machines
-        oracle, observer, operator = BudgetOracle(w, budgets).watch(), DrainObserver(w), Operator(w)
+    results: dict[str, Any] = {}
+
+    async def scenario(simulation: Simulation) -> None:
+        simulation.cloud.room = args.machines
+        oracle, observer, operator = (
+            BudgetOracle(simulation, budgets).watch(),
+            DrainObserver(simulation),
+            Operator(simulation),
+        )
         count = args.machines
         for n in range(1, count + 1):
             team = ("red", "blue")[n % 2]
-            ref = w.job(n, run_s=RUN_S, owner=team, rank="low", cards=1.0 + n % 4, pieces=1 + n % 2, pinEveryS=10.0)
-            w.jobs[ref].save_s = 2.0
-            await w.accepted(ref)
+            ref = simulation.job(
+                n, run_s=RUN_S, owner=team, rank="low", cards=1.0 + n % 4, pieces=1 + n % 2, pinEveryS=10.0
+            )
+            simulation.jobs[ref].save_s = 2.0
+            await simulation.accepted(ref)
         await asyncio.sleep(WARM_UP_S)
-        which = ["--zone", "east", "--batch", str(args.batch)]
-        began = w.now()
-        urgent = w.go(observer.urgent_jobs(count + 1))
+        selection = ["--zone", "east", "--batch", str(args.batch)]
+        started_at = simulation.now()
+        urgent = simulation.go(observer.submit_urgent_jobs(count + 1))
         if not args.no_drain:
-            code, plan = await operator("plan", *which, "--fewest")
-            _, at_once = await operator("plan", "--zone", "east", "--batch", str(args.machines), "--fewest")
+            code, plan = await operator("plan", *selection, "--fewest")
+            _, unbatched_plan = await operator("plan", "--zone", "east", "--batch", str(args.machines), "--fewest")
             assert code == 0
-            began = w.now()
-            await operator.start("measured", *which)
-            await operator.ends("measured", ENDS_S)
-            periods = at_once["fewest_waves"] - 1  # the first wave needs none
-            found.update(
-                took_s=round(w.now() - began, 1), waves_planned=len(plan["waves"]), waves_fewest=plan["fewest_waves"],
-                budgets_bound_s=PERIOD_S * periods, bound_is_exact=at_once["fewest_is_exact"],
+            started_at = simulation.now()
+            await operator.start("measured", *selection)
+            await operator.ends("measured", END_TIMEOUT_S)
+            periods = unbatched_plan["fewest_waves"] - 1  # the first wave waits for no budget period
+            results.update(
+                took_s=round(simulation.now() - started_at, 1),
+                waves_planned=len(plan["waves"]), waves_fewest=plan["fewest_waves"],
+                budgets_bound_s=PERIOD_S * periods, bound_is_exact=unbatched_plan["fewest_is_exact"],
                 jobs_stopped=len(oracle.by_drains), machines=operator.record("measured").machine_count,
                 machine=observer.steps.summary(),
             )  # fmt: skip
@@ -130,11 +137,11 @@
         for loss in oracle.losses:
             assert loss.restored_at is not None, loss
             observer.away.add(loss.restored_at - loss.first_at)
-        found.update(urgent=observer.urgent.summary(), losses=len(oracle.losses), away=observer.away.summary())
+        results.update(urgent=observer.urgent.summary(), losses=len(oracle.losses), away=observer.away.summary())
 
     state = StoreLimits(rps=300.0, write_rps=100.0, value_kb=16.0, txn_ops=12)
     play(scenario, args.machines, teams=TEAMS, operations=operations(**budgets), state=state)
-    return found
+    return results
 
 
 def fleet_params() -> PlatformParameters:
@@ -146,24 +153,24 @@
     )  # fmt: skip
 
 
-def timed(work: Any) -> float:
-    """The median of some calls, in milliseconds."""
+def median_ms(function: Any) -> float:
+    """Return the median duration of `REPEATS` calls, in milliseconds."""
     times: list[float] = []
     for _ in range(REPEATS):
-        began = time.perf_counter()
-        work()
-        times.append(1000 * (time.perf_counter() - began))
+        started_at = time.perf_counter()
+        function()
+        times.append(1000 * (time.perf_counter() - started_at))
     return round(median(times), 2)
 
 
 def cost(args: argparse.Namespace) -> dict[str, Any]:
-    """What a leader's plan of a drain costs beside its round, with a job on each of many machines."""
+    """Measure a leader's drain plans and its scheduling round, with one job on each machine."""
     params = fleet_params()
     clock = time.monotonic
     node = leading(params, clock, args.machines)
     names = sorted(node.fleet.machines)
     drains = node.build_drain_controller(DrainSettings(True, [DisruptionBudget("grey", jobs=10)]))
-    result = {"machines": args.machines, "round_ms": timed(node.scheduler.run_round)}
+    result = {"machines": args.machines, "round_ms": median_ms(node.scheduler.run_round)}
     requested = DrainRequest(selection=Selection(share=1.0), batch_size=args.batch)
     record = request.new_drain_record(requested, names, clock())
     drains.table.set_drain("measured", record, 5)
@@ -172,12 +179,12 @@
         drains.plan_builder.reset()
         drains.plan_builder.build_plan("measured")
 
-    result["search_ms"] = timed(plan_with_search)
+    result["search_ms"] = median_ms(plan_with_search)
     for name in names[: args.batch]:
         step = records.StepRecord(drain="measured", phase=records.StepPhase.CORDONED, cordoned_at=0.0, changed_at=0.0)
         drains.table.set_step(name, step, 6)
-    result["look_ms"] = timed(lambda: drains.plan_builder.build_plan("measured"))
-    result["round_with_cordons_ms"] = timed(node.scheduler.run_round)
+    result["look_ms"] = median_ms(lambda: drains.plan_builder.build_plan("measured"))
+    result["round_with_cordons_ms"] = median_ms(node.scheduler.run_round)
     result["record_bytes"] = len(json.dumps(records.encode(record)))
     result["sparse_record_bytes"] = len(json.dumps(name_codec.encode(names[::2])))
     return result
