--- a/hookwall/scheduling/cached_image_wait.py
+++ b/hookwall/scheduling/cached_image_wait.py
@@ -28,9 +28,9 @@
     def should_wait(
         self, job: Job, placements: list[Placement], state: RoundState, within_guarantee: bool, now: float
     ) -> bool:
-        """Returns whether to wait for a machine that has the image, because preemption is faster than a fetch.
+        """Return whether to wait for a machine that has the image, because preemption is faster than a fetch.
 
-        Also returns True while the job leaves the free machine to an equal job whose image is cached there.
+        Also return True while the job leaves the free machine to an equal job whose image is cached there.
         """
         spec = job.spec
         assert spec is not None
@@ -55,7 +55,10 @@
 
     @staticmethod
     def _has_cached_reservation(job: Job, state: RoundState) -> bool:
-        """Returns whether a machine with the job's image is reserved for it; others are not worth waiting for."""
+        """Return whether a machine that has the job's image is reserved for the job.
+
+        Reserved machines without the image are not worth waiting for.
+        """
         return any(
             job_id == job.job_id and index in state.machines and job.image_index in state.machines[index].cached_images
             for index, job_id in state.reserved_for.items()
--- a/hookwall/scheduling/feasibility.py
+++ b/hookwall/scheduling/feasibility.py
@@ -12,7 +12,7 @@
 
 
 def infeasibility_reason(spec: JobSpec, catalog: Catalog, teams: Mapping[str, TeamQuota]) -> str | None:
-    """Returns the reason, as shown to users, why the job can never run; None if it can run."""
+    """Return the reason, as shown to users, why the job can never run; None if it can run."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
@@ -27,7 +27,7 @@
 
 
 def _admits_task(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Returns whether one task fits an empty machine of this type and the job's constraints admit the type."""
+    """Return whether one task fits an empty machine of this type and the job's constraints admit the type."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in machine_type.zones:
--- a/hookwall/scheduling/fit.py
+++ b/hookwall/scheduling/fit.py
@@ -11,7 +11,8 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import ROUNDING
 
-EXCLUSIVE_SHARE = 0.5  # a task with a larger share of a machine leaves no capacity there for a second one
+# A task that takes a larger share of a machine counts as taking all of it, because a second such task does not fit.
+EXCLUSIVE_SHARE = 0.5
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,12 +21,12 @@
 
     catalog: Catalog | None  # the catalog from which the fit was computed
     machine_share: float  # smallest share of a machine that a task takes on any allowed type; 0 if it fits none
-    needs_whole_machine: bool  # whether a task takes most of an on-demand machine of every allowed type
+    needs_whole_machine: bool  # whether it can't use spot instances and no allowed type holds two of its tasks
     startup_s: float  # shortest time to boot a newly provisioned machine and fetch the image there
 
 
 def task_fit(job: Job, fleet: Fleet) -> TaskFit:
-    """Returns how the job fits the machine types of the current catalog; the result is cached in the job."""
+    """Return how the job fits the machine types of the current catalog; the result is cached in the job."""
     cached = job.machine_type_fit
     if not isinstance(cached, TaskFit) or cached.catalog is not fleet.catalog:
         cached = job.machine_type_fit = _compute_fit(job, fleet)
@@ -33,7 +34,7 @@
 
 
 def _compute_fit(job: Job, fleet: Fleet) -> TaskFit:
-    """Computes the fit over all machine types that the job may use; a job without a specification fits none."""
+    """Compute the fit over all machine types that the job may use; a job without a specification fits none."""
     spec = job.spec
     if spec is None:
         return TaskFit(fleet.catalog, 0.0, needs_whole_machine=False, startup_s=0.0)
@@ -54,7 +55,10 @@
 
 
 def _machine_share(spec: JobSpec, machine_type: MachineType) -> float:
-    """Returns the largest share of a machine's GPUs, CPUs or memory that one task takes; 0 if it does not fit."""
+    """Return the largest share of a machine's GPUs, CPUs or memory that one task takes; 0 if it does not fit.
+
+    A share above `EXCLUSIVE_SHARE` counts as 1.
+    """
     needs = (
         (spec.gpus, machine_type.gpus),
         (spec.cpus, machine_type.cpus),
@@ -67,7 +71,7 @@
 
 
 def _excludes_second_task(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Returns whether a machine of this type cannot hold two tasks of the job."""
+    """Return whether a machine of this type cannot hold two tasks of the job."""
     return (
         2 * spec.gpus > machine_type.gpus > 0
         or 2 * spec.cpus > machine_type.cpus
--- a/hookwall/scheduling/image_affinity.py
+++ b/hookwall/scheduling/image_affinity.py
@@ -23,7 +23,8 @@
     satisfies_constraints,
 )
 
-# An image fetch that takes longer than this is worth freeing a machine with the image, and waiting for it this long.
+# If an image fetch takes longer than this, tasks may be preempted to free a machine that has the image, and the job
+# waits for that machine for at most this time.
 CACHED_IMAGE_WAIT_S = 12.0
 DECLINE_FETCH_RATIO = 0.35  # how long a job declines machines without its image, as a multiple of the fetch time
 ARRAY_DECLINE_FETCH_RATIO = 0.7  # for job arrays
@@ -48,7 +49,7 @@
         self.latest_start_s = latest_start_s
 
     def competing_images(self, job: Job, state: RoundState) -> set[int]:
-        """Returns the images of waiting jobs of the same rank and kind (gang or not), except the job's own image."""
+        """Return the images of waiting jobs of the same rank and kind (gang or not), except the job's own image."""
         spec = job.spec
         assert spec is not None
         if not state.waiting_images:
@@ -59,10 +60,11 @@
         return set(state.waiting_images.get(AffinityGroup(job.rank, spec.gang), ())) - {job.image_index}
 
     def may_keep_declining(self, queued: QueuedJob, now: float, fetch_s: float, fetch_ratio: float) -> bool:
-        """Returns whether a job may keep declining machines without its image, for `fetch_ratio` times the fetch time.
+        """Return whether a job may keep declining machines without its image, for `fetch_ratio` times the fetch time.
 
-        A starving job may not, nor one that would miss the latest start of its class. The latest start is
-        measured from the time of day at which the job arrived, because a new leader has not seen any job wait.
+        A starving job may not, and neither may a job that would miss the latest start of its class. The latest start is
+        measured from the time of day at which the job arrived, because a new leader has not itself observed how long a
+        job has waited.
         """
         assert queued.job.spec is not None
         if now - queued.last_served_at > STARVATION_S:
@@ -77,11 +79,11 @@
     def declines_machine(
         self, job: Job, machine: FreeCapacity, fetch_s: float, queued: QueuedJob | None, state: RoundState, now: float
     ) -> bool:
-        """Returns whether to leave a free machine for a short while to an equal job whose image is cached there.
+        """Return whether to leave a free machine for a short while to an equal job whose image is cached there.
 
-        Without this, in a burst the first job in the queue takes any machine that becomes free and fetches its image
-        for half a minute, while the next job waits for exactly that machine. A third of all machine time was spent on
-        fetches.
+        Without this rule, in a burst the first job in the queue takes any machine that becomes free and fetches its
+        image for half a minute, while the next job waits for exactly that machine. A third of all machine time was
+        then spent on image fetches.
         """
         if queued is None or not self.competing_images(job, state) & machine.cached_images:
             return False
@@ -90,12 +92,13 @@
     def exclude_contested(
         self, job: Job, machines: list[FreeCapacity], state: RoundState, now: float
     ) -> list[FreeCapacity]:
-        """Returns the machines, for a short while without those that have the image of another waiting array.
+        """Return `machines` without those that the job leaves for a short while to other waiting arrays.
 
-        Machines are excluded only if the job is queued and if they lack its own image.
+        A queued job leaves the machines that have the image of another waiting array and lack its own image. A job that
+        is not queued leaves no machines.
 
-        Without this, on a full cluster each freed GPU goes to the first job in the queue. One in four of these GPUs
-        then waited for an image fetch although the image of a later job was cached on the machine.
+        Without this rule, on a full cluster each freed GPU goes to the first job in the queue. One in four of these
+        GPUs then waited for an image fetch although the image of a later job was cached on the machine.
         """
         queued = self.waiting.get(job.job_id)
         spec = job.spec
@@ -111,11 +114,12 @@
     def exclude_contested_for_gang(
         self, job: Job, request: ResourceRequest, machines: list[FreeCapacity], state: RoundState, now: float
     ) -> list[FreeCapacity]:
-        """Returns the machines, for a while without free ones that have the image of an equal waiting job.
+        """Return `machines` without those that the gang leaves for a while to equal waiting jobs.
 
-        Machines are excluded only for a queued gang of several tasks. Such a gang starts once the last of its machines
-        has the image, and all the others are idle until then. Without this, in a queue of 50 gangs, three in four of
-        their tasks fetched an image for half a minute.
+        A queued gang of several tasks leaves the machines on which a task of it would fit now, but which have the image
+        of an equal waiting job and lack its own image. Such a gang starts once the last of its machines has the image,
+        and all the others are idle until then. Without this rule, in a queue of 50 gangs, three in four of their tasks
+        fetched an image for half a minute.
         """
         queued = self.waiting.get(job.job_id)
         spec = job.spec
--- a/hookwall/scheduling/machine_selection.py
+++ b/hookwall/scheduling/machine_selection.py
@@ -13,7 +13,7 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import FreeCapacity, ResourceRequest
 
-# A job with this many failures on a machine avoids it until `STARVATION_S` after the job's last failure.
+# A job with this many failures on a machine avoids that machine until `STARVATION_S` after the job's last failure.
 MAX_FAILURES_PER_MACHINE = 2
 
 
@@ -21,7 +21,7 @@
     """Filters a round's machines for one job at a time, and places the job on them."""
 
     def __init__(self, fleet: Fleet, reservations: Reservations, image_affinity: ImageAffinity) -> None:
-        """Shares all three objects with the scheduler."""
+        """All three objects are the scheduler's own."""
         self.fleet = fleet
         self.reservations = reservations
         self.image_affinity = image_affinity
@@ -29,11 +29,12 @@
     def available_machines(
         self, job: Job, request: ResourceRequest, state: RoundState, is_starving: bool, now: float
     ) -> list[FreeCapacity]:
-        """Returns the machines on which the job may be placed now.
+        """Return the machines on which the job may be placed now.
 
         `is_starving`: whether the job was not served for a long time.
         """
-        # The job avoids the machine only for a limited time: it may be the only one, and its fault may be gone.
+        # A job avoids a machine on which it failed for a limited time only: that machine may be the only one available,
+        # and its fault may be gone.
         avoids_failures = job.failures_by_machine and now - job.last_failure_at < STARVATION_S
         machines = [
             machine for index, machine in state.candidates(request.gpus).items()
@@ -59,7 +60,7 @@
         is_starving: bool,
         within_guarantee: bool,
     ) -> list[Placement]:
-        """Places the job with HAS on the given machines; uses machines that are set aside only if no others suffice."""
+        """Place the job with HAS on the given machines; use machines that are set aside only if no others suffice."""
         if (
             (state.set_aside_for_expected or state.set_aside_for_waiting)
             and not is_starving
@@ -67,7 +68,7 @@
             and not task_fit(job, self.fleet).needs_whole_machine
         ):
             if request.spot:
-                # Without this, older arrays refill each GPU of the machines that a gang waits for. These
+                # Without this exclusion, older arrays refill each GPU of the machines that a gang waits for. These
                 # arrays can use spot instances and the other machines, whereas gangs have no alternative.
                 machines = [machine for machine in machines if machine.index not in state.set_aside_for_waiting]
             placements = place(request, [m for m in machines if m.index not in state.set_aside_for_expected])
--- a/hookwall/scheduling/placement.py
+++ b/hookwall/scheduling/placement.py
@@ -1,9 +1,9 @@
 """Placement as a pure function: heterogeneity-aware scheduling (HAS) after the Frenzy paper.
 
-Each job uses the first shape (here a set of machines) of its ranked list that free GPUs can serve. Within a shape,
-best fit applies: of the machines that can hold all remaining tasks, the one with the fewest idle GPUs takes them. If no
-machine can hold all of them, the machine with the most idle GPUs takes as many as it can hold and the loop repeats. See
-docs/design.md for what was added (CPUs, memory, zones, spot instances) and why.
+Each job has a ranked list of shapes (here: sets of machines) and uses the first one whose free GPUs suffice. Within a
+shape, best fit applies: of the machines that can hold all remaining tasks, the one with the fewest idle GPUs takes
+them. If no machine can hold all of them, the machine with the most idle GPUs takes as many as it can hold and the loop
+repeats. See docs/design.md for what was added (CPUs, memory, zones, spot instances) and why.
 
 Invariant: a placement exceeds no machine's free capacity and violates no constraint of the request, a gang is placed as
 a whole or not at all, and the arguments are not modified.
@@ -51,16 +51,17 @@
 
 
 def idle_capacity(request: ResourceRequest, machine: FreeCapacity) -> float:
-    """Returns the machine's idle GPUs, or its idle CPUs if the tasks need no GPUs."""
+    """Return the machine's idle GPUs, or its idle CPUs if the tasks need no GPUs."""
     return machine.gpus if request.gpus > 0 else machine.cpus
 
 
 def tie_break_key(request: ResourceRequest, machine: FreeCapacity) -> _TieBreakKey:
-    """Returns the sort key of equally idle machines.
+    """Return the sort key of equally idle machines.
 
     Preferred are machines with the image, then spot instances if the job may use them (other jobs can't), then machines
     with a lower penalty (fewer consecutive errors), then cheaper ones, then those with the fewest GB of images of jobs
-    that can't run on spot instances. The last rule leaves images that take long to fetch to the jobs that need them.
+    that can't run on spot instances. The last rule keeps machines with images that take long to fetch free for the jobs
+    that need these images.
     """
     wastes_on_demand = request.spot and not machine.spot
     return (
@@ -74,7 +75,7 @@
 
 
 def place(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[Placement]:
-    """Returns on which machines the job's tasks are placed now; empty if none can be placed.
+    """Return on which machines the job's tasks are placed now; empty if none can be placed.
 
     The ranked shapes are: spot instances that have the image, if the job may use spot instances; machines that have the
     image; all machines. A gang uses a shape only if it serves all tasks. An array uses the first shape that serves all
@@ -98,7 +99,7 @@
 def _preferred_shapes(
     request: ResourceRequest, admitted: list[FreeCapacity], cached: list[FreeCapacity]
 ) -> Iterator[list[FreeCapacity]]:
-    """Yields the shapes before the last one, which is all admitted machines; each is a smaller set than the next."""
+    """Yield the shapes before the last one, which is all admitted machines; each is a smaller set than the next."""
     if request.spot:
         spot = [machine for machine in cached if machine.spot]
         if spot and len(spot) < len(cached):
@@ -110,9 +111,9 @@
 def _place_in_portions(
     request: ResourceRequest, admitted: list[FreeCapacity], cached: list[FreeCapacity]
 ) -> list[Placement]:
-    """Places an array that no single shape can serve in full on several shapes, best shapes first.
+    """Place an array on several shapes, best shapes first, because no single shape can hold all its tasks.
 
-    Each task on a machine without the image waits for a fetch, so such machines come last.
+    Each task on a machine without the image waits for an image fetch, so such machines come last.
     """
     count_by_machine: dict[int, int] = {}
     remaining = request.count
@@ -128,9 +129,9 @@
 
 
 def _place_in_zones(request: ResourceRequest, machines: Sequence[FreeCapacity], all_or_none: bool) -> list[Placement]:
-    """Places the job with HAS, within a single zone if it must stay in one.
+    """Place the job with HAS, within a single zone if it must stay in one.
 
-    Of the results of the zones, the one with the most tasks is returned, then the tightest.
+    Return the result of the zone in which the most tasks are placed; of equal results, return the tightest one.
     """
     if not request.one_zone:
         return _place_has(request, machines, all_or_none)
@@ -151,7 +152,7 @@
 def _zone_key(
     request: ResourceRequest, zone: int, machines: Sequence[FreeCapacity], placements: list[Placement]
 ) -> tuple[int, int, float, int, int]:
-    """Returns the sort key of a zone's result: most tasks, fewest machines, least idle capacity, fewest fetches."""
+    """Return the sort key of a zone's result: most tasks, fewest machines, least idle capacity, fewest fetches."""
     by_index = {machine.index: machine for machine in machines}
     used = [by_index[index] for index, _ in placements]
     return (
@@ -164,7 +165,7 @@
 
 
 def _place_has(request: ResourceRequest, machines: Sequence[FreeCapacity], all_or_none: bool) -> list[Placement]:
-    """Places the request with HAS on one set of machines."""
+    """Place the request with HAS on one set of machines."""
     if not request.spread:
         fitting_machines = _machines_fitting_all(request, machines)
         if fitting_machines:
@@ -188,9 +189,10 @@
 
 
 def _machines_fitting_all(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[FreeCapacity]:
-    """Returns the machines that can hold all tasks.
+    """Return the machines that can hold all tasks.
 
-    There is one for most jobs, and counting how many tasks each machine can hold took far longer.
+    Most jobs fit on a single machine. Finding it like this is far faster than counting how many tasks each machine can
+    hold.
     """
     gpus = request.count * request.gpus - EPSILON
     cpus = request.count * request.cpus - EPSILON
@@ -199,7 +201,7 @@
 
 
 def _least_idle(request: ResourceRequest, fitting_machines: Sequence[FreeCapacity]) -> FreeCapacity:
-    """Best fit: returns, of the machines that can hold all remaining tasks, the one with the fewest idle GPUs."""
+    """Return, of the machines that can hold all remaining tasks, the one with the fewest idle GPUs (best fit)."""
     least = min(m.gpus for m in fitting_machines) if request.gpus > 0 else min(m.cpus for m in fitting_machines)
     return min(
         (machine for machine in fitting_machines if idle_capacity(request, machine) == least),
@@ -208,17 +210,17 @@
 
 
 def _tightest(request: ResourceRequest, candidates: Sequence[_Candidate], remaining: int) -> FreeCapacity:
-    """Selects the best fit among candidates, for which it is known how many tasks each machine can hold."""
+    """Return the best fit among candidates, each of which states how many tasks its machine can hold."""
     return _least_idle(request, [machine for machine, count in candidates if count >= remaining])
 
 
 def _greedy_key(request: ResourceRequest, machine: FreeCapacity, count: int) -> tuple[int | float | bool, ...]:
-    """Returns the sort key of the greedy split: the machine that can hold the most tasks comes first."""
+    """Return the sort key of the greedy split: the machine that can hold the most tasks comes first."""
     return (-count, -idle_capacity(request, machine), *tie_break_key(request, machine))
 
 
 def _place_spread(request: ResourceRequest, candidates: list[_Candidate], all_or_none: bool) -> list[Placement]:
-    """Places with HAS under a cap per zone, so that how many tasks a machine can take changes as its zone fills."""
+    """Place the request with HAS under a cap per zone: as a zone fills, its machines can take fewer tasks."""
     remaining = request.count
     cap, remaining_by_zone = _zone_caps(request)
     placements: list[Placement] = []
@@ -238,7 +240,7 @@
 
 
 def _zone_caps(request: ResourceRequest) -> tuple[int, dict[int, int]]:
-    """Returns, for `spread`, how many tasks an unused zone may hold, and how many more each used zone may hold.
+    """Return, for `spread`, how many tasks an unused zone may hold, and how many more each used zone may hold.
 
     A task on a machine whose zone is not known yet counts in every zone. When unknown zones counted as a separate
     zone, more than half of a job's tasks could be placed in one zone after a change of leader.
@@ -248,7 +250,7 @@
 
 
 def _place_replicas(request: ResourceRequest, machines: Sequence[FreeCapacity]) -> list[Placement]:
-    """Places service replicas one at a time, each on the tightest machine in the job's least-used zone."""
+    """Place service replicas one at a time, each on the tightest machine in the job's least-used zone."""
     tasks_by_zone = dict(request.tasks_by_zone)
     placeable = {machine.index: placeable_task_count(request, machine) for machine in machines}
     placed: dict[int, int] = {}
--- a/hookwall/scheduling/preemption.py
+++ b/hookwall/scheduling/preemption.py
@@ -3,8 +3,8 @@
 PROTOCOL, "Preemption": tasks of lower rank may be stopped, and so may tasks of a team that uses more than its guarantee
 if another team is to get its own guarantee.
 
-Invariant: no team has to give back more than it uses beyond its guarantee, and a gang preempts nothing unless enough
-capacity can be freed for all of its tasks.
+Invariant: no team has to give back more than it uses beyond its guarantee, except that its tasks may be stopped for
+jobs of higher priority. A gang preempts nothing unless enough capacity can be freed for all of its tasks.
 """
 
 from collections.abc import Callable
@@ -51,7 +51,7 @@
         now: float,
         cached_only: bool = False,
     ) -> int:
-        """Stops preemptible tasks so that the job's tasks fit; returns how many of its tasks still have no machine.
+        """Stop preemptible tasks so that the job's tasks fit; return how many of its tasks still have no machine.
 
         `cached_only`: stop tasks only on machines that have the job's image.
         """
@@ -76,14 +76,14 @@
         return self._stop_victims(job, state, options, missing, borrowed)
 
     def reserve_machine(self, job: Job, state: RoundState, machine_index: int) -> None:
-        """Reserves a machine for a waiting job beyond the current round."""
+        """Reserve a machine for a waiting job beyond the current round."""
         self.fleet.machines_by_index[machine_index].reserved_for = job.job_id
         state.reserved_for[machine_index] = job.job_id
 
     # -- preemption rules ----------------------------------------------------------------------
 
     def _borrowed(self, state: RoundState) -> Borrowed:
-        """Returns what each team uses beyond its guarantee. A guarantee of GPUs alone covers any number of CPUs."""
+        """Return what each team uses beyond its guarantee. A guarantee of GPUs alone covers any number of CPUs."""
         borrowed: Borrowed = {}
         for index, team in enumerate(self.team_settings):
             usage = state.usage.get(index) or ResourceUsage()
@@ -92,7 +92,7 @@
         return borrowed
 
     def _may_stop_any(self, job: Job, within_guarantee: bool, borrowed: Borrowed) -> bool:
-        """Returns whether any task may be stopped for the job.
+        """Return whether any task may be stopped for the job.
 
         Usually none may, and this check is much cheaper than a scan of all machines.
         """
@@ -103,7 +103,11 @@
         )
 
     def _may_stop(self, job: Job, within_guarantee: bool, other: Job, borrowed: Borrowed) -> bool:
-        """Applies PROTOCOL, "Preemption": `other` has a lower priority, or its team uses more than its guarantee."""
+        """Return whether tasks of `other` may be stopped for `job`.
+
+        They may be if `other` has a lower priority, or if its team uses more than its guarantee (PROTOCOL,
+        "Preemption").
+        """
         if other is job or other.phase != OPEN or other.spec is None:
             return False
         usage = borrowed.get(other.team_index)
@@ -118,7 +122,7 @@
 
     @staticmethod
     def _reserved_machines(job: Job, state: RoundState, image: int | None) -> list[int]:
-        """Returns the machines reserved for the job; if an image is given, without those known to lack it."""
+        """Return the machines reserved for the job; if an image is given, without those known to lack it."""
         return [
             index for index, job_id in state.reserved_for.items()
             if job_id == job.job_id
@@ -126,7 +130,7 @@
         ]  # fmt: skip
 
     def _placeable_after_stops(self, request: ResourceRequest, machine_index: int) -> int:
-        """Returns how many tasks fit on a machine once all tasks that were requested to stop there have ended."""
+        """Return how many tasks fit on a machine once all tasks that were requested to stop there have ended."""
         machine = self.fleet.machines_by_index[machine_index]
         projected = replace(self.fleet.free_capacity(machine))
         for job, allocation in machine.allocations.values():
@@ -147,7 +151,7 @@
         image: int | None,
         now: float,
     ) -> list[PreemptionOption]:
-        """Returns the options that the job may use now, cheapest first."""
+        """Return the options that the job may use now, cheapest first."""
         key = preemption_key(job, request, within_guarantee)
         options = state.preemption_options.get(key)
         if options is None:
@@ -162,7 +166,7 @@
         return usable
 
     def _total_cost_s(self, job: Job, option: PreemptionOption, state: RoundState) -> float:
-        """Returns the cost of an option, including the fetch of the job's image if the machine lacks it."""
+        """Return the cost of an option, including the fetch of the job's image if the machine lacks it."""
         assert job.spec is not None
         machine = state.machines[option.machine_index]
         if job.image_index in machine.cached_images:
@@ -173,7 +177,7 @@
     def _free_machines(
         request: ResourceRequest, state: RoundState, image: int | None
     ) -> list[tuple[FreeCapacity, int]]:
-        """Returns unreserved machines and how many tasks fit on each now; if an image is given, only those with it."""
+        """Return unreserved machines and how many tasks fit on each now; if an image is given, only those with it."""
         return [
             (machine, count) for index, machine in state.candidates(request.gpus).items()
             if index not in state.reserved_for and (image is None or image in machine.cached_images)
@@ -188,7 +192,7 @@
         missing: int,
         image: int | None,
     ) -> int | None:
-        """Returns the zone of the cheapest option among the zones with enough obtainable capacity, or None."""
+        """Return the zone of the cheapest option among the zones with enough obtainable capacity, or None."""
         obtainable: dict[int, int] = {}
         for option in options:
             zone = state.machines[option.machine_index].zone
@@ -204,10 +208,10 @@
     def _reserve_free(
         self, job: Job, request: ResourceRequest, state: RoundState, zone: int, missing: int, image: int | None
     ) -> int:
-        """Also reserves free machines of the zone for the gang; returns how many tasks have no machine yet.
+        """Reserve the free machines of the zone for the gang as well; return how many tasks have no machine yet.
 
-        Without this, smaller jobs of lower rank take these machines while the other machines are being freed, and the
-        next round stops more tasks for the same gang.
+        Without these reservations, smaller jobs of lower rank take these machines while the other machines are being
+        freed, and the next round stops more tasks for the same gang.
         """
         free = self._free_machines(request, state, image)
         for machine, count in sorted(free, key=lambda f: (job.image_index not in f[0].cached_images, f[0].index)):
@@ -221,7 +225,7 @@
     def _stop_victims(
         self, job: Job, state: RoundState, options: list[PreemptionOption], missing: int, borrowed: Borrowed
     ) -> int:
-        """Stops tasks, cheapest first, until there is enough capacity; returns how many tasks have no machine."""
+        """Stop tasks, cheapest first, until there is enough capacity; return how many tasks have no machine yet."""
         for option in options:
             if missing <= 0:
                 break
@@ -237,12 +241,12 @@
 
 
 def _is_zero(usage: ResourceUsage) -> bool:
-    """Returns whether a usage beyond a guarantee is zero."""
+    """Return whether a usage beyond a guarantee is zero."""
     return usage.gpus <= EPSILON and usage.cpus <= EPSILON
 
 
 def _is_usable(option: PreemptionOption, state: RoundState, zones: set[int], image: int | None) -> bool:
-    """Returns whether an option is still valid and matches the zones and the image, where these are given."""
+    """Return whether an option is still valid and matches the zones and the image, where these are given."""
     machine = state.machines[option.machine_index]
     if option.machine_index in state.reserved_for or (image is not None and image not in machine.cached_images):
         return False
@@ -252,7 +256,11 @@
 
 
 def _charge(job: Job, victims: list[Victim], borrowed: Borrowed) -> bool:
-    """Deducts what other teams give back. Returns False, and deducts nothing, if this exceeds what they borrowed."""
+    """Deduct what the victims' teams give back from `borrowed`.
+
+    Return False, and deduct nothing, if a team would give back more than it has borrowed. Victims of lower priority
+    than the job are not counted.
+    """
     reclaimed: Borrowed = {}
     for victim, _ in victims:
         assert victim.spec is not None
--- a/hookwall/scheduling/preemption_options.py
+++ b/hookwall/scheduling/preemption_options.py
@@ -11,14 +11,14 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count, satisfies_constraints
 
-MIN_USEFUL_RUN_S = 30.0  # a task that has run for this long is useful to its user
+MIN_USEFUL_RUN_S = 30.0  # a task is of use to its user only if it runs for at least this long
 REFETCH_COST_S_PER_GB = 0.2  # per GB of images that other jobs would have to fetch again
-GANG_COST_S_PER_TASK = 30.0  # per task of a stopped gang, which needs capacity for all its tasks at once again
+GANG_COST_S_PER_TASK = 30.0  # per task of a stopped gang, whose restart needs capacity for all its tasks at once
 MAX_KEY_TASK_COUNT = 8  # arrays that request this many tasks or more share their options
 
 
 def preemption_cost_s(job: Job, allocation: Allocation, now: float) -> float:
-    """Returns the cost of stopping an allocation, in seconds of lost time."""
+    """Return the cost of stopping an allocation, in seconds of lost time."""
     spec = job.spec
     if spec is None:
         return 0.0
@@ -36,7 +36,7 @@
 
 
 def preemption_key(job: Job, request: ResourceRequest, within_guarantee: bool) -> PreemptionKey:
-    """Returns all values that determine the options for a job."""
+    """Return all values that determine the options for a job."""
     return PreemptionKey(
         job.rank,
         within_guarantee,
@@ -55,7 +55,7 @@
 def find_options(
     request: ResourceRequest, state: RoundState, fleet: Fleet, may_stop: Callable[[Job], bool], now: float
 ) -> list[PreemptionOption]:
-    """Returns the cheapest option on each unreserved machine where stopping tasks frees capacity for a task."""
+    """Return the cheapest option on each unreserved machine where stopping tasks frees capacity for a task."""
     options: list[PreemptionOption] = []
     for index, machine in state.machines.items():
         if index in state.reserved_for or not satisfies_constraints(request, machine):
@@ -78,7 +78,7 @@
 def _choose_victims(
     request: ResourceRequest, machine: FreeCapacity, stoppable: list[Victim], now: float
 ) -> tuple[list[Victim], int]:
-    """Returns the cheapest victims that free capacity for a task or more, and for how many tasks they free it."""
+    """Return the cheapest victims that free capacity for a task or more, and for how many tasks they free it."""
     cheapest_first = sorted(
         stoppable,
         key=lambda victim: (-victim[0].rank, preemption_cost_s(victim[0], victim[1], now), -victim[1].created_at),
--- a/hookwall/scheduling/quotas.py
+++ b/hookwall/scheduling/quotas.py
@@ -19,7 +19,7 @@
         self.table = table
 
     def jobs_within_guarantee(self) -> set[str]:
-        """Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs."""
+        """Return the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs."""
         within: set[str] = set()
         guarantees = {index: team for index, team in enumerate(self.team_settings) if team.gpus or team.cpus}
         if not guarantees:
@@ -36,7 +36,7 @@
         return within
 
     def admitted_task_count(self, job: Job, state: RoundState) -> int:
-        """Returns how many more tasks of the job its team's limit admits; 0 for a team that is not configured."""
+        """Return how many more tasks of the job its team's limit admits; 0 for a team that is not configured."""
         if not 0 <= job.team_index < len(self.team_settings):
             return 0
         team = self.team_settings[job.team_index]
@@ -52,7 +52,7 @@
 
 
 def _covers(team: TeamQuota, usage: ResourceUsage) -> bool:
-    """Returns whether the team's guarantee covers this usage; a resource without a configured guarantee is covered."""
+    """Return whether the team's guarantee covers this usage; a resource without a configured guarantee is covered."""
     if team.gpus and usage.gpus > team.gpus + ROUNDING:
         return False
     return not team.cpus or usage.cpus <= team.cpus + ROUNDING
--- a/hookwall/scheduling/reservations.py
+++ b/hookwall/scheduling/reservations.py
@@ -1,6 +1,6 @@
 """Reserves machines for waiting gangs, and sets machines aside for whole-machine gangs that wait or are expected.
 
-Small tasks take each GPU that is freed, so without this no machine ever becomes empty.
+Without these rules no machine would ever become empty, because small tasks take each GPU that is freed.
 
 Invariant: a machine is reserved for one job at a time, and a machine that was reserved without use for
 `STALE_RESERVATION_S` is available to starving jobs.
@@ -18,12 +18,13 @@
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import FreeCapacity, ResourceRequest, placeable_task_count
 
-SET_ASIDE_DEVIATIONS = 0.8  # machines set aside for expected whole-machine jobs, in square roots of their mean demand
+# Machines set aside for expected whole-machine jobs, as a multiple of the square root of their mean demand.
+SET_ASIDE_DEVIATIONS = 0.8
 MIN_MEAN_DEMAND = 0.5  # in machines; below this, none is set aside unless a whole-machine job waits
 SMOOTHING_S = 90.0  # time constant of the mean demand
 MAX_MEASURED_GAP_S = 30.0  # a longer interval between two measurements counts as this
 STALE_RESERVATION_S = 60.0  # starving jobs may use a machine that was reserved without use for this long
-MAX_RESERVATION_GAP_S = 5.0  # after a longer gap, a machine counts as newly reserved
+MAX_RESERVATION_GAP_S = 5.0  # a machine that no round found reserved for longer counts as newly reserved
 
 
 class ReservationTimes(NamedTuple):
@@ -57,12 +58,12 @@
         self.reservation_times: dict[int, ReservationTimes] = {}  # by machine
 
     def has_stale_reservation(self, machine_index: int, now: float) -> bool:
-        """Returns whether a machine has been reserved for long without use, so that starving jobs may use it."""
+        """Return whether a machine has been reserved for long without use, so that starving jobs may use it."""
         times = self.reservation_times.get(machine_index)
         return times is not None and now - times.since > STALE_RESERVATION_S
 
     def track_reservations(self, state: RoundState, now: float) -> None:
-        """Records since when each machine has been reserved.
+        """Record since when each machine has been reserved.
 
         A round that runs out of time does not see all reservations, so short gaps are ignored.
         """
@@ -76,7 +77,7 @@
         }
 
     def measure_whole_machine_demand(self, now: float) -> None:
-        """Updates how many machines the whole-machine jobs need, their rank, and the lowest rank with allocations."""
+        """Update how many machines the whole-machine jobs need, their rank, and the lowest rank with allocations."""
         needed = 0
         self.whole_machine_rank = -1
         self.preemption.lowest_allocated_rank = -1
@@ -95,11 +96,11 @@
         self.last_whole_machine_rank = self.whole_machine_rank
 
     def set_aside_whole_machines(self, state: RoundState) -> None:
-        """Sets some machines aside for jobs that need a whole machine and cannot preempt other tasks.
+        """Set some machines aside for jobs that need a whole machine and cannot preempt other tasks.
 
         Small tasks of the same rank fit anywhere and refill each GPU that is freed, so under load no on-demand
-        machine ever becomes empty. Besides one machine for each waiting task, the number of machines that are set
-        aside is the amount by which the demand of such jobs is likely to vary.
+        machine ever becomes empty. One machine is set aside for each waiting task. The number of further machines is
+        the amount by which the demand of such jobs is likely to vary.
         """
         waiting_count = sum(
             queued.count
@@ -122,7 +123,7 @@
         state.set_aside_for_expected = {machine.index for machine in expected}
 
     def has_whole_machine_task(self, machine: FreeCapacity) -> bool:
-        """Returns whether the machine has a task that needs a whole machine; cached until the machine changes."""
+        """Return whether the machine has a task that needs a whole machine; cached until the machine changes."""
         if machine.has_whole_machine_task is None:
             machine.has_whole_machine_task = any(
                 task_fit(job, self.fleet).needs_whole_machine
@@ -131,10 +132,10 @@
         return machine.has_whole_machine_task
 
     def reserve_for_gang(self, job: Job, request: ResourceRequest, state: RoundState, now: float) -> None:
-        """Reserves for this round the machines that a waiting gang will get first, so that later jobs don't use them.
+        """Reserve for this round the machines that a waiting gang will get first, so that later jobs don't use them.
 
-        Without this, small tasks of later jobs take each GPU that is freed, and a gang that needs whole machines
-        never starts.
+        Without these reservations, small tasks of later jobs take each GPU that is freed, and a gang that needs whole
+        machines never starts.
         """
         missing = request.count - sum(job_id == job.job_id for job_id in state.reserved_for.values())
         machines = self.image_affinity.exclude_contested_for_gang(
@@ -149,7 +150,7 @@
             missing -= max(1, placeable_task_count(request, machine))
 
     def _in_chosen_zone(self, job: Job, machines: list[FreeCapacity], missing: int) -> list[FreeCapacity]:
-        """Returns the machines of the zone chosen earlier for the gang, or else of the zone with the most idle GPUs.
+        """Return the machines of the zone chosen earlier for the gang, or else of the zone with the most idle GPUs.
 
         A chosen zone is kept while it has enough machines: when the choice followed each freed GPU, no zone ever had
         enough free capacity.
--- a/hookwall/scheduling/round_state.py
+++ b/hookwall/scheduling/round_state.py
@@ -38,7 +38,7 @@
     gpus: float = 0.0
 
     def add(self, spec: JobSpec, task_count: int) -> None:
-        """Adds the resources of `task_count` tasks of a job."""
+        """Add the resources of `task_count` tasks of a job."""
         self.cpus += spec.cpus * task_count
         self.gpus += spec.gpus * task_count
 
@@ -99,7 +99,7 @@
     unreserved_by_constraints: dict[ConstraintKey, list[FreeCapacity]] = field(default_factory=dict)
 
     def unreserved_machines(self, request: ResourceRequest) -> list[FreeCapacity]:
-        """Returns the machines that the request's constraints admit and that are not reserved for any job.
+        """Return the machines that the request's constraints admit and that are not reserved for any job.
 
         The list is cached per set of constraints. When each queued gang scanned all machines, most of which were
         reserved for earlier gangs, this was half of the leader's work with 567 machines and 100 waiting gangs.
@@ -113,14 +113,14 @@
         return unreserved
 
     def candidates(self, gpus: float) -> dict[int, FreeCapacity]:
-        """Returns the machines that may have capacity for a task with this many GPUs.
+        """Return the machines that may have capacity for a task with this many GPUs.
 
         Under load few machines have a GPU left, and only those matter to a task that needs one.
         """
         return self.machines_with_gpus if gpus > 0 else self.machines
 
     def allocate(self, machine_index: int, job: Job, task_count: int) -> None:
-        """Subtracts tasks of a job that are placed on a machine; the job's image counts as cached there from now on."""
+        """Subtract tasks of a job that are placed on a machine; the job's image counts as cached there from now on."""
         spec = job.spec
         assert spec is not None
         machine = self.machines[machine_index]
@@ -132,7 +132,7 @@
             self.machines_with_gpus.pop(machine_index, None)
 
     def count_usage(self, jobs: Iterable[Job]) -> None:
-        """Adds up what each team's tasks may be using, including tasks that only workers report."""
+        """Add up what each team's tasks may be using, including tasks that only workers report."""
         for job in jobs:
             if job.spec is None or not (job.allocations or job.unrecorded_sightings):
                 continue
@@ -144,5 +144,5 @@
 
 
 def provisioning_order(waiting: dict[str, QueuedJob]) -> list[QueuedJob]:
-    """Returns the queued jobs in the order in which machines are provisioned for them."""
+    """Return the queued jobs in the order in which machines are provisioned for them."""
     return sorted(waiting.values(), key=lambda queued: (queued.job.rank, queued.job.queued_at, queued.job.job_id))
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -3,7 +3,7 @@
 A round has a time budget. Jobs are served in order (within a guarantee, rank, arrival). If a round runs out of time,
 the next round continues with the job at which it stopped.
 
-Invariant: no task start that a round decides is launched before the job writer has stored it.
+Invariant: a task that a round has allocated is launched only after the job writer has stored its start.
 """
 
 import logging
@@ -71,7 +71,7 @@
         plain_bytes = plain_allocations_bytes(params.state.value_kb)
         default_budget = StartRecordBudget(plain_bytes, plain_bytes)
         self.start_record_budget = start_record_budget or (lambda: default_budget)
-        # The budget grows as the core share shrinks. With a fixed budget, half the share also halved a round's work.
+        # The budget grows as the core share shrinks: with a fixed budget, halving the share also halved a round's work.
         self.budget_s = min(MAX_ROUND_S, ROUND_CPU_TIME_S / max(MIN_CORE_SHARE, params.machine_limits.core_share))
         self.resume_key: QueueKey | None = None
         self.waiting: dict[str, QueuedJob] = {}
@@ -89,7 +89,7 @@
     # -- views of the cluster --------------------------------------------------------------------
 
     def round_state(self, now: float) -> RoundState:
-        """Returns the free capacity of each schedulable machine, and what each team may be using."""
+        """Return the free capacity of each schedulable machine, and what each team may be using."""
         state = RoundState()
         for machine in self.fleet.machines.values():
             if machine.reserved_for and not self._still_waits(machine.reserved_for):
@@ -110,7 +110,7 @@
         return job is not None and job.phase == OPEN and job_id in self.waiting
 
     def resource_request(self, job: Job, count: int) -> ResourceRequest:
-        """Returns the request for `count` tasks of a job, besides those that may already be on machines."""
+        """Return the request for `count` tasks of a job, in addition to those that may already be on machines."""
         spec = job.spec
         assert spec is not None
         tasks_by_zone: dict[int, int] = {}
@@ -129,7 +129,7 @@
     # -- rounds --------------------------------------------------------------------------------
 
     def run_round(self) -> bool:
-        """Runs one scheduling round. Returns True if the round did not serve the whole queue."""
+        """Run one scheduling round. Return True if the round did not serve the whole queue."""
         now = self.clock()
         finish_jobs_and_broken_gangs(self.table, self.fleet, self.time_of_day)
         self.reservations.measure_whole_machine_demand(now)
@@ -148,7 +148,7 @@
         return self.resume_key is not None or start > 0
 
     def _serve_queue(self, queue: list[QueueEntry], state: RoundState, now: float) -> QueueKey | None:
-        """Serves jobs in order while the budgets allow; returns the key of the job to continue with, or None."""
+        """Serve jobs in order while the budgets allow; return the key of the job to continue with, or None."""
         unstored = self.unstored_job_count()
         for position, (key, job) in enumerate(queue):
             if position > 0 and self.clock() - now > self.budget_s:
@@ -164,7 +164,7 @@
     # -- single jobs ---------------------------------------------------------------------------
 
     def _serve_job(self, job: Job, state: RoundState, within_guarantee: bool, now: float) -> None:
-        """Places as many tasks of a job as possible; preempts tasks or reserves machines for the others."""
+        """Place as many tasks of a job as possible; preempt tasks or reserve machines for the others."""
         spec = job.spec
         assert spec is not None
         if spec.gang:
@@ -191,7 +191,7 @@
             self.waiting.pop(job.job_id, None)
 
     def _allocate(self, job: Job, state: RoundState, placements: list[Placement], now: float) -> None:
-        """Allocates the placed number of tasks to each machine, all with the same attempt number."""
+        """Allocate the placed number of tasks to each machine, all with the same attempt number."""
         spec = job.spec
         assert spec is not None
         placed = sum(task_count for _, task_count in placements)
@@ -226,7 +226,7 @@
         within_guarantee: bool,
         now: float,
     ) -> None:
-        """Queues the remaining tasks of a job; preempts for them where allowed and reserves machines for a gang."""
+        """Queue the remaining tasks of a job, preempt tasks for them where allowed, and reserve machines for a gang."""
         queued = self.waiting.get(job.job_id)
         if queued is None:
             last_served_at = -math.inf if job.job_id in self.relocated else now
@@ -243,7 +243,7 @@
             self.reservations.reserve_for_gang(job, request, state, now)
 
     def _starves(self, job: Job, now: float) -> bool:
-        """Returns whether a job was not served for so long that it no longer has to yield machines to gangs.
+        """Return whether a job was not served for so long that it no longer has to yield machines to gangs.
 
         A job that a drain has stopped always counts as starving.
         """
@@ -252,7 +252,7 @@
 
 
 def _latest_starts_s(objectives: list[ServiceObjective]) -> dict[str, float]:
-    """Returns how many seconds after its arrival a job must have started, by job class."""
+    """Return how many seconds after its arrival a job must have started, by job class."""
     latest: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == "wait" and objective.job_class and objective.within_s:
--- a/hookwall/scheduling/serving_order.py
+++ b/hookwall/scheduling/serving_order.py
@@ -29,7 +29,7 @@
 
 
 def serving_order(jobs: Iterable[Job], guaranteed: set[str]) -> list[QueueEntry]:
-    """Returns the jobs in serving order; `guaranteed` are the jobs within their team's guarantee."""
+    """Return the jobs in serving order; `guaranteed` are the jobs within their team's guarantee."""
     queue = [
         QueueEntry(QueueKey(job.job_id not in guaranteed, job.rank, job.queued_at, job.job_id), job) for job in jobs
     ]
@@ -38,7 +38,7 @@
 
 
 def pending_jobs(table: JobTable, waiting: dict[str, QueuedJob], now: float) -> list[Job]:
-    """Returns the jobs that have tasks to place; removes finished jobs and jobs without such tasks from `waiting`."""
+    """Return the jobs that have tasks to place; remove finished jobs and jobs without such tasks from `waiting`."""
     pending: list[Job] = []
     for job in table.open_jobs.values():
         if job.phase != OPEN or job.spec is None or now < job.retry_not_before:
@@ -54,7 +54,7 @@
 
 
 def finish_jobs_and_broken_gangs(table: JobTable, fleet: Fleet, time_of_day: Callable[[], float]) -> None:
-    """Finishes jobs whose tasks are all done, and stops the remaining tasks of broken gangs."""
+    """Finish jobs whose tasks are all done, and stop the remaining tasks of broken gangs."""
     for job in list(table.open_jobs.values()):
         if job.phase == OPEN and job.spec is not None and job.task_count and job.done_count >= job.task_count:
             job.phase = DONE
--- a/tests/scheduling/scheduling_steps.py
+++ b/tests/scheduling/scheduling_steps.py
@@ -4,6 +4,6 @@
 
 
 def send_heartbeats(cluster: Cluster, *names: str, **heartbeat: object) -> None:
-    """Sends heartbeats of the machines, so that the cluster may place tasks on them."""
+    """Send heartbeats of the machines, so that the cluster may place tasks on them."""
     for name in names:
         cluster.beat(name, **heartbeat)
--- a/tests/scheduling/test_image_affinity.py
+++ b/tests/scheduling/test_image_affinity.py
@@ -6,7 +6,7 @@
 
 
 def test_a_machine_reserved_without_the_image_is_used_once_it_is_free(cluster: Cluster):
-    """The machine must not stay empty for twelve seconds, as if one with the image were being freed."""
+    """The job must not leave the machine empty for twelve seconds, as if a machine with the image were being freed."""
     send_heartbeats(cluster, "vm-1")
     low = cluster.submit(1, pieces=4, rank="low")
     cluster.scheduler.run_round()
@@ -41,7 +41,7 @@
 
 
 def submit_competing_gangs(cluster: Cluster):
-    """Returns two waiting gangs of two tasks; both machines have the image of the second gang only."""
+    """Return two waiting gangs of two tasks; both machines have the image of the second gang only."""
     send_heartbeats(cluster, "vm-1", "vm-2")
     pair = {"shape": "ensemble", "pieces": 2, "cards": 4.0, "sizeGb": 10.0}
     running = cluster.submit(1, **pair, bundle="img-8")
@@ -98,7 +98,7 @@
     cluster.fleet.release_allocation(full, full.allocations[1], "done")
     full.mark_task_done(1)
     cluster.scheduler.run_round()
-    assert len(first.allocations) == 1, "but not for ever"
+    assert len(first.allocations) == 1, "the first job declines the machine for a limited time only"
 
 
 def test_a_starving_gang_yields_no_machines_however_long_the_fetch_takes(cluster: Cluster):
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -70,7 +70,7 @@
     assert all(a.stop_grace_s is not None for a in low.allocations.values())
     small = cluster.submit(3, rank="low")
     cluster.scheduler.run_round()
-    assert not small.allocations, "it would use the machine that the gang has already"
+    assert not small.allocations, "the free machine is reserved for the gang"
     for a in list(low.allocations.values()):
         cluster.fleet.release_allocation(low, a, "halted")
     cluster.scheduler.run_round()
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -104,11 +104,11 @@
         cluster.clock.tick(2.0)
         send_heartbeats(cluster, "vm-1")
         cluster.scheduler.run_round()
-    assert len(old.allocations) == 4, "the gang lacks a second machine, and the array starved"
+    assert len(old.allocations) == 4, "the gang lacks a second machine, and the array is starving"
 
 
 def test_a_starving_job_gets_machines_set_aside_for_expected_gangs(cluster: Cluster):
-    """The team has no guarantee here, so an array would wait beside idle machines for as long as gangs are expected."""
+    """Otherwise an array whose team has no guarantee waits beside idle machines for as long as gangs are expected."""
     send_heartbeats(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -85,7 +85,7 @@
 
 
 def test_a_machine_on_which_a_job_failed_twice_is_tried_again_later(cluster: Cluster):
-    """If that machine is the only one with free capacity, the job must not wait for as long as this is so."""
+    """The job must not wait indefinitely when that machine is the only one with free capacity."""
     send_heartbeats(cluster, "vm-1")
     job = cluster.submit(1)
     job.failures_by_machine, job.last_failure_at = {"vm-1": 2}, cluster.clock()
