--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -1,4 +1,4 @@
-"""How a node becomes leader: it collects votes, writes the leader key, and handles a write that gets no response.
+"""How a node becomes leader: it collects votes, writes the leader key, and handles a write whose outcome is unknown.
 
 Invariant: a candidate replaces the leader key only if the key still has the version that was read before the votes were
 requested, and only if no voter has restarted since.
@@ -69,14 +69,18 @@
         self._rebuild_state = rebuild_state
         self._rank = rank
         self._election_id = 0  # random ID of the current election, which no other election has
-        self._replaced_version = 0  # of the key whose leader gets no more leases from the voters; 0: none
+        # Version of the leader key that the current election is to replace; 0: none. The leader that this key names
+        # gets no more quorum leases from the voters.
+        self._replaced_version = 0
         self._voter_preconditions: list[Precondition] = []  # on the fence keys of the nodes that have voted
-        self._unresolved_version = 0  # of the key that a write of this process, without a response, may still replace
-        # The session leases of such writes; a write can't be executed any more once its lease has ended.
+        # Version of the leader key that an earlier write of this process may still replace, because the outcome of the
+        # write is unknown; 0: none.
+        self._unresolved_version = 0
+        # The session leases of such writes. A write can't be executed any more once its session lease has ended.
         self._unresolved_leases: set[int] = set()
 
     def may_start(self) -> bool:
-        """Whether no node leads, as far as this node can know, and this node may request votes."""
+        """Return whether this node may request votes and, as far as it can know, no node leads."""
         state = self._state
         if state.clock() < state.next_election_at or not state.leader_key.known or not self._store.healthy():
             return False
@@ -87,7 +91,7 @@
         return state.leader_key.lease_mode is LeaseMode.QUORUM_LEASE and not state.vote_grant.in_restart_grace_period()
 
     async def run_once(self) -> None:
-        """Runs one election, until the state is rebuilt or the election is lost and the backoff is set."""
+        """Run one election until this node leads, or until the election is lost and the backoff is set."""
         self._state.start_election()
         self._election_id = random_id()
         self._replaced_version = 0
@@ -110,9 +114,9 @@
                 self._state.lose_election(backoff_s)
 
     async def _try_to_become_leader(self) -> bool:
-        """Reads the leader key, requests votes, replaces the key and rebuilds the state.
+        """Read the leader key, request votes, replace the key and rebuild the state.
 
-        Returns whether this node leads.
+        Return whether this node leads.
         """
         state = self._state
         stored = await self._store.read(keys.LEADER_KEY)
@@ -136,7 +140,7 @@
     # -- votes -------------------------------------------------------------------------------------
 
     def _proves_leader_gone(self, stored: VersionedValue) -> bool:
-        """Whether a key that names this node proves that no leader relies on the previous key any more.
+        """Return whether a key that names this node proves that no leader relies on the previous key any more.
 
         The key proves this if an earlier process of this node wrote it, or if it belongs to a leadership that this
         process gave up. Otherwise the key may come from a write of this process that was executed late, after the
@@ -146,14 +150,14 @@
         return incarnation != self._state.incarnation or stored.version == self._state.fencing_token
 
     async def _select_lease_mode(self, stored: VersionedValue) -> LeaseMode | None:
-        """Requests votes; returns the mode in which this node may lead, or None if it may not lead."""
+        """Request votes; return the mode in which this node may lead, or None if it may not lead."""
         state = self._state
         leader_gone = stored.version == 0 or self._proves_leader_gone(stored)
         count = await self._request_votes(stored.version, leader_gone)
         if count.votes >= state.quorum:
             return LeaseMode.QUORUM_LEASE
-        # A peer that responds could form a majority with this node or with another one, so this node does not lead
-        # without the votes of a majority.
+        # Without a majority this node leads only if no peer responds: a peer that responds could form a majority with
+        # this node or with another one.
         no_other_leader = leader_gone and state.leader_key.shows_no_other_leader(state.node_name)
         absent_since = state.leader_key.absent_since if stored.version == 0 else state.vote_grant.started_at
         absent_s = state.clock() - absent_since
@@ -163,7 +167,7 @@
         return LeaseMode.SESSION_LEASE
 
     async def _request_votes(self, replaces_version: int, proves_leader_gone: bool) -> VoteCount:
-        """Requests the votes of all peers, and stops waiting once a majority has voted for this node.
+        """Request the votes of all peers, and stop waiting once a majority has voted for this node.
 
         Waiting for more votes would delay the failover: a former leader that is stalled or partitioned does not
         respond, and waiting for its vote, and then for its quorum lease, took over two seconds of each failover.
@@ -192,16 +196,16 @@
         return VoteCount(votes, peer_responded)
 
     async def _request_vote(self, peer: Peer, message: PeerMessage) -> PeerVote:
-        """Requests one peer's vote and records what its response reports."""
+        """Request one peer's vote and record what its response reports."""
         response = await self._peers.call(peer, message, timeout_s=VOTE_TIMEOUT_S)
         if response is not None:
             self._observations.record_response(peer.name, response)
         return PeerVote(peer.name, response)
 
     def _add_voter_precondition(self, voter: str, version: int | None) -> None:
-        """Makes the write of the leader key conditional on the voter's fence key.
+        """Make the write of the leader key conditional on the voter's fence key.
 
-        Programs before format 3, and nodes that can't reach the store, report no version of a fence key.
+        Nodes that run a program older than format 3, or that can't reach the store, report no version of a fence key.
         """
         if version is not None and version > 0:
             self._voter_preconditions.append(Precondition(keys.VOTE_FENCE_PREFIX + voter, version))
@@ -209,7 +213,7 @@
     # -- the leader key ----------------------------------------------------------------------------
 
     async def _write_leader_key(self, replaced_version: int, mode: LeaseMode) -> None:
-        """Replaces the leader key that has this version, and begins the term."""
+        """Replace the leader key that has this version, and begin the term."""
         state = self._state
         requested_at = state.clock()
         session_lease = await self._store.grant_session_lease(session_lease_s(mode))
@@ -237,7 +241,7 @@
         self._heartbeat.send_to_all()
 
     async def _revoke_unresolved_leases(self) -> None:
-        """Revokes the session leases of writes without a response, so that those writes can't be executed any more."""
+        """Revoke the session leases of writes with unknown outcomes, so that they can't be executed any more."""
         while self._unresolved_leases:
             lease = next(iter(self._unresolved_leases))
             if await revoke_session_lease(self._store, lease):
@@ -246,9 +250,9 @@
                 await asyncio.sleep(REVOCATION_RETRY_S)
 
     def _announce_abandoned_election(self) -> None:
-        """Announces that this candidate has not replaced the key, so that the key's leader may get quorum leases again.
+        """Announce that this candidate has not replaced the key, so that the key's leader may get quorum leases again.
 
-        Does nothing if a write without a response may still replace that key.
+        Do nothing if a write whose outcome is unknown may still replace that key.
         """
         if self._replaced_version == self._unresolved_version:
             return
--- a/hookwall/leadership/leader_key.py
+++ b/hookwall/leadership/leader_key.py
@@ -28,7 +28,7 @@
 
     @classmethod
     def decode(cls, value: object) -> Self:
-        """Decodes a stored value; a missing or malformed field counts as not stored."""
+        """Decode a stored value; a missing or malformed field counts as not stored."""
         fields = value if isinstance(value, dict) else {}
         is_session_lease = fields.get(LEASE_MODE_FIELD) == LeaseMode.SESSION_LEASE.value
         return cls(
@@ -38,7 +38,7 @@
         )
 
     def encode(self) -> dict[str, object]:
-        """Returns the value as it is stored."""
+        """Return the value as it is stored."""
         return {
             LEADER_FIELD: self.leader,
             INCARNATION_FIELD: self.incarnation,
@@ -59,7 +59,7 @@
         self.absent_since = clock()  # since when the key has been absent, as far as this node knows
 
     def observe(self, value: object, version: int, revision: int | None = None) -> bool:
-        """Records the key as it was at a revision; version 0: absent. Returns False if a newer state is already known.
+        """Record the key as it was at a revision; version 0: absent. Return False if a newer state is already known.
 
         An absence without a revision counts as the newest state.
         """
--- a/hookwall/leadership/leadership_state.py
+++ b/hookwall/leadership/leadership_state.py
@@ -76,14 +76,15 @@
 
         self.fencing_token = 0
         self.lease_mode = LeaseMode.QUORUM_LEASE
-        self.key_was_absent = False  # when this term began: no node had led for the time of a session lease
+        # Whether the leader key was absent when this term began: no node had then led for the time of a session lease.
+        self.key_was_absent = False
         self.session_lease: int | None = None
         self.session_lease_until = DISTANT_PAST
         self.session_lease_renewed_at = DISTANT_PAST
         self.quorum_acks: dict[str, float] = {}  # by peer: when the last request that it granted was sent
         self.quorum_since: float | None = None  # in session lease mode: since when a majority grants leases again
 
-        self.worker_heartbeats_seen = 0  # that have reached this node, whichever node leads
+        self.worker_heartbeats_seen = 0  # worker heartbeats that have reached this node, whichever node leads
         self.last_worker_heartbeat_at = DISTANT_PAST
 
     # -- validity ----------------------------------------------------------------------------
@@ -93,20 +94,20 @@
         return self.role is Role.LEADER and self.clock() < self.valid_until()
 
     def valid_until(self) -> float:
-        """Returns until when this leader stays valid if none of its leases is renewed."""
+        """Return until when this leader stays valid if none of its leases is renewed."""
         if self.lease_mode is LeaseMode.SESSION_LEASE:
             return self.session_lease_until - TIMER_SLACK_S
         return min(self.quorum_lease_until(), self.session_lease_until) - TIMER_SLACK_S
 
     def quorum_lease_until(self) -> float:
-        """Returns until when a majority, including this node, is bound by the quorum leases that it granted."""
+        """Return until when a majority, including this node, is bound by the quorum leases that it granted."""
         if self.vote_grant.holder != self.node_name:
             return DISTANT_PAST
         peers_until = self.quorum_reached_at(self.quorum_acks) + QUORUM_LEASE_S * (1 - MAX_CLOCK_DRIFT)
         return min(self.vote_grant.expires_at, peers_until)
 
     def quorum_reached_at(self, sent_at: dict[str, float]) -> float:
-        """Returns the latest time since which a majority has been sent a request and has responded to it.
+        """Return the latest time since which a majority has been sent a request and has responded to it.
 
         `sent_at` gives for each peer when the last request that it responded to was sent. This node counts towards the
         majority without an entry.
@@ -119,7 +120,7 @@
         return sorted(sent_at.values(), reverse=True)[needed - 1] if len(sent_at) >= needed else DISTANT_PAST
 
     def leader_name(self) -> str | None:
-        """Returns the node that leads, as far as this node knows; None if it knows of none."""
+        """Return the node that leads, as far as this node knows; None if it knows of none."""
         if self.valid():
             return self.node_name
         grant = self.vote_grant
@@ -131,11 +132,11 @@
         return None
 
     def may_grant(self) -> bool:
-        """Whether no vote by an earlier process of this node can still be binding, as far as this node can know."""
+        """Whether no vote of an earlier process of this node can still be binding, as far as this node can know."""
         return self.vote_fence is None or self.vote_fence.may_grant()
 
     def report_validity_lapse(self) -> None:
-        """Reports that the leader's validity has ended, if it has; called before validity is extended.
+        """Report that the leader's validity has ended, if it has; must be called before validity is extended.
 
         Another node may have been valid in the meantime.
         """
@@ -177,7 +178,7 @@
             self.step_down("the state could not be rebuilt")
 
     def step_down(self, reason: str) -> None:
-        """Any role → FOLLOWER: stops acting as leader.
+        """Any role → FOLLOWER: stop acting as leader.
 
         The session lease is not revoked: the version of the key fences the writes that are in flight.
         """
@@ -192,7 +193,7 @@
         self.vote_grant.release(self.node_name, self.vote_grant.fencing_token)
 
     def _transition_to(self, role: Role, reason: str) -> None:
-        """Changes the role; no other method does."""
+        """Change the role; no other method does."""
         if role is self.role:
             return
         log.info(
@@ -205,7 +206,7 @@
     # -- the leader key ----------------------------------------------------------------------
 
     def observe_leader_key(self, value: object, version: int, revision: int | None = None) -> None:
-        """Records the leader key as the store had it at a revision (from a read or the watch); version 0: absent.
+        """Record the leader key as the store had it at a revision (from a read or the watch); version 0: absent.
 
         A leader steps down if its key was replaced or is gone.
         """
@@ -218,9 +219,9 @@
             self.step_down("the leader key has changed")
 
     def observe_fenced_leader_key(self, stored: VersionedValue) -> None:
-        """Records the leader key as read once the vote fence blocks all writes that rely on votes of earlier processes.
+        """Record the leader key as read once the vote fence blocks all writes that rely on votes of earlier processes.
 
-        Such a write may have replaced a key before that, and the key that it wrote may be gone again.
+        Before that, such a write may have replaced the leader key, and the key that it wrote may be gone again.
         """
         self.observe_leader_key(stored.value, stored.version, stored.revision)
         if not stored.version:
--- a/hookwall/leadership/leadership_transfer.py
+++ b/hookwall/leadership/leadership_transfer.py
@@ -15,15 +15,15 @@
 from hookwall.protocol.peer_messages import MessageKind, PeerMessage, PeerResponse
 from hookwall.storage.client import KeyValueClient
 
-NO_QUORUM_STEP_DOWN_S = 3.0  # a leader without a quorum for this time steps down for nodes that may have one
+NO_QUORUM_STEP_DOWN_S = 3.0  # a leader without a quorum for this time steps down, as another node may have a quorum
 NO_QUORUM_BACKOFF_S = 1.0  # until the next election of a leader that had no quorum
 RECENT_STORE_CONTACT_S = 0.25  # maximum age of the store's last response to a possible successor
-STORE_CONTACT_TIMEOUT_S = 0.5  # for a peer to report the age of the store's last response
+STORE_CONTACT_TIMEOUT_S = 0.5  # time for a peer to report the age of the store's last response
 STORE_CONTACT_RETRY_S = 0.1
 RECENT_REPORT_S = 1.6  # older reports of peers don't count
 STORE_FAILURE_TRANSFER_S = 2.5  # a leader without the store for this time looks for a peer that can reach it
-NO_WORKER_HEARTBEAT_S = 4.0  # without worker heartbeats for this time, it looks for a peer that workers reach
-QUORUM_STABLE_S = 5.0  # time that a quorum must respond before a leader by session lease removes its key
+NO_WORKER_HEARTBEAT_S = 4.0  # a leader without worker heartbeats for this time looks for a peer that workers reach
+QUORUM_STABLE_S = 5.0  # a leader by session lease removes its key once a quorum has responded for this time
 TRANSFER_BACKOFF_S = 4.0  # until the next election of a leader that transferred its leadership
 
 
@@ -39,7 +39,7 @@
         self._store = store
 
     async def check_fitness(self, now: float, heartbeats_expected: bool) -> None:
-        """Steps down or transfers the leadership if another node could lead better.
+        """Step down or transfer the leadership if another node could lead better.
 
         `heartbeats_expected`: whether worker heartbeats should arrive.
         """
@@ -54,7 +54,7 @@
             await self._transfer_for_workers(now, heartbeats_expected)
 
     async def transfer_to(self, successor: str, reason: str) -> None:
-        """Steps down, then announces it, so that the successor need not wait for a quorum lease to expire."""
+        """Step down, then announce it, so that the successor need not wait for a quorum lease to expire."""
         state = self._state
         state.step_down(f"leadership transfer to {successor}: {reason}")
         state.next_election_at = state.clock() + TRANSFER_BACKOFF_S
@@ -68,7 +68,10 @@
         )
 
     async def _return_to_quorum_lease(self, now: float, has_quorum: bool) -> None:
-        """Removes the key of a leader by session lease once a majority has responded for QUORUM_STABLE_S."""
+        """Remove the key of a leader by session lease once a majority has responded for QUORUM_STABLE_S.
+
+        The nodes can then elect a leader by quorum lease.
+        """
         state = self._state
         if not has_quorum:
             state.quorum_since = None
@@ -78,9 +81,9 @@
             await self._remove_leader_key("a majority responds again", backoff_s=0.0)
 
     async def _transfer_for_store(self, now: float) -> bool:
-        """Transfers the leadership if the store has not responded for a while but responds to a peer.
+        """Transfer the leadership if the store has not responded for a while but responds to a peer.
 
-        Returns whether the leadership was transferred.
+        Return whether the leadership was transferred.
         """
         failing_since = self._store.failing_since
         if failing_since is None or now - failing_since <= STORE_FAILURE_TRANSFER_S:
@@ -93,7 +96,7 @@
         return True
 
     async def _transfer_for_workers(self, now: float, heartbeats_expected: bool) -> None:
-        """Transfers the leadership if workers reach a peer but have not reached this node for a while."""
+        """Transfer the leadership if workers reach a peer but have not reached this node for a while."""
         state = self._state
         silent = (
             now - state.last_worker_heartbeat_at > NO_WORKER_HEARTBEAT_S
@@ -106,10 +109,10 @@
             await self.transfer_to(min(successors), "no worker reaches this node")
 
     async def _peers_with_store_contact(self, names: list[str]) -> list[str]:
-        """Returns those of the named peers to which the store responds at this moment; makes them probe it.
+        """Return those of the named peers to which the store responds at this moment; make them probe it.
 
-        The peers' last reports may be a second old. Relying on them, a leader that was the only node whose requests
-        were rejected transferred its leadership to a peer just when the store went down for all nodes. No node led
+        The peers' last reports may be a second old. A leader that relied on them, and was the only node whose requests
+        were rejected, transferred its leadership to a peer just when the store went down for all nodes. No node led
         then, and all leases expired during the outage.
         """
         peers = [peer for peer in self._peers if peer.name in names]
@@ -130,7 +133,7 @@
         return in_contact
 
     async def _remove_leader_key(self, reason: str, backoff_s: float) -> None:
-        """Steps down, then removes the leader key, so that a node that can lead need not wait for it to expire."""
+        """Step down, then remove the leader key, so that a node that can lead need not wait for it to expire."""
         state = self._state
         session_lease = state.session_lease
         state.step_down(reason)
--- a/hookwall/leadership/peer_group.py
+++ b/hookwall/leadership/peer_group.py
@@ -23,7 +23,7 @@
     name: str
 
     async def call(self, message: WireMessage, timeout: float = CALL_TIMEOUT_S) -> WireMessage | None:
-        """Returns the peer's response, or None if there is none within `timeout` seconds."""
+        """Return the peer's response, or None if there is none within `timeout` seconds."""
 
 
 class PeerGroup:
@@ -34,26 +34,26 @@
         self.background_tasks: set[asyncio.Task[Any]] = set()
 
     def __iter__(self) -> Iterator[Peer]:
-        """Iterates over the peers."""
+        """Iterate over the peers."""
         return iter(self.peers)
 
     def spawn(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Runs a coroutine as a background task; the group holds a reference to the task until it ends."""
+        """Run a coroutine as a background task; the group holds a reference to the task until it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
         return task
 
     async def call(self, peer: Peer, message: PeerMessage, timeout_s: float = CALL_TIMEOUT_S) -> PeerResponse | None:
-        """Returns a peer's response, or None if there is none within `timeout_s` seconds."""
+        """Return a peer's response, or None if there is none within `timeout_s` seconds."""
         response = await peer.call(peer_messages.encode_message(message), timeout=timeout_s)
         return None if response is None else peer_messages.decode_response(response)
 
     def call_all(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
-        """Sends a message to all peers; returns one task for each, whose result is the response or None."""
+        """Send a message to all peers; return one task for each, whose result is the response or None."""
         return [self.spawn(self.call(peer, message, timeout_s)) for peer in self.peers]
 
     def broadcast(self, message: PeerMessage) -> None:
-        """Sends a message to all peers and ignores their responses."""
+        """Send a message to all peers and ignore their responses."""
         for peer in self.peers:
             self.spawn(self.call(peer, message))
--- a/hookwall/leadership/peer_handler.py
+++ b/hookwall/leadership/peer_handler.py
@@ -1,6 +1,6 @@
 """How a node responds to its peers: votes, quorum leases and the data that accompanies them.
 
-Invariant: every message gets a response, even a malformed one; nothing is granted before the vote fence permits it.
+Invariant: every message gets a response, even a malformed one. Nothing is granted before the vote fence permits it.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
         }
 
     def handle(self, encoded: WireMessage) -> WireMessage:
-        """Returns the response to a peer's message, both in wire format."""
+        """Return the response to a peer's message, both in wire format."""
         message = peer_messages.decode_message(encoded)
         if message is None or message.sender == self._state.node_name:
             return peer_messages.encode_message(PeerResponse())
@@ -56,7 +56,7 @@
         return peer_messages.encode_message(response)
 
     def _add_local_status(self, response: PeerResponse) -> None:
-        """Adds what every response reports about this node."""
+        """Add what every response reports about this node."""
         state = self._state
         workers_reach_this_node = state.clock() - state.last_worker_heartbeat_at < RECENT_WORKER_HEARTBEAT_S
         response.store_reachable = self._store.has_recent_response()
@@ -68,7 +68,7 @@
         response.limits_lowered = status.limits_lowered
 
     def _on_heartbeat(self, message: PeerMessage) -> PeerResponse:
-        """Responds to a leader's request for a quorum lease, or to a follower that shows that it is alive."""
+        """Respond to a leader's request for a quorum lease, or to a follower's heartbeat (fencing token 0)."""
         state = self._state
         fencing_token = message.fencing_token or 0
         if fencing_token <= 0:
@@ -86,7 +86,7 @@
         return PeerResponse(granted=True, cancellations=known.cancellations, cancellations_complete=known.complete)
 
     def _on_vote(self, message: PeerMessage) -> PeerResponse:
-        """Responds to a candidate's vote request."""
+        """Respond to a candidate's vote request."""
         state = self._state
         if state.role.holds_leader_key() or not state.may_grant():
             return PeerResponse()
@@ -100,7 +100,7 @@
         return PeerResponse(granted=granted, fence_version=fence_version)
 
     def _on_release(self, message: PeerMessage) -> PeerResponse:
-        """Releases the grant of a leader or candidate; a leader may name its successor."""
+        """Release the grant of a leader or candidate; a leader may name its successor."""
         state = self._state
         if message.fencing_token is not None:
             state.vote_grant.release(message.sender, message.fencing_token)
@@ -111,13 +111,13 @@
         return PeerResponse(granted=True)
 
     def _on_store_contact(self, _message: PeerMessage) -> PeerResponse:
-        """Reports to a leader whether the key-value store responds to this node, and triggers an immediate probe."""
+        """Report to a leader when the key-value store last responded to this node, and trigger an immediate probe."""
         self._probe_requested.set()
         if not self._store.healthy():
             return PeerResponse(store_contact_age_s=None)
         return PeerResponse(store_contact_age_s=self._state.clock() - self._store.last_response_at)
 
     def _on_cancellations(self, message: PeerMessage) -> PeerResponse:
-        """Applies cancellations that a node announces before it confirms them to a user."""
+        """Apply cancellations that a node announces before it confirms them to a user."""
         is_leader = self._exchange.on_cancellations_announced(message.cancellations)
         return PeerResponse(granted=True, cancellations_applied=True, is_leader=is_leader)
--- a/hookwall/leadership/peer_heartbeat.py
+++ b/hookwall/leadership/peer_heartbeat.py
@@ -1,6 +1,7 @@
 """Heartbeats between nodes: a leader requests quorum leases with them, a follower shows that it is alive.
 
-Invariant: a quorum lease counts from when its request was sent, and only after the data that came with it is applied.
+Invariant: a quorum lease counts from when its request was sent, and it counts only after the data that the response
+carries has been applied.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 
 HEARTBEAT_INTERVAL_S = 1.0
 RESPONSE_TIMEOUT_S = 1.5
-RECENT_DEMAND_S = 2.0 * HEARTBEAT_INTERVAL_S  # nothing is lent for an older demand of a peer
+RECENT_DEMAND_S = 2.0 * HEARTBEAT_INTERVAL_S  # a peer's demand that is older than this counts as unknown
 HEARTBEATS_PER_HINT = 5
 
 
@@ -38,7 +39,7 @@
         self._exchange = exchange
 
     async def run(self) -> None:
-        """Sends a heartbeat to each peer every second, and renews the quorum lease that a leader grants itself."""
+        """Send a heartbeat to each peer every second, and renew the quorum lease that a leader grants itself."""
         state = self._state
         heartbeat_number = 0
         while True:
@@ -53,12 +54,12 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def send_to_all(self, hint: object = None) -> None:
-        """Sends one heartbeat to each peer, in the background."""
+        """Send one heartbeat to each peer, in the background."""
         for peer in self._peers:
             self._peers.spawn(self.send(peer, hint))
 
     async def send(self, peer: Peer, hint: object = None) -> None:
-        """Sends one heartbeat to a peer and applies its response."""
+        """Send one heartbeat to a peer and apply its response."""
         state = self._state
         fencing_token = state.fencing_token if state.role.holds_leader_key() else 0
         sent_at = state.clock()
@@ -71,7 +72,7 @@
             self._apply_lease_response(peer, fencing_token, sent_at, response)
 
     def _message(self, peer: Peer, fencing_token: int, sent_at: float, hint: object) -> PeerMessage:
-        """Returns the heartbeat for a peer; a leader's heartbeat includes the data of other subsystems."""
+        """Return the heartbeat for a peer; a leader's heartbeat includes the data of other subsystems."""
         status = self._exchange.local_status()
         message = PeerMessage(
             kind=MessageKind.HEARTBEAT,
@@ -88,15 +89,15 @@
         return message
 
     def _recent_demand(self, peer: Peer, now: float) -> object:
-        """Returns the rates that a peer last reported to need from the store; None if the report is too old."""
+        """Return the rates that a peer last reported to need from the store; None if the report is too old."""
         last = self._observations.rate_demand.get(peer.name)
         return last.demand if last is not None and now - last.received_at < RECENT_DEMAND_S else None
 
     def _apply_lease_response(self, peer: Peer, fencing_token: int, sent_at: float, response: PeerResponse) -> None:
-        """Applies a peer's response to the request for its quorum lease."""
+        """Apply a peer's response to the request for its quorum lease."""
         state = self._state
         if response.granted:
-            # The cancellations that come with the lease are applied before the lease counts.
+            # The cancellations in the response are applied before the lease counts.
             known = KnownCancellations(response.cancellations, response.cancellations_complete is True)
             self._exchange.on_known_cancellations(peer.name, sent_at, known)
             state.report_validity_lapse()
@@ -104,13 +105,13 @@
         elif response.highest_token is not None and response.highest_token > fencing_token:
             state.step_down(f"{peer.name} knows a newer fencing token")
         elif response.voted_to_replace is True:
-            # The peer never grants a lease for this fencing token again, so this node needs a new token if the key was
-            # not replaced after all.
+            # The peer will not grant a lease for this fencing token again. If the key has not been replaced after all,
+            # this node needs a new fencing token.
             state.step_down(f"{peer.name} has voted to replace this leader key")
             state.next_election_at = state.clock()
 
     def _renew_own_lease(self) -> None:
-        """Renews the quorum lease that a leader grants itself; steps down if another node holds this node's grant."""
+        """Renew the quorum lease that a leader grants itself; step down if another node holds this node's grant."""
         state = self._state
         state.report_validity_lapse()
         granted = state.vote_grant.renew_lease(state.node_name, state.fencing_token)
--- a/hookwall/leadership/peer_observations.py
+++ b/hookwall/leadership/peer_observations.py
@@ -38,7 +38,7 @@
         self.rate_demand: dict[str, RateDemand] = {}
 
     def record_response(self, peer: str, response: PeerResponse) -> None:
-        """Records what every response of a peer reports."""
+        """Record what every response of a peer reports."""
         now = self._clock()
         self.contact_at[peer] = now
         self._exchange.on_peer_status(peer, response.sender_status())
@@ -48,18 +48,18 @@
             self.worker_heartbeats[peer] = WorkerHeartbeatCount(now, response.heartbeat_count)
 
     def record_store_health(self, peer: str, healthy: bool) -> None:
-        """Records whether the key-value store responds to a peer."""
+        """Record whether the key-value store responds to a peer."""
         if healthy:
             self.store_healthy_at[peer] = self._clock()
         else:
             self.store_healthy_at.pop(peer, None)
 
     def peers_with_recent_store_contact(self, now: float, within_s: float) -> list[str]:
-        """Returns the peers that reported within the last `within_s` seconds that the store responds to them."""
+        """Return the peers that reported within the last `within_s` seconds that the store responds to them."""
         return [peer for peer, at in self.store_healthy_at.items() if now - at < within_s]
 
     def peers_with_recent_worker_heartbeats(self, now: float, within_s: float) -> list[str]:
-        """Returns the peers that reported within the last `within_s` seconds that workers reach them."""
+        """Return the peers that reported within the last `within_s` seconds that workers reach them."""
         reports = self.worker_heartbeats.items()
         return [peer for peer, report in reports if now - report.received_at < within_s and report.heartbeats > 0]
 
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -27,9 +27,9 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> WireMessage:
-    """Reads the next message from a connection.
+    """Read the next message from a connection.
 
-    Raises MalformedFrameError if the frame is too large or not a message, and IncompleteReadError at the end of the
+    Raise MalformedFrameError if the frame is too large or not a message, and IncompleteReadError at the end of the
     connection.
     """
     (size,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
@@ -42,7 +42,7 @@
 
 
 def encode_frame(message: WireMessage) -> bytes:
-    """Returns a message as a length-prefixed frame."""
+    """Return a message as a length-prefixed frame."""
     data = cbor2.dumps(message)
     return FRAME_LENGTH.pack(len(data)) + data
 
@@ -59,7 +59,7 @@
         self._connecting = asyncio.Lock()
 
     async def call(self, message: WireMessage, timeout: float = CALL_TIMEOUT_S) -> WireMessage | None:
-        """Returns the peer's response, or None if there is none within `timeout` seconds."""
+        """Return the peer's response, or None if there is none within `timeout` seconds."""
         self._last_request_id += 1
         request_id = self._last_request_id
         response: asyncio.Future[WireMessage] = asyncio.get_running_loop().create_future()
@@ -73,7 +73,8 @@
                 self._writer.write(encode_frame({**message, REQUEST_ID_FIELD: request_id}))
                 return await response
         except (TimeoutError, OSError):
-            # In a network partition a connection stays open without an error; a new connection will work sooner.
+            # In a network partition a connection stays open without an error. Once the partition ends, a new connection
+            # works sooner than the old one.
             if self._writer is not None:
                 self._close(self._writer)
             return None
@@ -107,7 +108,7 @@
 
 
 async def serve_peers(listen_address: str, handle: Callable[[WireMessage], WireMessage]) -> asyncio.Server:
-    """Listens on `host:port` and responds to peers' messages with `handle`."""
+    """Listen on `host:port` and respond to peers' messages with `handle`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
--- a/hookwall/leadership/random_ids.py
+++ b/hookwall/leadership/random_ids.py
@@ -1,4 +1,4 @@
-"""Random IDs that distinguish processes and elections, also across restarts and nodes."""
+"""Random IDs that distinguish processes and elections, even across restarts and nodes."""
 
 import random
 
@@ -6,5 +6,5 @@
 
 
 def random_id() -> int:
-    """Returns an ID that, for all practical purposes, no other process or election has."""
+    """Return an ID that, for all practical purposes, no other process or election has."""
     return random.SystemRandom().getrandbits(RANDOM_ID_BITS)
--- a/hookwall/leadership/session_lease.py
+++ b/hookwall/leadership/session_lease.py
@@ -21,17 +21,17 @@
 
 
 def session_lease_s(mode: LeaseMode) -> float:
-    """Returns how long the leader key outlives its leader's last renewal, in seconds."""
+    """Return how long the leader key outlives its leader's last renewal, in seconds."""
     return LONG_SESSION_LEASE_S if mode is LeaseMode.QUORUM_LEASE else SHORT_SESSION_LEASE_S
 
 
 def session_lease_end(requested_at: float, mode: LeaseMode) -> float:
-    """Returns until when a leader may rely on a session lease that it requested or renewed at `requested_at`."""
+    """Return until when a leader may rely on a session lease that it requested or renewed at `requested_at`."""
     return requested_at + session_lease_s(mode) * (1 - MAX_CLOCK_DRIFT)
 
 
 async def revoke_session_lease(store: KeyValueClient, lease: int) -> bool:
-    """Revokes a session lease, which deletes its keys; returns False if it may not have been revoked."""
+    """Revoke a session lease, which deletes its keys; return False if it may not have been revoked."""
     try:
         await store.revoke_session_lease(lease)
     except (RequestRejectedError, OutcomeUnknownError) as error:
@@ -48,7 +48,7 @@
         self._store = store
 
     async def renew_if_due(self, now: float) -> None:
-        """Renews the lease if the renewal period has passed; steps down if the lease has ended."""
+        """Renew the lease if the renewal period has passed; step down if the lease has ended."""
         state = self._state
         period_s = RENEWAL_PERIOD_S[state.lease_mode]
         if now - state.session_lease_renewed_at < period_s or state.session_lease is None:
--- a/hookwall/leadership/state_machine.py
+++ b/hookwall/leadership/state_machine.py
@@ -26,15 +26,15 @@
 
 
 def _ignore_lapse() -> None:
-    """Does nothing, for a node where nothing depends on uninterrupted validity."""
+    """Do nothing; the default for nodes on which nothing depends on uninterrupted validity."""
 
 
 class Leadership(LeadershipState):
     """The leadership state machine of one node, and the parts that drive it.
 
     `rebuild_state` is awaited by a new leader before it acts as leader; `on_role_change` is called with each new role;
-    `on_validity_lapse` is called before validity is extended after it has ended. `fence_votes`: whether this node has
-    a vote fence; if it has one, the fence's loop (`vote_fence.establish`) must run.
+    `on_validity_lapse` is called if validity has ended, before it is extended again. `fence_votes`: whether this node
+    has a vote fence; if it has one, the fence's loop (`vote_fence.establish`) must run.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
         self.leadership_transfer = LeadershipTransfer(self, self.peer_group, self.peer_observations, store)
 
     def handle_peer_message(self, encoded: WireMessage) -> WireMessage:
-        """Returns the response to a peer's message, both in wire format."""
+        """Return the response to a peer's message, both in wire format."""
         return self.peer_handler.handle(encoded)
 
     def call_all_peers(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
-        """Sends a message to all peers; returns one task for each, whose result is the response or None."""
+        """Send a message to all peers; return one task for each, whose result is the response or None."""
         return self.peer_group.call_all(message, timeout_s)
 
     def record_peer_answer(self, peer: Peer, response: PeerResponse) -> None:
-        """Records what every response of a peer reports."""
+        """Record what every response of a peer reports."""
         self.peer_observations.record_response(peer.name, response)
 
     @property
@@ -86,7 +86,7 @@
         return self.peer_observations.rate_demand
 
     async def run(self, heartbeats_expected: Callable[[], bool]) -> None:
-        """Runs elections while no node leads; as leader, renews the session lease and checks this node's fitness."""
+        """Run elections while no node leads; as leader, renew the session lease and check this node's fitness."""
         await asyncio.sleep(START_DELAY_PER_RANK_S * self.rank)
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/hookwall/leadership/store_probe.py
+++ b/hookwall/leadership/store_probe.py
@@ -1,8 +1,8 @@
 """Probes whether the key-value store responds to this node, and which node the leader key names.
 
-An open watch reports nothing during an outage: a peer that still believed the store to be healthy made a leader
-transfer its leadership to that peer in vain. Invariant: a node's view of the store's health is never older than about a
-second.
+An open watch reports nothing during an outage. Without probes, a peer therefore still believed the store to be healthy,
+and a leader transferred its leadership to that peer in vain. Invariant: a node's view of the store's health is never
+older than about a second.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
         self.requested = asyncio.Event()  # set when a peer asks about the store; triggers an immediate probe
 
     async def run(self) -> None:
-        """Probes the store whenever a probe is due or requested."""
+        """Probe the store whenever a probe is due or requested."""
         while True:
             try:
                 async with asyncio.timeout(PROBE_PERIOD_S):
--- a/hookwall/leadership/vote_fence.py
+++ b/hookwall/leadership/vote_fence.py
@@ -1,14 +1,14 @@
 """Fences the votes of a node's earlier processes, which the node's new process has forgotten.
 
-A voter never again grants a quorum lease to the leader whose key its candidate may replace, since the candidate's write
-may be executed late. A process that has just started does not know of such votes. Therefore each node has a fence key
-that each of its processes writes once, before it grants anything, and a candidate's write of the leader key has the
-fence keys of its voters as preconditions. Invariant: once a voter's new process has written its fence key, no write
-that relies on a forgotten vote is executed. The effect of such writes before that shows in the leader key, which is
-read after the fence key is written.
+Once a node has voted for a candidate, it never again grants a quorum lease to the leader whose key the candidate may
+replace, because the candidate's write may be executed late. A process that has just started does not know of the votes
+of earlier processes. Therefore each node has a fence key that each of its processes writes once, before it grants
+anything, and a candidate's write of the leader key has the fence keys of its voters as preconditions. Invariant: once a
+voter's new process has written its fence key, no write that relies on a forgotten vote is executed. If such a write was
+executed before, the leader key shows its effect; the leader key is read after the fence key is written.
 
-A node whose requests the store rejects can't write its fence key. Meanwhile it grants without the fence, as programs
-before format 3 always do: otherwise no node could lead when nodes restart during an outage.
+A node whose requests the store rejects can't write its fence key. Meanwhile it grants votes and leases without the
+fence, as programs older than format 3 always do. Otherwise no node could lead if nodes restart during an outage.
 """
 
 import asyncio
@@ -34,18 +34,18 @@
         self._store = store
         self._on_leader_key = on_leader_key
         self.incarnation = random_id()
-        self.version = 0  # of the fence key as this process wrote it; 0: the fence is not established yet
+        self.version = 0  # version of the fence key that this process wrote; 0: the fence is not established yet
 
     def may_grant(self) -> bool:
         """Whether this node may vote or grant quorum leases, as far as forgotten votes are concerned."""
         return self.version > 0 or not self._store.healthy()
 
     def preconditions(self) -> list[Precondition]:
-        """Returns the preconditions of a write of the leader key that counts this node's own vote."""
+        """Return the preconditions of a write of the leader key that counts this node's own vote."""
         return [Precondition(self.key, self.version)] if self.version else []
 
     async def establish(self) -> None:
-        """Establishes the fence once, then waits until the process ends."""
+        """Establish the fence once, then wait until the process ends."""
         while not self.version:
             try:
                 version = await self.write_fence_key()
@@ -57,9 +57,9 @@
         await asyncio.Event().wait()
 
     async def write_fence_key(self) -> int:
-        """Writes the fence key if it is unchanged since it was read: at most one of two concurrent writes is executed.
+        """Write the fence key if it is unchanged since it was read: at most one of two concurrent writes is executed.
 
-        Returns the version of the key. Raises the errors of the store's client.
+        Return the version of the key. Raise the errors of the store's client if a request fails.
         """
         stored = await self._store.read(self.key)
         value = {"process": self.incarnation}
--- a/hookwall/leadership/vote_grant.py
+++ b/hookwall/leadership/vote_grant.py
@@ -17,7 +17,7 @@
 
 
 class ObservedLeaderKey(NamedTuple):
-    """The node that the leader key names, and the version of the key; version 0: the key is absent."""
+    """The node that the leader key names, and the key's version; version 0 means that the key is absent."""
 
     leader: str
     version: int
@@ -26,7 +26,7 @@
 class PendingReplacement(NamedTuple):
     """A write of the leader key that this node voted for and that may be executed late."""
 
-    version: int  # of the key that the write replaces
+    version: int  # version of the key that the write replaces
     election_id: int
 
 
@@ -39,7 +39,7 @@
         self.started_at = clock()
         self.holder = ""
         self.expires_at = DISTANT_PAST
-        self.fencing_token = 0  # the highest that was observed or for which a quorum lease was granted
+        self.fencing_token = 0  # highest token that was observed or for which a quorum lease was granted
         self.pending_replacements: dict[str, PendingReplacement] = {}  # by candidate
         self.observed_key: ObservedLeaderKey | None = None  # as read since this process started
 
@@ -48,7 +48,7 @@
         return self._clock() < self.started_at + QUORUM_LEASE_S * (1 + MAX_CLOCK_DRIFT) + TIMER_SLACK_S
 
     def observe_key_absent(self, revision: int) -> None:
-        """Records the absence of the leader key at this revision: leaders with older keys get no quorum lease again."""
+        """Record the absence of the leader key at this revision: leaders with older keys get no quorum lease again."""
         self.fencing_token = max(self.fencing_token, revision + 1)
 
     def available_to(self, node: str) -> bool:
@@ -56,7 +56,7 @@
         return self.holder == node or self._clock() >= self.expires_at
 
     def renew_lease(self, leader: str, fencing_token: int) -> bool:
-        """Grants a quorum lease to a leader, or renews it; returns False if the lease is refused."""
+        """Grant a quorum lease to a leader, or renew it; return False if the lease is refused."""
         if (
             fencing_token < self.fencing_token
             or not self.available_to(leader)
@@ -74,7 +74,7 @@
     def grant_vote(
         self, candidate: str, replaces_version: int = 0, proves_leader_gone: bool = True, election_id: int = 0
     ) -> bool:
-        """Votes for a candidate that is about to replace the leader key with this version; returns False if refused.
+        """Vote for a candidate that is about to replace the leader key with this version; return False if refused.
 
         From then on, the leader of that key gets no quorum lease from this node again, unless the candidate abandons
         the election (`clear_replacement`): the vote expires after a short time, but the candidate's write may be
@@ -111,7 +111,7 @@
         return any(fencing_token <= pending.version for pending in self.pending_replacements.values())
 
     def clear_replacement(self, candidate: str, election_id: int) -> None:
-        """Records that a candidate has not replaced the key in this election and is not going to.
+        """Record that a candidate has not replaced the key in this election and is not going to.
 
         A replacement of a later election stays recorded, since the candidate's message may arrive late.
         """
@@ -120,6 +120,6 @@
             del self.pending_replacements[candidate]
 
     def release(self, holder: str, fencing_token: int) -> None:
-        """Releases the holder's grant. The fencing token prevents a late message from releasing a newer grant."""
+        """Release the holder's grant. The fencing token prevents a late message from releasing a newer grant."""
         if self.holder == holder and fencing_token >= self.fencing_token:
             self.expires_at = DISTANT_PAST
--- a/tests/leadership/scripted_leadership.py
+++ b/tests/leadership/scripted_leadership.py
@@ -20,7 +20,7 @@
         self.calls: list[Message] = []
 
     async def call(self, message: Message, timeout: float = 1.0) -> Message | None:
-        """Returns the prescribed response without delay."""
+        """Return the prescribed response without delay."""
         self.calls.append(message)
         return self.response(message)
 
@@ -28,7 +28,7 @@
 def make_leadership(
     state: FakeState, clock: Clock, responses: list[Callable[[Message], Message | None]], **options: Any
 ) -> Leadership:
-    """Returns the leadership of a node that started long ago and has observed that there is no leader key."""
+    """Return the leadership of a node that started long ago and has observed that there is no leader key."""
 
     async def rebuild_state() -> None:
         return None
@@ -41,14 +41,14 @@
 
 
 def grants(message: Message) -> Message:
-    """Responds as a peer that grants every vote and lease."""
+    """Respond as a peer that grants every vote and lease."""
     return {"ok": True, "sok": True, "top": 0}
 
 
 def refuses(message: Message) -> Message:
-    """Responds as a peer that grants nothing."""
+    """Respond as a peer that grants nothing."""
     return {"ok": False, "sok": True, "top": 0}
 
 
 def silent(message: Message) -> None:
-    """Stands for a peer that does not respond."""
+    """Give no response, as a peer that can't be reached."""
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -101,10 +101,10 @@
 
 
 def test_a_node_that_reaches_no_peer_leads_by_session_lease(state: FakeState, clock: Clock):
-    """When a packet filter blocked only the traffic between the nodes, no node led for a whole day."""
+    """Without this mode, no node led for a whole day while a packet filter blocked only traffic between the nodes."""
     leadership = make_leadership(state, clock, [silent, silent])
     asyncio.run(leadership.election.run_once())
-    assert leadership.role is Role.FOLLOWER, "those who may reach each other come first"
+    assert leadership.role is Role.FOLLOWER, "nodes that may reach each other get time to form a majority first"
     clock.tick(LEAD_WITHOUT_QUORUM_AFTER_S + 1)
     asyncio.run(leadership.election.run_once())
     assert leadership.role is Role.LEADER and leadership.lease_mode is LeaseMode.SESSION_LEASE and leadership.valid()
@@ -177,7 +177,7 @@
     leadership.observe_leader_key({}, 0, 13)
     assert leadership.leader_key.version == 0 and leadership.leader_key.shows_no_other_leader(leadership.node_name)
     leadership.observe_leader_key({"node": "n0"}, 12)
-    assert leadership.leader_key.version == 0, "nor does a late response undo that the key is gone"
+    assert leadership.leader_key.version == 0, "a late response does not bring back a key that is gone"
 
 
 def test_a_late_probe_response_does_not_undo_a_newer_key(state: FakeState, clock: Clock):
--- a/tests/leadership/test_replaced_leader_key.py
+++ b/tests/leadership/test_replaced_leader_key.py
@@ -43,7 +43,7 @@
     clock.tick(VOTE_GRANT_S + 0.01)
     assert leadership.role is Role.FOLLOWER and abandoned_elections(leadership) == []
     assert not leadership.vote_grant.renew_lease("n1", 7)
-    assert "drop" in state.requests, "once its session lease has ended the write can't happen any more"
+    assert "drop" in state.requests, "once its session lease has ended, the write can't be executed any more"
     # The next election certainly fails, but the first write may still be in flight.
     state.commit, state.mode = reject, "ok"
     leadership.next_election_at = 0.0
--- a/tests/leadership/test_vote_fence.py
+++ b/tests/leadership/test_vote_fence.py
@@ -42,7 +42,7 @@
 
 
 async def establish(fence, timeout_s=0.05):
-    """Runs the fence's loop until the fence is established, or for `timeout_s` seconds."""
+    """Run the fence's loop until the fence is established, or for `timeout_s` seconds."""
     running = asyncio.get_running_loop().create_task(fence.establish())
     async with asyncio.timeout(2.0):
         while not fence.version and timeout_s > 0:
@@ -97,7 +97,7 @@
 def test_the_leader_key_is_read_after_the_fence_and_before_anything_is_granted(
     leadership: Leadership, state: FakeState
 ):
-    """A write that relies on a forgotten vote may be executed just before the fence; then its leader key is valid."""
+    """A write that relies on a forgotten vote may be executed just before the fence; the key that it wrote is valid."""
     write = state.commit
 
     async def commit_after_a_late_write(when, put=(), **more):
--- a/tests/leadership/test_vote_grant.py
+++ b/tests/leadership/test_vote_grant.py
@@ -32,7 +32,7 @@
     grant = VoteGrant("n0", clock)
     grant.observed_key = ObservedLeaderKey("n1", 7)
     assert not grant.grant_vote("n2"), "it may have granted n1 a lease just before it restarted"
-    assert grant.grant_vote("n1"), "n1 itself asks: the process that held the grant is gone"
+    assert grant.grant_vote("n1"), "n1 itself asks, so the process of n1 that held the grant is gone"
     grant = VoteGrant("n0", clock)
     grant.observed_key = ObservedLeaderKey("n1", 7)
     assert not grant.renew_lease("n2", 6)
@@ -77,7 +77,7 @@
     grant.clear_replacement("n2", 21)
     assert not grant.renew_lease("n1", 7), "another candidate may still replace it"
     grant.clear_replacement("n0", 2)
-    assert not grant.renew_lease("n1", 7), "it is about another election"
+    assert not grant.renew_lease("n1", 7), "the message is about another election"
     grant.clear_replacement("n0", 1)
     assert grant.renew_lease("n1", 7)
 
