--- a/hookwall/workers/delegated_leases.py
+++ b/hookwall/workers/delegated_leases.py
@@ -20,7 +20,7 @@
 
 
 def ignore_delegation(_machines: frozenset[str] | None) -> None:
-    """Does nothing; the default for owners that make no decisions based on expired leases."""
+    """Do nothing; the default for owners that make no decisions based on expired leases."""
 
 
 class DelegatedLeases:
@@ -35,7 +35,7 @@
         clock: Callable[[], float],
         on_machines_delegated: Callable[[frozenset[str] | None], None] = ignore_delegation,
     ) -> None:
-        """Starts without any known key."""
+        """Start without any known key."""
         self.clock = clock
         self.on_machines_delegated = on_machines_delegated
         self.delegations: dict[str, Delegation] = {}
@@ -43,7 +43,7 @@
         self.all_released_at = NEVER
 
     def apply_key(self, key: str, value: object, version: int) -> None:
-        """Applies a lease delegate's key as read or watched; version 0 means that the key is deleted.
+        """Apply a lease delegate's key as read or watched; version 0 means that the key is deleted.
 
         Versions that are not newer than the known one are ignored.
         """
@@ -63,7 +63,7 @@
             self.on_machines_delegated(added)
 
     def _record_ended_delegations(self, previous: frozenset[str] | None, machines: frozenset[str] | None) -> None:
-        """Records that the leases of machines which a key no longer names may have been renewed until now."""
+        """Record that the leases of machines which a key no longer names may have been renewed until now."""
         if previous is None:
             self.record_missed_changes()
         elif machines is not None:
@@ -71,7 +71,7 @@
             self.released_at.update((name, now) for name in previous - machines)
 
     def record_missed_changes(self) -> None:
-        """Records that keys may have appeared and disappeared unobserved: any lease may have been renewed until now."""
+        """Record that keys may have appeared and disappeared unobserved: any lease may have been renewed until now."""
         self.all_released_at = self.clock()
 
     def is_delegated(self, machine: str) -> bool:
@@ -81,9 +81,9 @@
         )
 
     def last_possible_renewal(self, machine: str) -> float:
-        """Returns the latest time at which a follower may have renewed the lease under a delegation that has ended."""
+        """Return the latest time at which a follower may have renewed the lease under a delegation that has ended."""
         return max(self.all_released_at, self.released_at.get(machine, NEVER))
 
     def preconditions(self, keys: list[str]) -> list[Precondition]:
-        """Returns the key versions on which each write of the leader is conditional; 0 means that the key is absent."""
+        """Return the key versions on which each write of the leader is conditional; 0 means that the key is absent."""
         return [Precondition(key, self.delegations[key].version if key in self.delegations else 0) for key in keys]
--- a/hookwall/workers/delegation_guard.py
+++ b/hookwall/workers/delegation_guard.py
@@ -43,11 +43,11 @@
         self.watched_revision = watched_revision
 
     def preconditions(self) -> list[tuple[str, int]]:
-        """Returns the keys with the versions that this node knows."""
+        """Return the keys with the versions that this node knows."""
         return [*self.delegated_leases.preconditions(self.delegation_keys)]
 
     async def handle_changed_keys(self, changed: list[str], revision: int) -> None:
-        """Voids unsaved decisions after a write failed because lease delegates' keys had changed.
+        """Void unsaved decisions after a write failed because lease delegates' keys had changed.
 
         A follower renews leases without this leader's knowledge, so leases that seemed to have expired may be valid.
         The watch delivers every value that a key has had, so this method waits for it. A read returns only the latest
@@ -61,14 +61,14 @@
         self.void_decisions()
 
     def void_decisions(self) -> None:
-        """Voids all unsaved decisions, because delegates' keys may have appeared and disappeared unobserved."""
+        """Void all unsaved decisions, because delegates' keys may have appeared and disappeared unobserved."""
         self.delegated_leases.record_missed_changes()
         self.table.revert_unsaved()
 
     async def _wait_for_watch(self, revision: int) -> bool:
-        """Waits for the watch to deliver all changes up to `revision`.
+        """Wait for the watch to deliver all changes up to `revision`.
 
-        Returns False if the watch does not reach it in time, or if the revision is unknown (0).
+        Return False if the watch does not reach it in time, or if the revision is unknown (0).
         """
         deadline = self.clock() + WATCH_TIMEOUT_S
         while self.watched_revision() < revision and self.clock() < deadline:  # noqa: ASYNC110 - the watch has no event
@@ -76,7 +76,7 @@
         return self.watched_revision() >= revision > 0
 
     async def _read_keys(self, changed: list[str]) -> None:
-        """Reads the keys that the watch has not delivered in time."""
+        """Read the keys that the watch has not delivered in time."""
         for key in changed:
             try:
                 entry = await self.store.get(key)
--- a/hookwall/workers/delegation_record.py
+++ b/hookwall/workers/delegation_record.py
@@ -39,7 +39,7 @@
 
 
 def encode_machines(fencing_token: int, machines: Sequence[str], form: NameForm, max_bytes: int) -> EncodedDelegation:
-    """Encodes the machine names; drops names from the end of the list until the value fits into `max_bytes`."""
+    """Encode the machine names; drop names from the end of the list until the value fits into `max_bytes`."""
     names = list(machines)
     value = _encode_if_fits(fencing_token, names, form, max_bytes)
     while value is None:
@@ -51,7 +51,7 @@
 
 
 def _encode_if_fits(fencing_token: int, names: list[str], form: NameForm, max_bytes: int) -> dict[str, object] | None:
-    """Returns the plain form if it fits into `max_bytes`, else the compact form `form` if that fits, else None."""
+    """Return the names in plain form if that fits into `max_bytes`, else in `form` if that fits, else None."""
     value: dict[str, object] = {_FENCING_TOKEN: fencing_token, _MACHINES: names}
     if json_bytes(value) <= max_bytes:
         return value
@@ -65,7 +65,7 @@
 
 
 def decode_machines(value: object) -> frozenset[str] | None:
-    """Returns the machines that a stored value names, or None, which stands for any machine, if it is malformed."""
+    """Return the machines that a stored value names, or None, which stands for any machine, if it is malformed."""
     if not isinstance(value, dict):
         log.error("malformed lease delegation: reason=not an object")
         return None
--- a/hookwall/workers/fleet.py
+++ b/hookwall/workers/fleet.py
@@ -36,7 +36,7 @@
         on_change: Callable[[], None] = ignore_change,
         on_machines_delegated: Callable[[frozenset[str] | None], None] = ignore_delegation,
     ) -> None:
-        """Creates an empty fleet for the jobs of `table`.
+        """Create an empty fleet for the jobs of `table`.
 
         `on_change` is called after changes that may give a scheduling round work to do. `on_machines_delegated` is
         passed to `DelegatedLeases`.
@@ -48,7 +48,7 @@
         self.heartbeat_handler = HeartbeatHandler(self, self.successor_hints)
 
     def reset(self, token: int) -> None:
-        """Discards what is known of the machines.
+        """Discard what is known of the machines.
 
         A new leader relies only on job records, the cloud's machine lists and heartbeats.
         """
@@ -64,17 +64,18 @@
             self.attach_allocations(job)
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
-        """Applies a heartbeat and returns the commands of the response, or None if the heartbeat is outdated."""
+        """Apply a heartbeat and return the commands of the response, or None if the heartbeat is outdated."""
         return self.heartbeat_handler.process_heartbeat(heartbeat)
 
     def expire_leases(self, now: float) -> None:
-        """Releases all allocations on machines whose workers' leases must have expired."""
+        """Release all allocations on machines whose workers' leases must have expired."""
         self.lease_expiry.expire_leases(now)
 
     def confirm_deletion(self, machine: Machine, reason: str) -> None:
-        """Removes a machine after the cloud has confirmed its deletion."""
+        """Remove a machine after the cloud has confirmed its deletion."""
         self.release_all_allocations(machine, reason)
         self.transition_to(machine, MachinePhase.DELETED, reason)
         self.machines.pop(machine.name, None)
         self.deleted_names.add(machine.name)
-        self.lease_expiry.expired_machines.discard(machine.name)  # even if its lease was renewed, nothing runs on it
+        # Even if a follower has renewed its lease, nothing runs on a deleted machine.
+        self.lease_expiry.expired_machines.discard(machine.name)
--- a/hookwall/workers/fleet_state.py
+++ b/hookwall/workers/fleet_state.py
@@ -17,7 +17,7 @@
     """Holds machines, machine types and name indices, and provides look-ups on them."""
 
     def __init__(self, params: PlatformParameters, clock: Callable[[], float]) -> None:
-        """Starts without machines and catalog; zones and teams from the settings get the lowest indices."""
+        """Start without machines and catalog; zones and teams from the settings get the lowest indices."""
         self.params = params
         self.clock = clock
         self.type_names = NameIndex()
@@ -32,7 +32,8 @@
         self.machine_types: list[MachineType | None] = []
         self.machines: dict[str, Machine] = {}
         self.machines_by_index: list[Machine] = []
-        self.deleted_names: set[str] = set()  # deletion is confirmed; outdated lists of the cloud may still name them
+        # Machines whose deletion the cloud has confirmed. Outdated lists of the cloud may still name them.
+        self.deleted_names: set[str] = set()
         self.on_demand_images: set[int] = set()  # images of jobs that can't run on spot instances
         self.cordoned: set[str] = set()  # machines that get no new work because they are being drained (drains/)
         self.in_maintenance: set[str] = set()  # cordoned machines that are empty; their workers may be unresponsive
@@ -42,18 +43,18 @@
     # -- leadership validity -------------------------------------------------------------------
 
     def begin_validity(self, now: float) -> None:
-        """Starts counting leases, because from now on no other node can answer a worker."""
+        """Start counting leases, because from now on no other node can answer a worker."""
         if self.valid_since is None:
             self.valid_since = now
 
     def end_validity(self) -> None:
-        """Stops counting leases, because another node may have answered workers while this leader was not valid."""
+        """Stop counting leases, because another node may have answered workers while this leader was not valid."""
         self.valid_since = None
 
     # -- machine types -------------------------------------------------------------------------
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Replaces the catalog of machine types."""
+        """Replace the catalog of machine types."""
         self.catalog = catalog
         for machine_type in catalog.types:
             index = self.type_names.index_of(machine_type.name)
@@ -63,7 +64,7 @@
         self.invalidate_free_capacity()
 
     def invalidate_free_capacity(self) -> None:
-        """Drops the cached free capacity of all machines after a change that affects each of them.
+        """Drop the cached free capacity of all machines after a change that affects each of them.
 
         Such changes are rare compared to scheduling rounds.
         """
@@ -71,18 +72,18 @@
             machine.free_capacity = None
 
     def machine_type(self, type_: int) -> MachineType | None:
-        """Returns the machine type with this index, or None while the catalog does not contain it."""
+        """Return the machine type with this index, or None while the catalog does not contain it."""
         return self.machine_types[type_] if 0 <= type_ < len(self.machine_types) else None
 
     def image_fetch_s(self, type_: int, gb: float) -> float:
-        """Returns the seconds that a machine of the type takes to fetch an image; 0 if the catalog gives no rate."""
+        """Return the seconds that a machine of the type takes to fetch an image; 0 if the catalog gives no rate."""
         info = self.machine_type(type_)
         return gb / info.image_pull_gb_per_s if info is not None and info.image_pull_gb_per_s > 0 else 0.0
 
     # -- machines ------------------------------------------------------------------------------
 
     def ensure_machine(self, name: str, type_: str, zone: str, spot: bool) -> Machine:
-        """Returns the machine of this name and creates it if necessary. An empty `type_` means that it is unknown."""
+        """Return the machine of this name and create it if necessary. An empty `type_` means that it is unknown."""
         machine = self.machines.get(name)
         if machine is None:
             machine = Machine(
@@ -105,7 +106,7 @@
         return machine
 
     def zone_of(self, name: str) -> int:
-        """Returns the zone of a machine, or UNKNOWN_ZONE while only job records name the machine."""
+        """Return the zone of a machine, or UNKNOWN_ZONE while only job records name the machine."""
         machine = self.machines.get(name)
         return machine.zone if machine is not None and self.zone_names.names[machine.zone] else UNKNOWN_ZONE
 
@@ -123,7 +124,7 @@
         )
 
     def free_capacity(self, machine: Machine) -> FreeCapacity:
-        """Returns the free capacity of a machine whose type is known.
+        """Return the free capacity of a machine whose type is known.
 
         The result is cached until something on the machine changes, because scheduling rounds are frequent.
         """
@@ -152,11 +153,11 @@
     # -- images --------------------------------------------------------------------------------
 
     def on_demand_image_gb(self, machine: Machine) -> float:
-        """Returns the GB of images cached on the machine that belong to jobs which can't run on spot instances."""
+        """Return the GB of images cached on the machine that belong to jobs which can't run on spot instances."""
         return sum(gb for image, gb in machine.cached_images.items() if image in self.on_demand_images)
 
     def record_image_use(self, machine: Machine, image: int, gb: float) -> None:
-        """Records that the machine has just used an image, and evicts least recently used images from a full cache."""
+        """Record that the machine has just used an image, and evict least recently used images from a full cache."""
         machine.cached_images.pop(image, None)
         machine.cached_images[image] = gb
         machine.free_capacity = None
--- a/hookwall/workers/fleet_transitions.py
+++ b/hookwall/workers/fleet_transitions.py
@@ -19,15 +19,15 @@
 
 
 def ignore_change() -> None:
-    """Does nothing; the default for owners that run no scheduling rounds."""
+    """Do nothing; the default for owners that run no scheduling rounds."""
 
 
 def _ignore_stop(_job: Job) -> None:
-    """Does nothing; the default until a drain is requested."""
+    """Do nothing; the default until a drain is requested."""
 
 
 def _ignore_release(_job: Job, _allocation: Allocation) -> None:
-    """Does nothing; the default until a drain is requested."""
+    """Do nothing; the default until a drain is requested."""
 
 
 class FleetTransitions(FleetState):
@@ -40,7 +40,7 @@
         clock: Callable[[], float],
         on_change: Callable[[], None] = ignore_change,
     ) -> None:
-        """Creates an empty fleet for the jobs of `table`."""
+        """Create an empty fleet for the jobs of `table`."""
         super().__init__(params, clock)
         self.table = table
         self.on_change = on_change
@@ -49,7 +49,7 @@
         self.on_allocation_released: Callable[[Job, Allocation], None] = _ignore_release
 
     def transition_to(self, machine: Machine, phase: MachinePhase, reason: str) -> None:
-        """Changes the phase of a machine. No other function does so."""
+        """Change the phase of a machine. No other function does so."""
         if machine.phase is phase:
             return
         log.info(
@@ -62,7 +62,7 @@
     # -- allocations ---------------------------------------------------------------------------
 
     def attach_allocations(self, job: Job) -> None:
-        """Sets a job's name indices and adds its allocations to their machines."""
+        """Set a job's name indices and add its allocations to their machines."""
         spec = job.spec
         if spec is None:
             return
@@ -82,7 +82,7 @@
             self._attach(job, allocation, machine)
 
     def replace_allocations(self, job: Job, previous: Iterable[Allocation]) -> None:
-        """Replaces a job's allocations on the machines after another node's write has replaced the job's record."""
+        """Replace a job's allocations on the machines after another node's write has replaced the job's record."""
         for allocation in previous:
             machine = self.machines.get(allocation.machine)
             key = TaskId(job.job_id, allocation.task)
@@ -92,7 +92,7 @@
         self.on_change()
 
     def allocate(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> Allocation:
-        """Allocates a machine to a task; no launch command is sent before this decision is stored."""
+        """Allocate a machine to a task; no launch command is sent before this decision is stored."""
         allocation = Allocation(task, machine.name, machine.epoch, attempt, now)
         job.allocations[task] = allocation
         job.has_unsaved_changes = True
@@ -105,7 +105,7 @@
         machine.free_capacity = None
 
     def release_allocation(self, job: Job, allocation: Allocation, reason: str) -> None:
-        """Releases an allocation that is proven to be gone; its task becomes pending again unless it is done."""
+        """Release an allocation that is proven to be gone; its task becomes pending again unless it is done."""
         machine = self.machines.get(allocation.machine)
         if machine is not None:
             if job.spec is not None and not job.spec.spot:
@@ -123,13 +123,13 @@
         self.on_change()
 
     def release_all_allocations(self, machine: Machine, reason: str) -> None:
-        """Releases all allocations and unrecorded tasks of a machine; all of them are proven to be gone."""
+        """Release all allocations and unrecorded tasks of a machine; all of them are proven to be gone."""
         for job, allocation in list(machine.allocations.values()):
             self.release_allocation(job, allocation, reason)
         self.set_unrecorded_tasks(machine, set())
 
     def set_unrecorded_tasks(self, machine: Machine, tasks: set[TaskId]) -> None:
-        """Replaces the set of tasks that a worker reports without a matching allocation known to this leader.
+        """Replace the set of tasks that a worker reports without a matching allocation known to this leader.
 
         Whatever the cause, these tasks are on the machine, so they are not started on another machine until they are
         proven to be gone.
@@ -143,7 +143,7 @@
         machine.unrecorded_tasks = tasks
 
     def request_stop(self, job: Job, allocation: Allocation, grace_s: float, reason: str) -> None:
-        """Requests a graceful stop of a task, or of all tasks if the job is a gang.
+        """Request a graceful stop of a task, or of all tasks if the job is a gang.
 
         Heartbeat responses carry the stop commands.
         """
--- a/hookwall/workers/heartbeat_handler.py
+++ b/hookwall/workers/heartbeat_handler.py
@@ -31,7 +31,7 @@
         self.tasks = TaskReconciliation(fleet)
 
     def process_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
-        """Applies a heartbeat and returns the commands of the response, or None if the heartbeat is outdated."""
+        """Apply a heartbeat and return the commands of the response, or None if the heartbeat is outdated."""
         now = self.fleet.clock()
         if heartbeat.machine in self.fleet.deleted_names:
             return None  # a delayed heartbeat must not bring back a deleted machine
@@ -53,7 +53,7 @@
         return commands[:MAX_COMMANDS]
 
     def _handle_first_heartbeat(self, machine: Machine, now: float) -> None:
-        """Handles the first heartbeat that this leader receives from a machine."""
+        """Handle the first heartbeat that this leader receives from a machine."""
         machine.first_heartbeat_at = now
         machine.free_capacity = None
         self.hints.restore_images(machine)
@@ -61,7 +61,7 @@
         self.fleet.transition_to(machine, MachinePhase.UP, f"first heartbeat after {elapsed_s:.1f} s")
 
     def _begin_epoch(self, machine: Machine, epoch: int) -> None:
-        """Releases the allocations of earlier epochs: a worker that begins an epoch has ended all earlier tasks."""
+        """Release the allocations of earlier epochs: a worker that begins an epoch has ended all earlier tasks."""
         machine.may_run_cancelled_tasks = False
         for job, allocation in list(machine.allocations.values()):
             if allocation.epoch < epoch:
@@ -69,7 +69,7 @@
         machine.epoch = epoch
 
     def _track_acknowledgement(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Tracks whether responses reach the worker; a worker that they don't reach gets no new work.
+        """Track whether responses reach the worker; a worker that they don't reach gets no new work.
 
         Heartbeats, or delayed copies of them, may arrive even though responses are lost, so a worker may look alive
         while its lease runs out. A heartbeat proves that a response arrived if it carries this leader's fencing token,
@@ -95,7 +95,7 @@
                 self.fleet.on_change()
 
     def _apply_preemption_notice(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Records the first preemption notice: the cloud preempts the machine `preemption_notice_s` seconds later."""
+        """Record the first preemption notice: the cloud preempts the machine `preemption_notice_s` seconds later."""
         notice_s = heartbeat.preemption_notice_s
         if notice_s is None or machine.preemption_at is not None:
             return
@@ -104,7 +104,7 @@
             self.fleet.transition_to(machine, MachinePhase.PREEMPTION_NOTICED, f"preemption in {notice_s:.1f} s")
 
     def _stop_before_preemption(self, machine: Machine) -> None:
-        """Requests a stop of all tasks that write checkpoints, so that they can write one before the preemption."""
+        """Request a stop of all tasks that write checkpoints, so that they can write one before the preemption."""
         for job, allocation in machine.allocations.values():
             spec = job.spec
             if spec is None or allocation.stop_grace_s is not None or spec.checkpoint_interval_s <= 0:
--- a/hookwall/workers/heartbeat_router.py
+++ b/hookwall/workers/heartbeat_router.py
@@ -33,7 +33,7 @@
 
 
 def _ignore_heartbeat() -> None:
-    """Does nothing; the default for owners that store no decisions."""
+    """Do nothing; the default for owners that store no decisions."""
 
 
 class HeartbeatRouter:
@@ -57,7 +57,7 @@
         self.on_heartbeat_processed = on_heartbeat_processed
 
     def respond(self, body: bytes) -> HeartbeatReply | Awaitable[HeartbeatReply]:
-        """Returns the response to a heartbeat.
+        """Return the response to a heartbeat.
 
         A leader returns it immediately. A lease delegate may have to store its key first, so a follower may return an
         awaitable.
@@ -78,9 +78,10 @@
         return self._redirect(target) if target is not None else self._renew_lease(heartbeat)
 
     def _respond_as_leader(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Returns the response of a valid leader."""
+        """Return the response of a valid leader."""
         if not self.cancellations.may_renew_leases():
-            return UNAVAILABLE  # knowledge of cancellations is too old; the lease must expire in time
+            # This node's knowledge of cancellations is too old, so the worker's lease must be left to expire.
+            return UNAVAILABLE
         self.fleet.begin_validity(self.clock())
         commands = self.fleet.process_heartbeat(heartbeat)
         if commands is None:
@@ -89,13 +90,13 @@
         return HeartbeatReply(200, msgspec.json.encode(HeartbeatResponse(self.leadership.fencing_token, commands)))
 
     async def _renew_lease(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Renews the lease of a worker that has lost contact with the leader, or redirects the worker."""
+        """Renew the lease of a worker that has lost contact with the leader, or redirect the worker."""
         commands = await self.lease_delegate.renew_lease(heartbeat)
         if commands is None:
             return self._redirect(self.leadership.leader_name())
         return HeartbeatReply(200, msgspec.json.encode(HeartbeatResponse(self.lease_delegate.fencing_token, commands)))
 
     def _redirect(self, leader: str | None) -> HeartbeatReply:
-        """Returns a redirect that names the leader, if another node is known to lead."""
+        """Return a redirect that names the leader, if another node is known to lead."""
         target = {"overseer": leader} if leader and leader != self.leadership.node_name else {}
         return HeartbeatReply(421, msgspec.json.encode(target))
--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -1,12 +1,12 @@
 """Renewal of worker leases by a follower, on behalf of a leader that the workers can't reach.
 
 In a zone that is partitioned from the leader, workers may still reach a follower. The follower may answer their
-heartbeats, so that they keep their tasks, provided that the leader can find out: before its first response to a worker,
-the follower writes the machine's name into a key of its own. The write is conditional on an unchanged leader key, and
-the key is attached to a short session lease. Each write of the leader has the keys of all lease delegates, in the
-versions known to the leader, as preconditions. So if a write succeeds, a lease that the leader believes to have expired
-can't have been renewed meanwhile, and decisions based on outdated knowledge are never stored. The follower sends no
-commands except to stop cancelled tasks.
+heartbeats, so that they keep their tasks, provided that the leader can learn of it: before its first response to a
+worker, the follower writes the machine's name into a key of its own. The write is conditional on an unchanged leader
+key, and the key is attached to a short session lease. Each write of the leader has the keys of all lease delegates, in
+the versions known to the leader, as preconditions. So if a write succeeds, a lease that the leader believes to have
+expired can't have been renewed meanwhile, and decisions based on outdated knowledge are never stored. The follower
+sends no commands except to stop cancelled tasks.
 
 Invariant: a worker is answered only while the stored key names its machine and the session lease can't have ended.
 """
@@ -34,7 +34,9 @@
 SESSION_LEASE_S = 6.0
 RENEWAL_PERIOD_S = 1.5
 LEADER_CONTACT_TIMEOUT_S = 3.0  # leases are renewed here after this time without a message from the leader
-MAX_DELEGATION_S = 60.0  # limit for one worker, so that it does not stay with a node that can't place work on it
+# A worker's lease is renewed here for at most this time, so that the worker does not stay with a node that can't place
+# work on it.
+MAX_DELEGATION_S = 60.0
 
 
 class StoredDelegation(NamedTuple):
@@ -48,7 +50,7 @@
 
 
 def _not_supported() -> bool:
-    """The default: not all nodes are known to read a compact form of machine names."""
+    """Return False; the default while not all nodes are known to read a compact form of machine names."""
     return False
 
 
@@ -66,7 +68,7 @@
         packed_names: Callable[[], bool] = _not_supported,
         numbered_names: Callable[[], bool] = _not_supported,
     ) -> None:
-        """Starts without any delegation.
+        """Start without any delegation.
 
         `cancellations_current` returns whether this node's knowledge of cancellations is recent enough to renew leases.
         `packed_names` and `numbered_names` return whether all nodes can read machine names in these forms.
@@ -103,7 +105,7 @@
         leader_key = leadership.leader_key
         now = self.clock()
         return (
-            leadership.role in (Role.FOLLOWER, Role.CANDIDATE)  # a partitioned node is a candidate that can't win
+            leadership.role in (Role.FOLLOWER, Role.CANDIDATE)  # a partitioned node stands in elections it can't win
             and leader_key.version > 0
             and leader_key.leader != leadership.node_name
             and heartbeat.fencing_token <= leader_key.version
@@ -127,7 +129,7 @@
         )
 
     def redirect_target(self, heartbeat: Heartbeat) -> str | None:
-        """Returns the leader to which a worker with a freshly renewed lease is redirected now, or None.
+        """Return the leader to which a worker with a freshly renewed lease is redirected now, or None.
 
         If only connections between nodes are blocked, a leader that leads by session lease has no contact with this
         node, but workers can reach it. Without redirects, workers that had come here before this leader took over
@@ -146,7 +148,7 @@
         return leader_key.leader
 
     async def renew_lease(self, heartbeat: Heartbeat) -> list[Command] | None:
-        """Returns the commands of the response, or None if the worker's lease can't be renewed here."""
+        """Return the commands of the response, or None if the worker's lease can't be renewed here."""
         if not self.may_renew_for(heartbeat):
             return None
         machine = heartbeat.machine
@@ -160,7 +162,7 @@
         return self._stop_commands(heartbeat)
 
     def _stop_commands(self, heartbeat: Heartbeat) -> list[Command]:
-        """Returns stop commands for the reported tasks of cancelled jobs."""
+        """Return stop commands for the reported tasks of cancelled jobs."""
         commands = []
         for status in heartbeat.tasks:
             task_id = heartbeat_messages.parse_task_id(status.task_id)
@@ -171,7 +173,7 @@
     # -- this node's key -----------------------------------------------------------------------
 
     async def store_delegation(self, shrink: bool = False) -> None:
-        """Stores the names of the machines whose leases are renewed here, on condition of an unchanged leader key.
+        """Store the names of the machines whose leases are renewed here, on condition of an unchanged leader key.
 
         With `shrink`, the key is written even if no further machines are requested.
         """
@@ -185,9 +187,9 @@
             try:
                 stored = await self._commit(token, machines)
             except RequestRejectedError as error:
-                # The write was not executed, so the stored delegation is unchanged and stays valid. It used to be
-                # dropped: a whole fleet that arrived at once used up the changes that this node may write, and each
-                # rejection ended the renewals for machines that were already stored.
+                # The write was not executed, so the stored delegation is unchanged and stays valid. When it was
+                # dropped on a rejection, a whole fleet that arrived at once used up the changes that this node may
+                # write, and each rejection ended the renewals for machines that were already stored.
                 log.debug("lease delegation rejected: machines=%d reason=%s", len(machines), error)
                 return
             except (PreconditionFailedError, OutcomeUnknownError) as error:
@@ -200,21 +202,21 @@
             self._apply_stored(stored)
 
     async def _commit(self, token: int, machines: list[str]) -> StoredDelegation:
-        """Writes the key under a new session lease. Errors of the store are raised to the caller."""
+        """Write the key under a new session lease. Raise the errors of the store's client if a request fails."""
         if self.key_version is None:
             entry = await self.store.get(self.key)
             self.key_version = entry.version if entry is not None else 0
         sent_at = self.clock()
         session_lease = await self.store.grant_session_lease(SESSION_LEASE_S)
         encoded = self.encode(token, machines)
-        # Machines that the new value does not name must no longer be answered, even before it is stored.
+        # From now on, even before the new value is stored, machines that it does not name must not be answered.
         self.delegated &= set(encoded.machines)
         preconditions = [Precondition(keys.LEADER_KEY, token), Precondition(self.key, self.key_version)]
         version = await self.store.commit(preconditions, [Put(self.key, encoded.value)], session_lease)
         return StoredDelegation(token, version, session_lease, sent_at, encoded.machines)
 
     def _apply_stored(self, stored: StoredDelegation) -> None:
-        """Applies a successful write: workers on the stored machines are answered from now on."""
+        """Apply a successful write: workers on the stored machines are answered from now on."""
         if not self.delegated:
             log.info("lease delegation begins: leader=%s", self.leadership.leader_key.leader)
         self.fencing_token = stored.fencing_token
@@ -224,17 +226,17 @@
         # Machines that were redirected during the write are not answered, although the stored key names them.
         self.delegated = set(stored.machines) - self.redirected_during_write
         self.shrink_pending = bool(self.redirected_during_write)
-        # Machines that were requested during the write are not stored yet, so they stay requested for the next one.
+        # Machines that were requested during the write are not stored yet, so they stay requested for the next write.
         self.requested -= self.delegated
 
     def _invalidate(self) -> None:
-        """Stops relying on the stored key and its session lease."""
+        """Stop relying on the stored key and its session lease."""
         self.delegated = set()
         self.valid_until = None
         self.key_version = None
 
     def encode(self, token: int, machines: list[str]) -> EncodedDelegation:
-        """Encodes the key's value in the most compact form that all nodes can read."""
+        """Encode the key's value in the most compact form that all nodes can read."""
         if not self.packed_names():
             return encode_machines(token, machines, NameForm.PLAIN, self.store.max_plain_value_bytes())
         form = NameForm.NUMBERED if self.numbered_names() else NameForm.PACKED
@@ -243,9 +245,10 @@
     # -- the session lease ---------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Renews the session lease periodically, and ends the delegation when the leader is in contact again.
+        """Renew the session lease periodically, and end the delegation when the leader is in contact again.
 
-        Other reasons to end it are a change of leader, a lost session lease, and that no delegated machines are left.
+        The delegation also ends if the leader changes, if the session lease is lost, or if no delegated machines are
+        left.
         """
         while True:
             await asyncio.sleep(RENEWAL_PERIOD_S)
@@ -255,7 +258,7 @@
                 await self._end_delegation("all machines redirected")
 
     async def _maintain(self) -> None:
-        """Ends the delegation, shrinks it, or renews its session lease; called once per period."""
+        """End the delegation, shrink it, or renew its session lease; called once per period."""
         now = self.clock()
         reason = self._reason_to_end(now)
         if reason is not None:
@@ -266,7 +269,7 @@
             await self._renew_session_lease(now)
 
     def _reason_to_end(self, now: float) -> str | None:
-        """Returns why leases must no longer be renewed here, or None if they may be."""
+        """Return why leases must no longer be renewed here, or None if they may be."""
         leadership = self.leadership
         if leadership.role.holds_leader_key() or leadership.leader_key.version != self.fencing_token:
             return "leader changed"
@@ -277,7 +280,7 @@
         return None
 
     async def _renew_session_lease(self, now: float) -> None:
-        """Renews the session lease. A concurrent write may replace the session lease during the renewal."""
+        """Renew the session lease. A concurrent write may replace the session lease during the renewal."""
         session_lease = self.session_lease
         try:
             alive = session_lease is not None and await self.store.renew_session_lease(session_lease)
@@ -289,7 +292,7 @@
             self.valid_until = _session_valid_until(now)
 
     async def _end_delegation(self, reason: str) -> None:
-        """Ends the delegation: stops answering workers first, then revokes the session lease, which deletes the key."""
+        """Stop answering workers first, then revoke the session lease, which deletes the key."""
         session_lease = self.session_lease
         self.session_lease = None
         self._invalidate()
@@ -306,5 +309,5 @@
 
 
 def _session_valid_until(sent_at: float) -> float:
-    """Returns the time until which a session lease can't have ended if it was requested or renewed at `sent_at`."""
+    """Return the time until which a session lease can't have ended if it was requested or renewed at `sent_at`."""
     return sent_at + SESSION_LEASE_S * (1 - MAX_CLOCK_DRIFT) - TIMER_SLACK_S
--- a/hookwall/workers/lease_expiry.py
+++ b/hookwall/workers/lease_expiry.py
@@ -22,7 +22,7 @@
     """Determines when each worker can last have been answered, by a leader or by a follower."""
 
     def __init__(self, fleet: FleetTransitions, delegated_leases: DelegatedLeases) -> None:
-        """Watches the machines of `fleet`; `delegated_leases` tells which leases followers may renew."""
+        """Watch the machines of `fleet`; `delegated_leases` tells which leases followers may renew."""
         self.fleet = fleet
         self.delegated_leases = delegated_leases
         workers = fleet.params.workers
@@ -32,7 +32,7 @@
         self.expired_machines: set[str] = set()
 
     def expire_leases(self, now: float) -> None:
-        """Releases all allocations on machines whose workers' leases must have expired."""
+        """Release all allocations on machines whose workers' leases must have expired."""
         valid_since = self.fleet.valid_since
         if valid_since is None:
             return
@@ -50,9 +50,9 @@
                 self._expire(machine)
 
     def retract_expiry(self, delegated: frozenset[str] | None) -> bool:
-        """Returns whether any of the delegated machines was treated as expired, and no longer counts them as expired.
+        """Stop counting the delegated machines as expired; return whether any of them was treated as expired.
 
-        `delegated` is None if it may be any machine.
+        `delegated` is None if any machine may be delegated.
         """
         wrongly_expired = self.expired_machines if delegated is None else self.expired_machines & delegated
         any_wrongly_expired = bool(wrongly_expired)
@@ -70,7 +70,7 @@
         return now - self.delegated_leases.last_possible_renewal(machine.name) > self.expiry_s
 
     def _expire(self, machine: Machine) -> None:
-        """Releases all allocations on a machine whose lease has expired."""
+        """Release all allocations on a machine whose lease has expired."""
         log.info("lease expired: machine=%s tasks=%d", machine.name, len(machine.allocations))
         # A hanging machine ends its tasks only after it resumes, but cancelled tasks must be gone earlier.
         machine.may_run_cancelled_tasks = machine.may_run_cancelled_tasks or any(
@@ -82,7 +82,8 @@
     def _is_unresponsive(self, machine: Machine, valid_since: float, now: float) -> bool:
         """Whether the expected heartbeats or acknowledgements of the machine are missing.
 
-        A machine that has sent no heartbeat to this leader yet has as much time for it as a lease takes to expire.
+        A machine that has sent no heartbeat to this leader yet has as much time for its first one as a lease takes to
+        expire.
         """
         if machine.first_heartbeat_at >= 0:
             return now - machine.acknowledged_at > self.unresponsive_s
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -24,7 +24,7 @@
         self.names: list[str] = []
 
     def index_of(self, name: str) -> int:
-        """Returns the index of a name; a new name gets the next free index."""
+        """Return the index of a name; a new name gets the next free index."""
         index = self.index_by_name.get(name)
         if index is None:
             index = self.index_by_name[name] = len(self.names)
@@ -103,7 +103,7 @@
     )  # fmt: skip
 
     def __init__(self, name: str, index: int, type_: int, zone: int, spot: bool, now: float) -> None:
-        """Creates a machine that became known at `now`; `type_` and `zone` are name indices."""
+        """Create a machine that became known at `now`; `type_` and `zone` are name indices."""
         self.name = name
         self.index = index
         self.type = type_
@@ -117,7 +117,7 @@
         self._init_tasks()
 
     def _init_cloud_state(self, now: float) -> None:
-        """Initializes the state that the cloud reports."""
+        """Initialize the state that the cloud reports."""
         self.first_known_at = now
         self.provisioned_at = now
         self.last_listed_at = NEVER  # when the cloud last listed it; stays NEVER if only job records name it
@@ -126,7 +126,7 @@
         self.provisioning_failed = False
 
     def _init_worker_state(self) -> None:
-        """Initializes the state that the worker's heartbeats report."""
+        """Initialize the state that the worker's heartbeats report."""
         self.first_heartbeat_at = -1.0
         self.epoch = 0
         self.sequence = -1
@@ -137,7 +137,7 @@
         self.unresponsive = False
 
     def _init_tasks(self) -> None:
-        """Initializes the tasks that may run on the machine, and its free capacity."""
+        """Initialize the tasks that may run on the machine, and its free capacity."""
         self.allocations: dict[TaskId, AllocatedTask] = {}
         # Tasks that its worker reports without a matching allocation known to this leader.
         self.unrecorded_tasks: set[TaskId] = set()
--- a/hookwall/workers/name_codec.py
+++ b/hookwall/workers/name_codec.py
@@ -35,7 +35,7 @@
 
 
 def encode(names: Iterable[str]) -> dict[str, object]:
-    """Encodes the names for `decode`; their order is not preserved."""
+    """Encode the names for `decode`; their order is not preserved."""
     numbers: dict[tuple[str, int], set[int]] = {}
     others: list[str] = []
     for name in names:
@@ -51,9 +51,9 @@
 
 
 def decode(value: object) -> list[str]:
-    """Returns the names that were passed to `encode`.
+    """Return the names that were passed to `encode`.
 
-    Raises MalformedRecordError if `value` is not an encoding of names.
+    Raise MalformedRecordError if `value` is not an encoding of names.
     """
     try:
         numbered = msgspec.convert(value, NumberedNames)
@@ -66,7 +66,7 @@
 
 
 def _pack_numbers(numbers: set[int]) -> str:
-    """Encodes distinct numbers as the gaps between them; the first gap counts from -1."""
+    """Encode distinct numbers as the gaps between them; the first gap counts from -1."""
     gaps: list[int] = []
     last = -1
     for number in sorted(numbers):
@@ -76,7 +76,7 @@
 
 
 def _unpack_numbers(text: str) -> list[int]:
-    """Returns the numbers that were passed to `_pack_numbers`."""
+    """Return the numbers that were passed to `_pack_numbers`."""
     try:
         gaps = msgspec.msgpack.decode(compression.decompress_bytes(text), type=list[int])
     except msgspec.DecodeError as error:
--- a/hookwall/workers/orderly_stop.py
+++ b/hookwall/workers/orderly_stop.py
@@ -9,5 +9,5 @@
 
 
 def stop_grace_s(spec: JobSpec) -> float:
-    """Returns the seconds between the stop command and the end of the task; 0 if the job writes no checkpoints."""
+    """Return the seconds between the stop command and the end of the task; 0 if the job writes no checkpoints."""
     return spec.checkpoint_cost_s + CHECKPOINT_MARGIN_S if spec.checkpoint_interval_s > 0 else 0.0
--- a/hookwall/workers/redirect_schedule.py
+++ b/hookwall/workers/redirect_schedule.py
@@ -11,14 +11,14 @@
     """Tracks and limits the redirects that one lease delegate sends."""
 
     def __init__(self) -> None:
-        """Starts without any known worker."""
+        """Start without any known worker."""
         # The fencing token of each worker's first heartbeat here. Later heartbeats may carry the current leader's token
         # only because the delegate's responses contain it.
         self.first_fencing_token: dict[str, int] = {}
         self.redirected_at: dict[str, float] = {}
 
     def record_first_token(self, machine: str, fencing_token: int) -> None:
-        """Records the fencing token of a worker's first heartbeat; later calls for the worker have no effect."""
+        """Record the fencing token of a worker's first heartbeat; later calls for the worker have no effect."""
         self.first_fencing_token.setdefault(machine, fencing_token)
 
     def begin_redirect_if_due(self, machine: str, leader_token: int, now: float) -> bool:
@@ -32,6 +32,6 @@
         return True
 
     def clear(self) -> None:
-        """Forgets all workers at the end of a delegation."""
+        """Forget all workers at the end of a delegation."""
         self.first_fencing_token.clear()
         self.redirected_at.clear()
--- a/hookwall/workers/resources.py
+++ b/hookwall/workers/resources.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """The free CPUs, GPUs and GB of memory of one machine. `cached_images` contains indices of the images it has."""
+    """The free CPUs, GPUs and GB of memory of one machine. `cached_images` contains image indices."""
 
     index: int
     type: int
@@ -29,7 +29,7 @@
     has_whole_machine_task: bool | None = None  # None: not determined yet
 
     def allocate(self, request: "ResourceRequest", task_count: int) -> None:
-        """Subtracts the resources of `task_count` tasks.
+        """Subtract the resources of `task_count` tasks.
 
         There is no check that the tasks fit, because this object may be a copy or an estimate.
         """
@@ -63,7 +63,7 @@
 
 
 def placeable_task_count(request: ResourceRequest, machine: FreeCapacity) -> int:
-    """Returns how many of the requested tasks fit into the machine's free capacity."""
+    """Return how many of the requested tasks fit into the machine's free capacity."""
     count = request.count
     if request.gpus > 0:
         count = min(count, int((machine.gpus + EPSILON) / request.gpus))
--- a/hookwall/workers/successor_hints.py
+++ b/hookwall/workers/successor_hints.py
@@ -14,7 +14,7 @@
     """Creates the hints of this node while it leads, and holds the hints that it has received from a leader."""
 
     def __init__(self, machines: list[Machine], images: NameIndex) -> None:
-        """Uses a fleet's machines, ordered by index, and its image name indices."""
+        """`machines` are those of a fleet, ordered by index; `images` are the fleet's image name indices."""
         self.machines = machines
         self.images = images
         self.next_index = 0  # index of the first machine in the next message
@@ -24,7 +24,7 @@
         self.previous_images: dict[str, ImageSizes] = {}  # in the previous pass
 
     def next_message(self) -> dict[str, object]:
-        """Returns the next message. A large fleet takes several messages; each continues where the last one ended."""
+        """Return the next message. A large fleet takes several messages; each continues where the last one ended."""
         start = self.next_index if self.next_index < len(self.machines) else 0
         cached: dict[str, ImageSizes] = {}
         image_count = 0
@@ -39,7 +39,7 @@
         return {"warm": cached, "rate": self.arrival_rates, "first": start == 0}
 
     def apply_message(self, message: object) -> None:
-        """Records the hints of a leader's message; malformed parts are ignored."""
+        """Record the hints of a leader's message; malformed parts are ignored."""
         if not isinstance(message, dict):
             return
         cached = message.get("warm")
@@ -53,7 +53,7 @@
             self.received_rates = (float(rates[0]), float(rates[1]))
 
     def restore_images(self, machine: Machine) -> None:
-        """Adds the cached images that the previous leader's hints name for a machine, at its first heartbeat here."""
+        """Add the cached images that the previous leader's hints name for a machine, at its first heartbeat here."""
         for item in self.received_images.get(machine.name) or self.previous_images.get(machine.name) or ():
             try:
                 name, gb = item
--- a/hookwall/workers/task_exits.py
+++ b/hookwall/workers/task_exits.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 FULL_MACHINE_BACKOFF_S = 4.0  # no new tasks for this time on a machine whose worker had no room for a task
-UNKNOWN_IMAGE_BACKOFF_S = 5.0  # no new start for this time of a job whose image is unknown to a worker
+UNKNOWN_IMAGE_BACKOFF_S = 5.0  # a job whose image a worker did not know is not started again for this time
 FAILED_MACHINES_FOR_JOB_FAULT = 3  # a job that failed on this many machines is at fault itself
 MAX_BACKOFF_S = 60.0
 MAX_BACKOFF_EXPONENT = 6
@@ -25,11 +25,11 @@
     """Applies the task exits that workers report."""
 
     def __init__(self, fleet: FleetTransitions) -> None:
-        """Applies exits to the machines of `fleet`."""
+        """Apply exits to the machines of `fleet`."""
         self.fleet = fleet
 
     def apply_exit(self, machine: Machine, job: Job, allocation: Allocation, cause: str) -> None:
-        """Applies the end of a task; `cause` is an exit cause of the worker protocol."""
+        """Apply the end of a task; `cause` is an exit cause of the worker protocol."""
         if cause == "done":
             self._apply_success(machine, job, allocation)
         elif cause == "error":
@@ -46,7 +46,7 @@
         self.fleet.release_allocation(job, allocation, cause)
 
     def _apply_success(self, machine: Machine, job: Job, allocation: Allocation) -> None:
-        """Applies the success of a task; it completes all tasks of a gang."""
+        """Apply the success of a task; it completes all tasks of a gang."""
         machine.consecutive_errors = 0
         machine.free_capacity = None
         machine.jobs_with_errors.clear()
@@ -60,14 +60,14 @@
         job.mark_task_done(allocation.task)
 
     def _apply_error(self, machine: Machine, job: Job) -> None:
-        """Applies an error exit: either the machine is faulty, or the job fails on every machine."""
+        """Apply an error exit: either the machine is faulty, or the job fails on every machine."""
         now = self.fleet.clock()
         job.failures_by_machine[machine.name] = job.failures_by_machine.get(machine.name, 0) + 1
         job.last_failure_at = now
-        machines = len(job.failures_by_machine)
-        if machines >= FAILED_MACHINES_FOR_JOB_FAULT:
+        failed_machine_count = len(job.failures_by_machine)
+        if failed_machine_count >= FAILED_MACHINES_FOR_JOB_FAULT:
             # The job itself is at fault. Immediate retries would only take machines away from other jobs.
-            job.retry_not_before = now + min(MAX_BACKOFF_S, 2.0 ** min(machines, MAX_BACKOFF_EXPONENT))
+            job.retry_not_before = now + min(MAX_BACKOFF_S, 2.0 ** min(failed_machine_count, MAX_BACKOFF_EXPONENT))
             return
         machine.consecutive_errors += 1
         machine.free_capacity = None
--- a/hookwall/workers/task_reconciliation.py
+++ b/hookwall/workers/task_reconciliation.py
@@ -20,15 +20,15 @@
 
 
 class TaskReconciliation:
-    """Chooses the commands of the response to a heartbeat, and releases allocations that it proves to be gone."""
+    """Chooses the commands that answer a heartbeat, and releases allocations whose tasks it proves to be gone."""
 
     def __init__(self, fleet: FleetTransitions) -> None:
-        """Reconciles the machines of `fleet`."""
+        """Reconcile the machines of `fleet`."""
         self.fleet = fleet
         self.exits = TaskExits(fleet)
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """Applies the reported tasks of a heartbeat and the absence of the others; returns the commands to send."""
+        """Apply the reported tasks of a heartbeat and the absence of the others; return the commands to send."""
         commands: list[Command] = []
         present: set[TaskId] = set()
         unrecorded: set[TaskId] = set()
@@ -59,7 +59,7 @@
     def _apply_status(
         self, machine: Machine, status: TaskStatus, allocated: AllocatedTask, commands: list[Command], now: float
     ) -> None:
-        """Applies the status of a reported task that matches its allocation."""
+        """Apply the status of a reported task that matches its allocation."""
         job, allocation = allocated
         if status.phase != allocation.reported_phase:
             self._apply_phase(machine, status, allocated, now)
@@ -74,7 +74,7 @@
             commands.append(heartbeat_messages.stop_command(status.task_id, status.attempt, allocation.stop_grace_s))
 
     def _apply_phase(self, machine: Machine, status: TaskStatus, allocated: AllocatedTask, now: float) -> None:
-        """Applies a change of the reported phase of a task."""
+        """Apply a change of the reported phase of a task."""
         job, allocation = allocated
         log.debug(
             "task phase changed: task=%s attempt=%d machine=%s phase=%s",
@@ -95,9 +95,9 @@
         allocated: AllocatedTask | None,
         commands: list[Command],
     ) -> bool:
-        """Applies the reported end of a task.
+        """Apply the reported end of a task.
 
-        Returns False if no record or allocation names the task and the response makes the worker forget it.
+        Return False if neither the job record nor an allocation names the task; the worker is then told to forget it.
         """
         if allocated is not None:
             self.exits.apply_exit(machine, allocated.job, allocated.allocation, status.cause or "")
@@ -112,7 +112,7 @@
     def _reconcile_absent(
         self, machine: Machine, job: Job, allocation: Allocation, has_current_token: bool, commands: list[Command]
     ) -> None:
-        """Releases or launches an allocation whose task the heartbeat does not report."""
+        """Release an allocation whose task the heartbeat does not report, or send its launch command."""
         if not self._should_run(machine, job, allocation):
             # The heartbeat shows that no launch of this leader has started the task, and a worker with this leader's
             # fencing token drops responses of older leaders.
--- a/tests/workers/running_jobs.py
+++ b/tests/workers/running_jobs.py
@@ -6,7 +6,7 @@
 
 
 def start_job(cluster: Cluster, n=1, machine="vm-1", **changes) -> Job:
-    """Submits a job whose tasks are placed on one machine, stored, launched and reported as running."""
+    """Submit a job whose tasks are placed on one machine, stored, launched and reported as running."""
     cluster.beat(machine)
     job = cluster.submit(n, **changes)
     cluster.scheduler.run_round()
@@ -18,5 +18,5 @@
 
 
 def task_statuses(job, phase="running", cause=None):
-    """Returns the statuses of all allocated tasks of a job, as a heartbeat reports them."""
+    """Return the statuses of all allocated tasks of a job, as a heartbeat reports them."""
     return [(f"{job.job_id}/{a.task}", a.attempt, phase, cause) for a in job.allocations.values()]
--- a/tests/workers/test_heartbeat_handler.py
+++ b/tests/workers/test_heartbeat_handler.py
@@ -77,14 +77,14 @@
 
 
 def submit_and_place(cluster: Cluster, n):
-    """Submits a job and returns whether the next scheduling round places a task of any job."""
+    """Submit a job and return whether the next scheduling round places a task of any job."""
     cluster.submit(n)
     before = sum(len(j.allocations) for j in cluster.table.open_jobs.values())
     cluster.scheduler.run_round()
     return sum(len(j.allocations) for j in cluster.table.open_jobs.values()) > before
 
 
-def test_machine_without_received_responses_gets_no_tasks_until_it_receives_one(cluster: Cluster):
+def test_machine_that_receives_no_responses_gets_no_tasks_until_it_receives_one(cluster: Cluster):
     cluster.beat("vm-1")
     assert submit_and_place(cluster, 1)
     # The worker receives no responses for longer than its lease, but its heartbeats still arrive.
@@ -94,7 +94,7 @@
         cluster.beat("vm-1", tenure=epoch)
         assert not submit_and_place(cluster, 10 + epoch)
     assert cluster.fleet.machines["vm-1"].unresponsive, (
-        "it looks alive, but is as good as unresponsive, and so replaced"
+        "its heartbeats arrive, but it receives no responses, so it is replaced"
     )
     cluster.clock.tick(2.0)
     cluster.beat("vm-1", tenure=4)
--- a/tests/workers/test_lease_expiry.py
+++ b/tests/workers/test_lease_expiry.py
@@ -24,7 +24,7 @@
     cluster.fleet.reset(token=9)
     cluster.clock.tick(30.0)
     cluster.fleet.expire_leases(cluster.clock())
-    assert job.allocations, "nobody may expire leases before this leader is valid"
+    assert job.allocations, "no lease may expire before this leader is valid"
     cluster.fleet.begin_validity(cluster.clock())
     cluster.clock.tick(12.0)
     cluster.fleet.expire_leases(cluster.clock())
--- a/tests/workers/test_successor_hints.py
+++ b/tests/workers/test_successor_hints.py
@@ -19,7 +19,7 @@
 def test_hints_of_4000_machines_fit_into_messages_and_arrive_completely(
     cluster: Cluster, params: PlatformParameters, clock: Clock
 ):
-    """A message with all hints exceeded the size that peers accept, so every fifth ping closed the connection."""
+    """A message with all hints exceeded the size that peers accept, so every fifth heartbeat closed the connection."""
     fleet = fleet_with_cached_images(cluster, 4000, 10)
     peer = Fleet(params, cluster.table, clock)
     delivered = 0
--- a/tests/workers/test_task_launches.py
+++ b/tests/workers/test_task_launches.py
@@ -84,7 +84,7 @@
     "value", [{"phase": "open", "n": 1, "on": 7}, {"phase": "open", "n": 1, "packed": {"fixed": ["x"], "state": "y"}}]
 )
 def test_no_task_is_started_while_the_newest_job_record_is_unreadable(cluster: Cluster, value):
-    """An older record may be outdated: the start that it names may have been moved."""
+    """An older record may be outdated: its task may have been moved to another machine since."""
     cluster.beat("vm-1")
     cluster.beat("vm-2")
     job, other = cluster.submit(1), cluster.submit(2, pieces=2)
--- a/tests/workers/test_unrecorded_tasks.py
+++ b/tests/workers/test_unrecorded_tasks.py
@@ -18,7 +18,7 @@
 
 
 def end_reported_task(cluster: Cluster, how: str) -> None:
-    """Provides the leader with proof that the task reported by vm-1 is gone."""
+    """Give the leader proof that the task reported by vm-1 is gone."""
     if how == "not reported":
         cluster.beat("vm-1")
     elif how == "exited":
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("how", ["not reported", "exited", "a later epoch", "deleted", "the lease expired"])
 def test_reported_task_is_not_started_on_another_machine(cluster: Cluster, how):
-    """The machine once got no new tasks, but the reported task itself was placed on another machine while it ran."""
+    """The reported task was once placed on another machine while it ran; only its own machine got no new tasks."""
     cluster.beat("vm-1", REPORTED_TASKS)
     cluster.beat("vm-2")
     job = cluster.submit(1)
@@ -56,7 +56,7 @@
     cluster.scheduler.run_round()
     assert sorted(job.allocations) == [1, 2]
     cluster.fleet.reset(6)
-    assert job.unrecorded_sightings == {}, "a new leadership believes its own reports only"
+    assert job.unrecorded_sightings == {}, "a new leadership relies only on reports that it receives itself"
 
 
 def test_delayed_report_of_done_tasks_does_not_block_other_tasks(cluster: Cluster):
