--- a/hookwall/autoscaling/capacity.py
+++ b/hookwall/autoscaling/capacity.py
@@ -13,7 +13,7 @@
 from hookwall.workers.machine import Machine, MachinePhase
 from hookwall.workers.resources import FreeCapacity
 
-# A machine that has been booting for longer than its type's usual boot time, multiplied by this, is not counted.
+# A machine that has been booting for longer than this multiple of its type's usual boot time is not counted.
 OVERDUE_BOOT_FACTOR = 2.5
 DEFAULT_BOOT_S = 30.0  # for machine types that are missing from the catalog
 UNKNOWN_PRICE = math.inf  # for machine types that are missing from the catalog
@@ -45,7 +45,7 @@
 
 
 def pool_of(machine: Machine) -> MachinePool:
-    """Returns the pool from which a machine was provisioned."""
+    """Return the pool from which a machine was provisioned."""
     return MachinePool(machine.type, machine.zone, machine.spot)
 
 
@@ -59,18 +59,18 @@
         self.pending_requests: list[ProvisioningRequest] = []
 
     def hourly_price(self, pool: MachinePool) -> float:
-        """Returns the hourly price of a machine of the pool according to the newest catalog."""
+        """Return the hourly price of a machine of the pool according to the newest catalog."""
         machine_type = self.fleet.machine_type(pool.type)
         if machine_type is None:
             return UNKNOWN_PRICE
         return machine_type.spot_price if pool.spot else machine_type.price
 
     def machine_count_by_pool(self) -> Counter[MachinePool]:
-        """Returns the number of machines of each pool, in any phase."""
+        """Return the number of machines of each pool, in any phase."""
         return Counter(pool_of(machine) for machine in self.fleet.machines.values())
 
     def empty_machine(self, pool: MachinePool, index: int = NOT_PROVISIONED_INDEX) -> FreeCapacity:
-        """Returns the capacity of an empty machine of the pool, whose type must be in the catalog."""
+        """Return the capacity of an empty machine of the pool, whose type must be in the catalog."""
         machine_type = self.fleet.machine_type(pool.type)
         assert machine_type is not None
         return FreeCapacity(
@@ -85,7 +85,7 @@
         )
 
     def boot_s(self, machine: Machine) -> float:
-        """Returns the usual boot time of the machine's type."""
+        """Return the usual boot time of the machine's type."""
         machine_type = self.fleet.machine_type(machine.type)
         return DEFAULT_BOOT_S if machine_type is None else machine_type.boot_s
 
@@ -102,7 +102,7 @@
         return now - machine.provisioned_at > OVERDUE_BOOT_FACTOR * self.boot_s(machine)
 
     def incoming_machines(self, now: float) -> list[FreeCapacity]:
-        """Returns the expected machines with nothing allocated, including those of pending provisioning requests."""
+        """Return the expected machines, all of them empty, including those of pending provisioning requests."""
         incoming = [
             self.empty_machine(pool_of(machine), machine.index)
             for machine in self.fleet.machines.values()
@@ -113,7 +113,7 @@
         return incoming
 
     def machine_counts(self, now: float) -> MachineCounts:
-        """Counts the machines that are ready or expected to become ready, without the cordoned ones."""
+        """Count the machines that are ready or expected to become ready, without the cordoned ones."""
         on_demand = 0
         total = 0
         for machine in self.fleet.machines.values():
--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -56,15 +56,15 @@
         self.session = open_session(MAX_CONNECTIONS)
 
     async def fetch_catalog(self) -> Catalog:
-        """Returns the machine types with their prices. Raises CloudUnavailableError."""
+        """Return the machine types with their prices. Raise CloudUnavailableError without a usable response."""
         status, body = await self._send("GET", "/catalog")
         _require_ok(status)
         return _convert(body, Catalog)
 
     async def machines(self) -> list[ListedMachine]:
-        """Returns the machine list, fetched page by page; other requests may be sent between two pages.
+        """Return the machine list, fetched page by page; other requests may be sent between two pages.
 
-        Raises CloudUnavailableError.
+        Raise CloudUnavailableError without a usable response.
         """
         machines: list[ListedMachine] = []
         after = ""
@@ -79,10 +79,10 @@
             after = page.machines[-1].name
 
     async def provision(self, request_name: str, type_: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Requests `count` machines and returns the names of those that the cloud starts, which may be fewer.
+        """Request `count` machines and return the names of those that the cloud starts, which may be fewer.
 
-        The request is idempotent: repeating it with the same `request_name` starts no further machines. Raises
-        NoCapacityError if the cloud has no such machine, and CloudUnavailableError.
+        The request is idempotent: repeating it with the same `request_name` starts no further machines. Raise
+        NoCapacityError if the cloud has no such machine, and CloudUnavailableError without a usable response.
         """
         body = {"hire": request_name, "hull": type_, "yard": zone, "loaners": spot, "count": count}
         status, response = await self._send("POST", "/hosts", body)
@@ -93,7 +93,10 @@
         return _convert(response, ProvisionedMachines).machines
 
     async def delete_machines(self, names: list[str]) -> None:
-        """Delete machines; on return, the cloud has confirmed their deletion. Raises CloudUnavailableError."""
+        """Delete machines; on return, the cloud has confirmed their deletion.
+
+        Raise CloudUnavailableError without a usable response.
+        """
         status, _ = await self._send("POST", "/hosts/delete", {"hosts": names})
         _require_ok(status)
 
--- a/hookwall/autoscaling/demand.py
+++ b/hookwall/autoscaling/demand.py
@@ -30,10 +30,10 @@
 
     on_demand: float = 0.0
     total: float = 0.0
-    guaranteed: float = 0.0  # minimum of the total that guarantees require, even if on-demand machines are short
+    guaranteed: float = 0.0  # total that guarantees require at least, even if on-demand machines are short
 
     def total_for(self, on_demand: int) -> float:
-        """Returns how many machines should be ready in total if `on_demand` of them are on-demand machines.
+        """Return how many machines should be ready in total if `on_demand` of them are on-demand machines.
 
         Spot instances do not make up for on-demand machines that can't be provisioned, since the work that needs
         on-demand machines can't run on them. When they did, half of 315 spot instances stood idle while urgent gangs
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Need:
-    """Machines that the existing jobs need, and how long it takes until a new machine can serve any of these jobs."""
+    """Machines that the existing jobs need, and the longest time until a new machine can serve one of these jobs."""
 
     on_demand: float = 0.0
     spot: float = 0.0
@@ -62,7 +62,7 @@
         clock: Callable[[], float],
         intake_blocked: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Starts without any need.
+        """Start without any need.
 
         `intake_blocked` tells whether jobs currently can't be accepted or stored. The need then only seems to fall, and
         comes back later.
@@ -83,7 +83,7 @@
         self.last_need_at = -math.inf
 
     def reset(self, jobs_precede_leadership: bool) -> None:
-        """Starts a new leadership. `jobs_precede_leadership`: whether the existing jobs arrived before it began."""
+        """Start a new leadership. `jobs_precede_leadership`: whether the existing jobs arrived before it began."""
         self.targets = Targets()
         self.jobs_precede_leadership = jobs_precede_leadership
         self.on_demand_rate = 0.0
@@ -93,7 +93,7 @@
         self.last_need_at = self.measured_at
 
     def measure(self, now: float) -> None:
-        """Measures the current need and the arrival rates, and updates the targets.
+        """Measure the current need and the arrival rates, and update the targets.
 
         A machine that is provisioned now can serve jobs only after it has booted and fetched an image. The number of
         jobs that arrive and end until then deviates from its average by about its square root, and a margin of
@@ -116,13 +116,13 @@
         if self.intake_blocked():
             # The need comes back, since users retry until they get an answer. During an outage of 25 s, the measured
             # need fell by a fifth, spot instances that were preempted in the meantime were not replaced, and too few
-            # were left for the jobs that were queued afterwards.
+            # spot instances were left for the jobs that were queued afterwards.
             targets.on_demand = max(targets.on_demand, self.targets.on_demand)
             targets.total = max(targets.total, self.targets.total)
         self.targets = targets
 
     def _decay_rates(self, now: float) -> None:
-        """Decays the arrival rates; a new leader continues with the rates that its predecessor measured."""
+        """Decay the arrival rates; a new leader continues with the rates that its predecessor measured."""
         elapsed_s = min(MAX_MEASURED_GAP_S, max(0.0, now - self.measured_at))
         decay = math.exp(-elapsed_s / SMOOTHING_S)
         self.measured_at = now
@@ -133,7 +133,7 @@
         self.spot_rate *= decay
 
     def _count_jobs(self) -> Need:
-        """Sums up the need of the open jobs, and counts the jobs that were not counted before as arrivals."""
+        """Sum up the need of the open jobs, and count each job that was not counted before as an arrival."""
         need = Need()
         for job in self.fleet.table.open_jobs.values():
             if job.phase != OPEN or job.spec is None:
@@ -152,7 +152,7 @@
         return need
 
     def _count_arrival(self, job: Job, spot: bool, machines: float) -> None:
-        """Counts a job that needs `machines` machines as an arrival, unless it arrived before this leadership."""
+        """Count a job that needs `machines` machines as an arrival, unless it arrived before this leadership."""
         self.counted_jobs.add(job.job_id)
         if self.jobs_precede_leadership:
             return
@@ -162,7 +162,7 @@
             self.on_demand_rate += machines / SMOOTHING_S
 
     def _compute_targets(self, need: Need) -> Targets:
-        """Returns the need plus a margin for the jobs that arrive until a machine that is provisioned now can serve."""
+        """Return the need plus a margin for the jobs that arrive until a machine that is provisioned now can serve."""
 
         def margin(arrival_rate: float, z_score: float) -> float:
             return z_score * math.sqrt(2.0 * arrival_rate * need.startup_s)
@@ -174,7 +174,7 @@
         return Targets(on_demand, max(total, on_demand, guaranteed), guaranteed)
 
     def guaranteed_machines(self) -> float:
-        """Returns how many machines must be ready because guaranteed work has to start sooner than a machine boots."""
+        """Return how many machines must be ready because guaranteed work has to start sooner than a machine boots."""
         types = [machine_type for machine_type in self.fleet.machine_types if machine_type is not None]
         if not self._has_guarantee_shorter_than_boot(types):
             return 0.0
--- a/hookwall/autoscaling/inventory.py
+++ b/hookwall/autoscaling/inventory.py
@@ -46,7 +46,7 @@
         self.requested_at = -math.inf
 
     def reset(self) -> None:
-        """Starts a new leadership, in which nothing has been listed yet."""
+        """Start a new leadership, in which nothing has been listed yet."""
         self.leadership_number += 1
         self.leading_since = self.clock()
         self.has_listing = False
@@ -54,11 +54,11 @@
         self.requested_at = -math.inf
 
     def leading_for_s(self, now: float) -> float:
-        """Returns how long this node has been leading, in seconds."""
+        """Return how long this node has been leading, in seconds."""
         return now - self.leading_since
 
     def apply_listing(self, listed: list[ListedMachine], requested_at: float) -> None:
-        """Applies a list that was requested at `requested_at` to the fleet. It may be older than the list before it."""
+        """Apply a list that was requested at `requested_at` to the fleet. The list may be older than the one before."""
         for item in listed:
             if item.name not in self.fleet.deleted_names:
                 self._apply_item(item, requested_at)
@@ -66,7 +66,7 @@
         self.listed_at = requested_at
 
     def _apply_item(self, item: ListedMachine, requested_at: float) -> None:
-        """Applies the list's entry for one machine."""
+        """Apply the list's entry for one machine."""
         is_new = item.name not in self.fleet.machines
         machine = self.fleet.ensure_machine(item.name, item.type, item.zone, item.spot)
         if is_new:
@@ -88,12 +88,12 @@
         return self.listed_at - machine.last_listed_at > self.max_age_s
 
     def interval_s(self) -> float:
-        """Returns the time between the requests of two lists, in seconds."""
+        """Return the time between the requests of two lists, in seconds."""
         pages = 1 + len(self.fleet.machines) // self.client.page_size
         return max(LIST_INTERVAL_S, pages / (self.rps * REQUEST_SHARE))
 
     async def run(self, leads: Callable[[], bool]) -> None:
-        """Requests and applies machine lists while this node leads."""
+        """Request and apply machine lists while this node leads."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             now = self.clock()
--- a/hookwall/autoscaling/pool_backoff.py
+++ b/hookwall/autoscaling/pool_backoff.py
@@ -28,7 +28,7 @@
         self.backoff_by_pool: dict[MachinePool, Backoff] = {}
 
     def reset(self) -> None:
-        """Starts a new leadership, in which every pool is open."""
+        """Start a new leadership, in which every pool is open."""
         self.backoff_by_pool.clear()
 
     def is_open(self, pool: MachinePool, now: float) -> bool:
@@ -37,11 +37,11 @@
         return backoff is None or now >= backoff.until
 
     def record_refusal(self, pool: MachinePool) -> None:
-        """Closes the pool, each time for longer, because the cloud provisioned fewer machines than requested."""
+        """Close the pool, each time for longer, because the cloud provisioned fewer machines than requested."""
         previous = self.backoff_by_pool.get(pool)
         duration_s = FIRST_BACKOFF_S if previous is None else min(MAX_BACKOFF_S, 2 * previous.duration_s)
         self.backoff_by_pool[pool] = Backoff(self.clock() + duration_s, duration_s)
 
     def record_success(self, pool: MachinePool) -> None:
-        """Forgets earlier refusals of the pool because the cloud provisioned all requested machines."""
+        """Forget earlier refusals of the pool because the cloud provisioned all requested machines."""
         self.backoff_by_pool.pop(pool, None)
--- a/hookwall/autoscaling/provisioning_plan.py
+++ b/hookwall/autoscaling/provisioning_plan.py
@@ -53,14 +53,14 @@
         self.relocation_requests = relocation_requests
 
     def available_pools(self, now: float) -> list[MachinePool]:
-        """Returns the pools that may have machines now.
+        """Return the pools that may have machines now.
 
         The cheapest pools come first, and among equally expensive ones those with the fewest machines.
         """
         return self._cheapest_first(self._open_pools(now), self.capacity.machine_count_by_pool())
 
     def _open_pools(self, now: float) -> list[MachinePool]:
-        """Returns all pools of the catalog that are not closed."""
+        """Return all pools of the catalog that are not closed."""
         pools = [
             MachinePool(type_, self.fleet.zone_names.index_of(zone), spot)
             for type_, machine_type in enumerate(self.fleet.machine_types)
@@ -74,7 +74,7 @@
         return sorted(pools, key=lambda pool: (self.capacity.hourly_price(pool), counts[pool], pool))
 
     def plan_for_waiting_jobs(self, now: float) -> ProvisioningPlan:
-        """Plans what to provision for the waiting jobs in addition to the incoming machines."""
+        """Plan what to provision for the waiting jobs in addition to the incoming machines."""
         packing = _Packing(self.capacity, self._open_pools(now), self.capacity.incoming_machines(now))
         for queued in provisioning_order(self.scheduler.waiting):
             if queued.job.spec is not None:
@@ -84,7 +84,7 @@
         return dict(packing.planned)
 
     def plan_standby(self, now: float) -> ProvisioningPlan:
-        """Plans what to provision ahead of need, once the waiting jobs need no further machines."""
+        """Plan what to provision ahead of need, once the waiting jobs need no further machines."""
         targets = self.demand.targets
         on_demand, total = self.capacity.machine_counts(now)
         target_total = targets.total_for(on_demand)
@@ -129,7 +129,7 @@
         self.planned: Counter[MachinePool] = Counter()
 
     def add(self, request: ResourceRequest) -> None:
-        """Finds capacity for all tasks of a request, as far as the pools may have it."""
+        """Find capacity for all tasks of a request, as far as the pools may have it."""
         remaining = self._pack(request)
         while remaining > 0:
             pool = self._choose_pool(request, remaining)
@@ -148,7 +148,7 @@
             remaining -= placed
 
     def _pack(self, request: ResourceRequest) -> int:
-        """Packs the tasks onto incoming machines; returns how many tasks are left."""
+        """Pack the tasks onto incoming machines; return how many tasks are left."""
         remaining = request.count
         machines = self.incoming
         if request.gpus > 0:
@@ -164,7 +164,7 @@
         return remaining
 
     def _choose_pool(self, request: ResourceRequest, remaining: int) -> MachinePool | None:
-        """Returns the cheapest pool whose machines can hold a task, or None.
+        """Return the cheapest pool whose machines can hold a task, or None.
 
         Equally cheap pools are used evenly, which spreads the machines over the zones. A zone without capacity then
         costs one refused request, but does not prevent the start.
--- a/hookwall/autoscaling/scale_in.py
+++ b/hookwall/autoscaling/scale_in.py
@@ -16,7 +16,7 @@
 
 IDLE_BEFORE_DRAIN_S = 25.0
 BOOT_TIMEOUT_FACTOR = 5.0  # a machine that boots for longer than this multiple of its usual boot time is deleted
-PREEMPTION_MARGIN_S = 3.0  # after the announced time of a preemption
+PREEMPTION_MARGIN_S = 3.0  # this long after its announced time, a preemption counts as executed
 # Lease periods during which a new leader deletes no machine for being unresponsive or for booting too long.
 MIN_LEADERSHIP_LEASES = 2
 MIN_KNOWN_LEASES = 3  # no machine is deleted for booting too long until it has been known for this many lease periods
@@ -37,12 +37,12 @@
     total: float
 
     def remove(self, machine: Machine) -> None:
-        """Subtracts a machine."""
+        """Subtract a machine."""
         self.on_demand -= not machine.spot
         self.total -= 1
 
     def add(self, machine: Machine) -> None:
-        """Adds a machine."""
+        """Add a machine."""
         self.on_demand += not machine.spot
         self.total += 1
 
@@ -71,7 +71,7 @@
     # -- draining --------------------------------------------------------------------------------
 
     def drain_excess_machines(self, now: float) -> None:
-        """Drains machines that exceed the need, starting with on-demand ones that run only work for spot instances."""
+        """Drain machines that exceed the need, starting with on-demand ones that run only work for spot instances."""
         targets = self.demand.targets
         counts = self.capacity.machine_counts(now)
         excess = Excess(counts.on_demand - targets.on_demand, counts.total - targets.total_for(counts.on_demand))
@@ -91,7 +91,7 @@
             self.fleet.transition_to(machine, MachinePhase.DRAINING, "exceeds the need")
 
     def _undrain_needed_machines(self, excess: Excess, waiting: WaitingWork) -> None:
-        """Returns draining machines to service if they are needed again."""
+        """Return draining machines to service if they are needed again."""
         draining = [machine for machine in self.fleet.machines.values() if machine.phase is MachinePhase.DRAINING]
         for machine in draining:
             is_needed_on_demand = not machine.spot and (waiting.any or excess.on_demand < -MACHINE_COUNT_EPSILON)
@@ -114,7 +114,8 @@
         if machine.allocations and len(self.fleet.machine_types) > 1:
             return False  # with several types, the total need says little about the need for this type
         if machine.spot:
-            # Tasks on it do not prevent draining: a few tasks spread over many machines kept all of these machines.
+            # Tasks on a spot instance do not prevent draining. When they did, a few tasks spread over many instances
+            # kept all of these instances.
             return now - machine.first_heartbeat_at > IDLE_BEFORE_DRAIN_S
         has_on_demand_work = any(job.spec is not None and not job.spec.spot for job, _ in machine.allocations.values())
         used_at = max(machine.first_heartbeat_at, machine.last_on_demand_work_at)
@@ -132,7 +133,7 @@
     # -- deletion --------------------------------------------------------------------------------
 
     def machines_to_delete(self, now: float) -> list[Machine]:
-        """Returns the machines to delete now. They get no new work from now on."""
+        """Return the machines to delete now. They get no new work from now on."""
         candidates = [machine for machine in self.fleet.machines.values() if _may_need_deletion(machine)]
         if not candidates:
             return []
@@ -151,7 +152,7 @@
         return to_delete
 
     def _deletion_reason(self, machine: Machine, now: float, partitioned_zones: set[int]) -> str | None:
-        """Returns why a machine is to be deleted, or None. Only the first three reasons apply to a booting machine."""
+        """Return why a machine is to be deleted, or None. Only the first three reasons apply to a booting machine."""
         if machine.provisioning_failed:
             return "provisioning failed"
         if self._is_unlisted(machine, now):
@@ -198,7 +199,7 @@
         return self.capacity.inventory.leading_for_s(now) > MIN_LEADERSHIP_LEASES * self.params.workers.lease_s
 
     def _grace_s(self, machine: Machine, partitioned_zones: set[int]) -> float:
-        """Returns the time since its last acknowledgement after which an unresponsive machine is deleted.
+        """Return the time since its last acknowledgement after which an unresponsive machine is deleted.
 
         An unresponsive spot instance was most likely preempted without notice. The cloud confirms its deletion before
         its lease expires, so its tasks can be restarted elsewhere sooner; if it was only disconnected, its tasks were
@@ -212,7 +213,7 @@
         return workers.lease_s + ON_DEMAND_GRACE_S
 
     def _partitioned_zones(self, now: float) -> set[int]:
-        """Returns the zones in which most machines are late with a heartbeat.
+        """Return the zones in which most machines are late with a heartbeat.
 
         This indicates a network partition and not a failure of the machines. Without this rule, a partition of half a
         minute led to the deletion and replacement of all machines of a zone. Late machines are counted, not
--- a/hookwall/autoscaling/scale_out.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -43,7 +43,7 @@
 
 
 async def _ignore_catalog(catalog: Catalog) -> None:
-    """Does nothing; the default for `on_catalog`."""
+    """Do nothing; the default for `on_catalog`."""
 
 
 class ScaleOut:
@@ -62,7 +62,7 @@
         relocation_requests: Callable[[], Iterable[ResourceRequest]] = tuple,
         on_catalog: Callable[[Catalog], Awaitable[None]] = _ignore_catalog,
     ) -> None:
-        """Builds the parts of autoscaling.
+        """Build the parts of autoscaling.
 
         `is_first_leadership` tells whether no node can have led recently, so that there are no requests and heartbeats
         to wait for. For `intake_blocked` see `Demand`, for `relocation_requests` see `ProvisioningPlanner`.
@@ -87,7 +87,7 @@
         self._catalog_requested_at = -math.inf
 
     def reset(self) -> None:
-        """Starts a new leadership, which learns from lists and heartbeats which machines exist."""
+        """Start a new leadership, which learns from lists and heartbeats which machines exist."""
         self.capacity.pending_requests.clear()
         self.backoff.reset()
         self.inventory.reset()
@@ -103,7 +103,7 @@
         return self.inventory.leading_for_s(self.clock()) > 2 * self.inventory.max_age_s
 
     async def run(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
-        """Compares need and capacity periodically while this node leads, and provisions and deletes machines."""
+        """Compare need and capacity periodically while this node leads; provision and delete machines."""
         self._planned_at = -math.inf
         self._catalog_requested_at = -math.inf
         while True:
@@ -117,7 +117,7 @@
                 await asyncio.sleep(RETRY_DELAY_S)
 
     async def _reconcile(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
-        """Runs one pass: fetches the catalog, scales in, repeats the pending requests, and then sends new ones."""
+        """Run one pass: fetch the catalog, scale in, repeat the pending requests, and then send new ones."""
         if self.fleet.catalog is None or self.clock() - self._catalog_requested_at > CATALOG_INTERVAL_S:
             self._catalog_requested_at = self.clock()
             await self.on_catalog(await self.client.fetch_catalog())
@@ -134,7 +134,7 @@
             await self._scale_out(leads, fencing_token)
 
     async def _scale_in(self) -> None:
-        """Drains machines that exceed the need, and deletes machines that are no longer usable or needed."""
+        """Drain machines that exceed the need, and delete machines that are no longer usable or needed."""
         self.demand.measure(self.clock())
         if self.inventory.has_listing and self.inventory.leading_for_s(self.clock()) > SCALE_IN_DELAY_S:
             self.scale_in.drain_excess_machines(self.clock())
@@ -147,7 +147,7 @@
                 self.fleet.confirm_deletion(machine, "deleted")
 
     async def _scale_out(self, leads: Callable[[], bool], fencing_token: Callable[[], int]) -> None:
-        """Provisions machines for the waiting jobs; if these need none, provisions ahead of need."""
+        """Provision machines for the waiting jobs; if these need none, provision ahead of need."""
         self._log_need(self.clock())
         plan = self.planner.plan_for_waiting_jobs(self.clock()) or self.planner.plan_standby(self.clock())
         for pool, count in plan.items():
@@ -160,7 +160,7 @@
             await self._provision(request)
 
     async def _provision(self, request: ProvisioningRequest) -> None:
-        """Sends a pending request. Without a response it stays pending, and CloudUnavailableError is passed on."""
+        """Send a pending request. Without a response it stays pending, and CloudUnavailableError is passed on."""
         pool = request.pool
         type_ = self.fleet.type_names.names[pool.type]
         zone = self.fleet.zone_names.names[pool.zone]
@@ -183,7 +183,7 @@
             self.fleet.ensure_machine(name, type_, zone, pool.spot).last_listed_at = self.clock()
 
     def _log_need(self, now: float) -> None:
-        """Logs the figures behind provisioning and deletion decisions in one line."""
+        """Log the figures behind provisioning and deletion decisions in one line."""
         if not log.isEnabledFor(logging.DEBUG):
             return
         counts = self.capacity.machine_counts(now)
--- a/tests/autoscaling/scripted_cloud.py
+++ b/tests/autoscaling/scripted_cloud.py
@@ -19,7 +19,7 @@
 
 
 def new_scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
-    """A `ScaleOut` whose leadership begins now."""
+    """Return a `ScaleOut` whose leadership begins now."""
     scale_out = ScaleOut(params, cluster.fleet, cluster.scheduler, ScriptedCloud(), clock)
     scale_out.reset()
     return scale_out
--- a/tests/autoscaling/test_inventory.py
+++ b/tests/autoscaling/test_inventory.py
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def run_scenario(cluster: Cluster, params: PlatformParameters):
-    """Runs a scenario concurrently with the inventory's polling loop, on one fake clock."""
+    """Return a function that runs a scenario concurrently with the inventory's polling loop, on one fake clock."""
     loop = VirtualLoop()
 
     def run(scenario, leads=lambda: True):
--- a/tests/autoscaling/test_pool_backoff.py
+++ b/tests/autoscaling/test_pool_backoff.py
@@ -9,7 +9,7 @@
 
 
 def refuse_and_wait_s(backoff: PoolBackoff, clock: Clock) -> float:
-    """Records a refusal, advances the clock until the pool is open again, and returns how many whole seconds passed."""
+    """Record a refusal, advance the clock until the pool is open again, and return how many whole seconds passed."""
     backoff.record_refusal(POOL)
     waited_s = 0.0
     while not backoff.is_open(POOL, clock()):
--- a/tests/autoscaling/test_provisioning_plan.py
+++ b/tests/autoscaling/test_provisioning_plan.py
@@ -38,7 +38,7 @@
 
 
 def test_machines_of_several_types_are_provisioned_and_drained(cluster: Cluster, scale_out: ScaleOut):
-    """Guards against computing the need in GPUs, which divided by zero for a machine type without GPUs."""
+    """The need was once computed in GPUs, which divided by zero for a machine type without GPUs."""
     cpu = {"label": "c16", "cores": 16, "cards": 0, "memGb": 64, "price": 2.0, "spotPrice": 1.0, "yards": ["east"]}
     types = [
         *json_messages.convert_message({"hulls": [cpu]}, cloud_messages.Catalog).types,
