--- a/hookwall/autoscaling/provisioning_plan.py
+++ b/hookwall/autoscaling/provisioning_plan.py
@@ -44,7 +44,7 @@
         backoff: PoolBackoff,
         relocation_requests: Callable[[], Iterable[ResourceRequest]],
     ) -> None:
-        """`relocation_requests` returns what needs capacity elsewhere before machines under drain can be emptied."""
+        """`relocation_requests` returns the requests of tasks that must move before machines under drain are empty."""
         self.fleet = fleet
         self.scheduler = scheduler
         self.capacity = capacity
--- a/hookwall/autoscaling/scale_in.py
+++ b/hookwall/autoscaling/scale_in.py
@@ -231,7 +231,7 @@
 
 
 def _may_need_deletion(machine: Machine) -> bool:
-    """Whether there may be a reason to delete a machine; for nearly all machines there is none."""
+    """Whether there may be a reason to delete a machine; a cheap check that is False for nearly all machines."""
     return (
         machine.phase is not MachinePhase.UP
         or machine.unresponsive
--- a/hookwall/leadership/peer_transport.py
+++ b/hookwall/leadership/peer_transport.py
@@ -120,7 +120,7 @@
         except (asyncio.IncompleteReadError, OSError):
             pass
         except Exception as error:  # noqa: BLE001 - no input from a peer may end this process
-            log.info("peer connection dropped: error=%s: %s", type(error).__name__, error)
+            log.info("peer connection dropped: error=%s message=%s", type(error).__name__, error)
         finally:
             writer.close()
 
--- a/hookwall/workers/heartbeat_handler.py
+++ b/hookwall/workers/heartbeat_handler.py
@@ -74,7 +74,7 @@
         Heartbeats, or delayed copies of them, may arrive even though responses are lost, so a worker may look alive
         while its lease runs out. A heartbeat proves that a response arrived if it carries this leader's fencing token,
         belongs to the same epoch as the previous heartbeat, and arrives sooner than it could if the worker had waited
-        for a response in vain.
+        for a response until the time-out.
         """
         if heartbeat.fencing_token != self.fleet.fencing_token or heartbeat.epoch != machine.epoch:
             if machine.acknowledges:
--- a/tests/leadership/test_replaced_leader_key.py
+++ b/tests/leadership/test_replaced_leader_key.py
@@ -111,7 +111,7 @@
 
 
 def test_a_late_write_of_the_own_key_does_not_prove_that_no_node_leads(state: FakeState, clock: Clock):
-    """The former leader may have regained its quorum leases, yet a node cut off from its peers led at once."""
+    """A node that reached no peer led immediately, although the former leader may have regained its quorum leases."""
     leadership = make_leadership(state, clock, [silent, silent])
     state.epoch = 9
     state.keys[keys.LEADER_KEY] = ({"node": "n0", "incarnation": leadership.incarnation}, 9)
