--- a/hookwall/api/connection.py
+++ b/hookwall/api/connection.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_REQUESTS = 8  # pipelined on one connection; a connection with more is closed
+MAX_QUEUED_REQUESTS = 8  # pipelined requests on one connection; a connection with more of them is closed
 READ_BUFFER_BYTES = 64 * 1024
 
 NO_HEADERS: dict[str, str] = {}
@@ -42,13 +42,13 @@
     body_timeout_s: float
 
     def route(self, method: str, path: str, body: bytes) -> HttpResponse | Awaitable[HttpResponse]:
-        """Returns the response to a request, or an awaitable of it."""
+        """Return the response to a request, or an awaitable that gives the response."""
 
     def mark_used(self, connection: "Connection") -> None:
-        """Records that data was received on the connection."""
+        """Record that data was received on the connection."""
 
     def forget(self, connection: "Connection") -> None:
-        """Removes a connection that is closed."""
+        """Remove a connection that is closed."""
 
 
 class Connection(BaseProtocol):
@@ -60,7 +60,7 @@
     __slots__ = ("active_response", "body_timer", "handler", "parser", "queued_requests")
 
     def __init__(self, handler: RequestHandler, loop: asyncio.AbstractEventLoop) -> None:
-        """Prepares a connection whose requests `handler` routes."""
+        """Create a connection whose requests `handler` routes."""
         super().__init__(loop)
         self.handler = handler
         self.parser = HttpRequestParser(self, loop, READ_BUFFER_BYTES, auto_decompress=False)
@@ -71,19 +71,19 @@
     # -- transport callbacks -----------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the connection, which is open now."""
+        """Register the opened connection."""
         super().connection_made(transport)
         self.handler.mark_used(self)
 
     def connection_lost(self, error: BaseException | None) -> None:
-        """Drops the queued requests of the connection, which is closed now; they are not answered."""
+        """Drop the queued requests of the closed connection without answering them."""
         super().connection_lost(error)
         self.handler.forget(self)
         self._stop_body_timer()
         self.queued_requests.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Parses received bytes, which may hold a part of a request or several requests."""
+        """Parse received bytes, which may hold a part of a request or several requests."""
         self.handler.mark_used(self)
         try:
             messages, _, _ = self.parser.feed_data(data)
@@ -98,7 +98,7 @@
         self._answer_queued()
 
     def close(self) -> None:
-        """Closes the connection without a response."""
+        """Close the connection without a response."""
         self.handler.forget(self)
         if self.transport is not None:
             self.transport.close()
@@ -106,7 +106,7 @@
     # -- requests ----------------------------------------------------------------------------------
 
     def _answer_queued(self) -> None:
-        """Answers the queued requests whose bodies are complete, in order."""
+        """Answer the queued requests whose bodies are complete, in order."""
         while self.queued_requests and self.active_response is None and self.transport is not None:
             message, payload = self.queued_requests[0]
             if _is_too_large(message, payload):
@@ -121,18 +121,18 @@
             self._answer(message, payload.read_nowait())
 
     def _start_body_timer(self) -> None:
-        """Limits the time within which the rest of a body must arrive."""
+        """Limit the time within which the rest of a body must arrive."""
         if self.body_timer is None:
             self.body_timer = self._loop.call_later(self.handler.body_timeout_s, self._send, BODY_TIMED_OUT, True)
 
     def _stop_body_timer(self) -> None:
-        """Stops the timer once a body is complete or no longer awaited."""
+        """Stop the timer because the body is complete or no longer awaited."""
         if self.body_timer is not None:
             self.body_timer.cancel()
             self.body_timer = None
 
     def _answer(self, message: RawRequestMessage, body: bytes) -> None:
-        """Answers one request, at once or in a task."""
+        """Answer one request: at once if its response is available, otherwise in a task."""
         try:
             response = self.handler.route(message.method, message.path, body)
         except Exception:  # an unexpected error in one request must not end the node
@@ -144,7 +144,7 @@
             self.active_response = self._loop.create_task(self._answer_later(response, message))
 
     async def _answer_later(self, pending: Awaitable[HttpResponse], message: RawRequestMessage) -> None:
-        """Answers a request once its response is available, then the requests that arrived in the meantime."""
+        """Answer a request once its response is available, then the requests that arrived in the meantime."""
         try:
             response = await pending
         except Exception:  # outermost handler of this request's task
--- a/hookwall/api/job_service.py
+++ b/hookwall/api/job_service.py
@@ -43,17 +43,17 @@
 
 
 async def _confirm_without_peers(_job_id: str, _version: int) -> bool:
-    """Confirms every cancellation, for use where there is no other node to inform."""
+    """Confirm every cancellation, for use where there is no other node to inform."""
     return True
 
 
-def _never() -> bool:
-    """Disables packed records, for use where records are written in the plain form only."""
+def _packing_disabled() -> bool:
+    """Disable packed records and dependencies, for use where records are written in the plain form only."""
     return False
 
 
-def _always() -> bool:
-    """Reports the known cancellations as current, for use where the records always are."""
+def _cancellations_always_current() -> bool:
+    """Report the known cancellations as current, for use where the known records are always current."""
     return True
 
 
@@ -70,10 +70,10 @@
         time_of_day: Callable[[], float] = time.time,
         *,
         confirm_cancellation: Callable[[str, int], Awaitable[bool]] = _confirm_without_peers,
-        packing_enabled: Callable[[], bool] = _never,
-        cancellations_current: Callable[[], bool] = _always,
+        packing_enabled: Callable[[], bool] = _packing_disabled,
+        cancellations_current: Callable[[], bool] = _cancellations_always_current,
     ) -> None:
-        """Serves the jobs of `table`, whose records are in `store`.
+        """Create a service for the jobs of `table`, whose records are in `store`.
 
         `confirm_cancellation` returns whether a stored cancellation (job id, version) may be confirmed to its user.
         `packing_enabled` returns whether all nodes can read packed records and support dependencies.
@@ -94,7 +94,7 @@
     # -- requests -----------------------------------------------------------------------------------
 
     async def get(self, job_id: str) -> HttpResponse:
-        """Returns the status of a job."""
+        """Return the status of a job."""
         if not job_messages.JOB_REF_PATTERN.match(job_id):
             return NO_SUCH_JOB
         if not self.store.healthy() and not self._is_known_final(job_id):
@@ -106,7 +106,7 @@
         return await self.job_response(job) if job is not None else NO_SUCH_JOB
 
     async def submit(self, body: bytes) -> HttpResponse:
-        """Accepts a new job, or returns the status of a job that was submitted before."""
+        """Accept a new job, or return the status of a job that was submitted before."""
         try:
             spec = job_messages.decode_job(body)
         except MalformedMessageError as error:
@@ -127,7 +127,7 @@
             return retry_later(STORE_UNAVAILABLE)
 
     async def cancel(self, job_id: str) -> HttpResponse:
-        """Cancels a job unless it has ended."""
+        """Cancel a job unless it has ended."""
         if not job_messages.JOB_REF_PATTERN.match(job_id):
             return NO_SUCH_JOB
         if self._is_known_final(job_id):
@@ -147,7 +147,7 @@
     # -- status -------------------------------------------------------------------------------------
 
     async def job_response(self, job: Job) -> HttpResponse:
-        """Returns the status of a job.
+        """Return the status of a job.
 
         A job is reported as cancelled only once all its tasks are certain to end in time.
         """
@@ -167,10 +167,11 @@
         return HttpResponse(200, job_messages.encode_job_status(job.job_id, phase, done, running))
 
     def _newest_phase(self, job: Job) -> tuple[str, int]:
-        """Returns the newest phase of the job that this node has seen, and the version of the record that holds it.
+        """Return the newest phase of the job that this node has seen, and the version of the record that holds it.
 
-        While a write of this node is in flight, it may already have seen a record that another node wrote. After a
-        confirmed cancellation the status must not be "running" because of the order in which this node applies the two.
+        While a write of this node is in flight, a record that another node wrote may have been received but not applied
+        yet. If that record holds a cancellation that was confirmed to its user, the status must not be "running" just
+        because this node has not applied the record.
         """
         deferred = job.deferred_record
         if deferred is not None and deferred.version > job.version and isinstance(deferred.value, dict):
@@ -180,7 +181,7 @@
         return job.stored_phase, job.version
 
     async def _current_job(self, job_id: str) -> Job | None:
-        """Returns the job in its current state, or None. A cached version is confirmed first unless it is final."""
+        """Return the job in its current state, or None. A cached version is confirmed first unless it is final."""
         job = self.table.jobs.get(job_id)
         if job is not None and job.is_final() and job.version:
             return job
@@ -194,7 +195,7 @@
         return job is not None and job.version > 0 and job.is_final()
 
     async def _final_response(self, job_id: str, phase: str, version: int) -> HttpResponse:
-        """Returns the response to the cancellation of a job that has ended, now or earlier."""
+        """Return the response to the cancellation of a job that has ended, now or earlier."""
         if phase == CANCELLED and not await self.confirm_cancellation(job_id, version):
             return retry_later("the cancellation is not known to the leader yet")
         return HttpResponse(200, job_messages.encode_job_status(job_id, phase))
@@ -202,7 +203,7 @@
     # -- changes ------------------------------------------------------------------------------------
 
     async def _submit(self, spec: JobSpec) -> HttpResponse:
-        """Accepts a job unless it was accepted before or can't be accepted."""
+        """Accept a job unless it was accepted before or can't be accepted."""
         if spec.job_id in self.table.jobs and self.table.jobs[spec.job_id].version:
             job = await self._current_job(spec.job_id)
             if job is not None:
@@ -217,7 +218,7 @@
         return await self._accept(spec)
 
     async def _accept(self, spec: JobSpec) -> HttpResponse:
-        """Stores a new job. A job that depends on a cancelled job can never run, so it is stored as cancelled."""
+        """Store a new job. A job that depends on a cancelled job can never run, so it is stored as cancelled."""
         job = Job(spec.job_id)
         job.spec = spec
         job.submitted_at = self.time_of_day()
@@ -243,7 +244,7 @@
         return HttpResponse(201, job_messages.encode_job_status(spec.job_id, phase))
 
     async def _try_cancel(self, job_id: str) -> HttpResponse | None:
-        """Reads a record and cancels its job; returns None if the record was changed in between."""
+        """Read a record and cancel its job; return None if the record was changed in between."""
         key = keys.JOB_PREFIX + job_id
         found = await self.store.get(key)
         if found is None:
--- a/hookwall/api/record_writer.py
+++ b/hookwall/api/record_writer.py
@@ -22,23 +22,24 @@
 )
 from hookwall.storage.job_records import EncodedRecord, JobRecord
 
-# A user waits 5 s for a response. Chunks that are not written within this time are left to the next attempt.
+# A user waits 5 s for a response. Chunks that are not written within this time-out, which is shorter, are left to the
+# next attempt.
 CHUNK_WRITE_TIMEOUT_S = 3.0
-PLAIN_MARGIN_BYTES = 512  # of a value, kept free beside a record in its plain form
+PLAIN_MARGIN_BYTES = 512  # bytes of a value that a record in its plain form must leave free
 
 
 class JobRecordWriter:
     """Writes single records for users, on any node, whichever node leads."""
 
     def __init__(self, table: JobTable, store: KeyValueClient, limits: StoreLimits, clock: Callable[[], float]) -> None:
-        """Writes records to `store`, and applies them to `table` once they are written."""
+        """Create a writer that stores records in `store`, and applies them to `table` once they are stored."""
         self.table = table
         self.store = store
         self.limits = limits
         self.clock = clock
 
     def encode(self, job_id: str, record: JobRecord, packed: bool) -> EncodedRecord:
-        """Encodes a record in a form that all nodes can read now; raises RecordTooLargeError if it is too large.
+        """Encode a record in a form that all nodes can read now; raise RecordTooLargeError if it is too large.
 
         `packed` is whether all nodes can read packed records.
         """
@@ -49,11 +50,11 @@
         return encoded
 
     def encode_cancelled(self, job_id: str, value: dict[str, Any], packed: bool) -> EncodedRecord:
-        """Encodes the record of a job that is being cancelled, from its stored value."""
+        """Encode the record of a job that is being cancelled, from its stored value."""
         try:
             record = job_records.decode_record(job_id, value, self.table.chunks.get)
         except (MissingChunksError, MalformedRecordError):
-            return EncodedRecord({**value, "phase": CANCELLED})  # all other fields stay as they are
+            return EncodedRecord({**value, "phase": CANCELLED})  # the other fields keep their values
         record.phase = CANCELLED
         if not record.allocations:
             record.spec = None
@@ -62,7 +63,7 @@
         return self.encode(job_id, record, packed)
 
     async def write(self, key: str, version: int, encoded: EncodedRecord, current: object = None) -> int:
-        """Writes a record if the key still has this version (0: the key is absent); returns the new version.
+        """Write a record if the key still has this version (0: the key is absent); return the new version.
 
         Chunks that don't fit into the record's transaction are written first. `current` is the value that the record
         replaces; its chunks are already stored. Raises PreconditionFailedError if the record has changed,
--- a/hookwall/api/responses.py
+++ b/hookwall/api/responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses, and those of them that are the same for every user."""
+"""The type of HTTP responses, and the responses that are the same for every user."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """Status, JSON body, and headers beyond those of every response."""
+    """Status, JSON body, and headers in addition to those that every response has."""
 
     status: int
     body: bytes
@@ -21,10 +21,10 @@
 
 
 def retry_later(reason: str) -> HttpResponse:
-    """Returns a 503 response with a Retry-After header, for a request that can't be answered now."""
+    """Return a 503 response with a Retry-After header, for a request that can't be answered now."""
     return HttpResponse(503, b'{"error":"' + reason.encode() + b'"}', RETRY_LATER)
 
 
 def error_response(status: int, reason: str) -> HttpResponse:
-    """Returns the response to a request that is invalid in itself, with the reason."""
+    """Return the response to an invalid request, with the reason."""
     return HttpResponse(status, msgspec.json.encode({"error": reason}))
--- a/hookwall/api/server.py
+++ b/hookwall/api/server.py
@@ -25,8 +25,9 @@
 # nothing more on its connection. When such connections stayed open for an hour, those of a day's machines and users
 # took two thirds of all sockets.
 IDLE_TIMEOUT_HEARTBEATS = 12
-BODY_TIMEOUT_S = 5.0  # by then the client has given up the request
-# Share of the sockets that the platform allows. Connections wait in the backlog when a whole fleet connects at once.
+BODY_TIMEOUT_S = 5.0  # after this time the client has given up the request
+# Share of the sockets that the platform allows, for connections that wait in the listen backlog when a whole fleet
+# connects at once.
 # With a backlog of 4,096, the connections that workers had abandoned at a stalled node took 1,531 of 1,633 sockets.
 BACKLOG_SHARE = 0.25
 RESERVED_SOCKETS = 100  # for connections to the key-value store, the cloud and peers
@@ -55,7 +56,10 @@
         report_s: float = 2.0,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Serves with at most `sockets` sockets in the process; workers send a heartbeat every `report_s` seconds."""
+        """Create a server for a process with at most `sockets` sockets.
+
+        Workers send a heartbeat every `report_s` seconds.
+        """
         self.job_service = job_service
         self.handle_heartbeat = handle_heartbeat
         self.is_healthy = is_healthy
@@ -63,7 +67,7 @@
         self.user_requests_in_flight = 0
         self.body_timeout_s = BODY_TIMEOUT_S
         self.idle_timeout_s = IDLE_TIMEOUT_HEARTBEATS * report_s
-        # A connection that has been idle for longer is not between two heartbeats.
+        # A connection that has been idle for longer than this does not belong to a worker between two heartbeats.
         self.min_idle_s = max(WORKER_TIMEOUT_S, 1.5 * report_s)
         self.backlog = max(MIN_SOCKETS, int(sockets * BACKLOG_SHARE))
         self.max_connections = max(MIN_SOCKETS, sockets - self.backlog - RESERVED_SOCKETS)
@@ -72,7 +76,7 @@
     # -- requests --------------------------------------------------------------------------------
 
     def route(self, method: str, path: str, body: bytes) -> PendingResponse:
-        """Returns the response to a request, or an awaitable of it."""
+        """Return the response to a request, or an awaitable that gives the response."""
         if path == "/agent/beat" and method == "POST":
             reply = self.handle_heartbeat(body)
             return HttpResponse(*reply) if isinstance(reply, tuple) else self._heartbeat_response(reply)
@@ -98,7 +102,7 @@
         return NO_SUCH_PATH if action not in ("", "cancel") else JOB_METHOD_NOT_ALLOWED
 
     def _count_in_flight(self, pending: Awaitable[HttpResponse]) -> Awaitable[HttpResponse]:
-        """Counts a user's request as in flight from now on, not only once its coroutine runs."""
+        """Count a user's request as in flight immediately, instead of when its coroutine first runs."""
         self.user_requests_in_flight += 1
         return self._count_until_done(pending)
 
@@ -111,16 +115,16 @@
     # -- connections -----------------------------------------------------------------------------
 
     def mark_used(self, connection: Connection) -> None:
-        """Records that data was received on a connection, which makes it the least idle one."""
+        """Record that data was received on a connection, which makes it the most recently used one."""
         self.last_used_at.pop(connection, None)
         self.last_used_at[connection] = self.clock()
 
     def forget(self, connection: Connection) -> None:
-        """Removes a connection that is closed; has no effect if it was removed before."""
+        """Remove a closed connection. This has no effect if the connection was removed before."""
         self.last_used_at.pop(connection, None)
 
     def close_idle_connections(self) -> int:
-        """Closes idle connections and, above the limit, the longest idle ones; returns how many."""
+        """Close idle connections and, above the limit, the longest idle ones; return how many."""
         now = self.clock()
         excess = len(self.last_used_at) - self.max_connections
         idle: list[Connection] = []
@@ -135,13 +139,13 @@
         return len(idle)
 
     async def run(self) -> None:
-        """Keeps connections below the limit while the node runs."""
+        """Keep connections below the limit while the node runs."""
         while True:
             await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
             self.close_idle_connections()
 
 
 async def listen(http_server: HttpServer, host: str, port: int) -> asyncio.Server:
-    """Accepts connections at an address."""
+    """Accept connections at an address."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: Connection(http_server, loop), host, port, backlog=http_server.backlog)
--- a/hookwall/api/submission_check.py
+++ b/hookwall/api/submission_check.py
@@ -23,13 +23,13 @@
     """Checks a new job against machine types, quotas and the jobs that it depends on."""
 
     def __init__(self, table: JobTable, read_confirmation: ReadConfirmation, teams: Iterable[TeamQuota]) -> None:
-        """Checks against the jobs of `table` and these teams' quotas."""
+        """Create a check against the jobs of `table` and the quotas of `teams`."""
         self.table = table
         self.read_confirmation = read_confirmation
         self.teams = {team.name: team for team in teams}
 
     async def refusal(self, spec: JobSpec, catalog: Catalog, dependencies_enabled: bool) -> HttpResponse | None:
-        """Returns the refusal of a new job that can't be accepted, ever or now; None if it can be accepted.
+        """Return the response that refuses a new job, for ever or for now; None if the job can be accepted.
 
         `dependencies_enabled` is whether all nodes support jobs with dependencies. Raises RequestRejectedError,
         OutcomeUnknownError or TimeoutError if the store does not confirm which dependencies were accepted.
@@ -46,7 +46,7 @@
         return None if reason is None else error_response(422, reason)
 
     def has_cancelled_dependency(self, spec: JobSpec) -> bool:
-        """Whether a job that the new job depends on is stored as cancelled, or is certain to be."""
+        """Whether a job that the new job depends on is stored as cancelled, or is certain to be cancelled."""
         for job_id in spec.dependencies or ():
             job = self.table.jobs.get(job_id)
             stored_as_cancelled = job is not None and job.stored_phase == CANCELLED
@@ -55,10 +55,10 @@
         return False
 
     async def _find_never_accepted(self, job_ids: list[str]) -> str | None:
-        """Returns one of these jobs that was never accepted, as confirmed with the store; None if all were accepted.
+        """Return one of these jobs that was never accepted, as confirmed with the store; None if all were accepted.
 
-        Confirms a batch of jobs at a time and stops at the first one that was never accepted, so a long list of names
-        that nobody has submitted costs as much as one name.
+        One batch of jobs is confirmed at a time, and no batch after the first that contains a job that was never
+        accepted. So a long list of names that nobody has submitted costs as much as one name.
         """
         unread = [job_id for job_id in job_ids if not self._record_was_read(job_id)]
         size = self.read_confirmation.max_batch_size
--- a/tests/api/test_job_service.py
+++ b/tests/api/test_job_service.py
@@ -55,9 +55,9 @@
         state.mode = "lost"
         first = await service.submit(body())
         state.mode = "ok"
-        gone = await service.get("run-000001")
+        poll = await service.get("run-000001")
         second = await service.submit(body())
-        return first[0], first[2], gone[0], second[0], (await other.submit(body()))[0]
+        return first[0], first[2], poll[0], second[0], (await other.submit(body()))[0]
 
     assert run_script(nodes, script) == (503, {"Retry-After": "1"}, 404, 201, 200)
 
@@ -270,6 +270,6 @@
             ["packed" in v for v in plain_form],
         )
 
-    state.max_value_bytes = 1700  # of the upcoming limits
+    state.max_value_bytes = 1700  # what the upcoming limits allow
     status, chunks, packed = run_script(nodes, script)
     assert status == 201 and not chunks and packed == [False]
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -66,7 +66,9 @@
     assert run_with_server(params, state, clock, script) == status
 
 
-def test_a_body_without_a_length_is_cut_off_at_the_limit(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_a_body_without_a_content_length_is_refused_above_the_size_limit(
+    params: PlatformParameters, state: FakeState, clock: Clock
+):
     async def oversized_body():
         for _ in range(40):
             yield b"x" * 4096
@@ -123,7 +125,7 @@
 
 
 def test_an_idle_connection_is_closed(params: PlatformParameters, state: FakeState, clock: Clock):
-    # Machines that are gone send nothing. Their connections stayed open, and the number of sockets is limited.
+    # Deleted machines send nothing more. Their connections used to stay open, and the number of sockets is limited.
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -164,7 +166,8 @@
             writer.close()
         return closed, ends, remaining
 
-    # The newest two stay open. The limit leaves room for the backlog and for the node's own connections.
+    # The two most recently used connections stay open. The limit leaves room for the backlog and for the node's own
+    # connections.
     assert run_with_server(params, state, clock, script) == (2, [b"", b""], [2, 0])
     http_server = HttpServer(None, None, None, 1563)
     assert http_server.max_connections + http_server.backlog + 72 + 4 < 1563 and http_server.max_connections > 860
