--- a/hookwall/protocol/heartbeat_messages.py
+++ b/hookwall/protocol/heartbeat_messages.py
@@ -13,7 +13,7 @@
 from hookwall.protocol.json_messages import Count
 
 MAX_TASK_DIGITS = 6
-TASK_ID_CACHE_SIZE = 8192  # slightly more than the number of tasks that run at once
+TASK_ID_CACHE_SIZE = 8192  # slightly more than the number of tasks that all machines run at once
 
 
 class TaskStatus(msgspec.Struct):
@@ -37,7 +37,7 @@
     Attributes:
         epoch: starts at 1 and increases each time the worker's lease expires.
         sequence: increases with every message of the worker; the heartbeat with the larger (epoch, sequence) is newer.
-        fencing_token: the highest fencing token that the worker has seen.
+        fencing_token: the highest fencing token that the worker has received.
         preemption_notice_s: seconds until the cloud preempts the machine; None if it is not being preempted.
         tasks: all tasks on the machine; exited ones are included until a command tells the worker to forget them.
     """
@@ -58,7 +58,7 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """Decodes a worker's heartbeat; raises MalformedMessageError if it is malformed."""
+    """Decode a worker's heartbeat; raise MalformedMessageError if it is malformed."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -74,7 +74,7 @@
 
 @lru_cache(maxsize=TASK_ID_CACHE_SIZE)  # successive heartbeats name the same tasks
 def parse_task_id(text: str) -> TaskId | None:
-    """Parses `run-000412/3` into (job, task); returns None if the text is not a task id."""
+    """Parse a text such as `run-000412/3` into job id and task number; return None if the text is not a task id."""
     job_id, separator, number = text.rpartition("/")
     if not separator or not number.isdigit() or len(number) > MAX_TASK_DIGITS:
         return None
@@ -91,17 +91,17 @@
 
 
 def launch_command(job_id: str, task: int, attempt: int) -> Command:
-    """Returns the command to start a new attempt of a task."""
+    """Return the command to start a new attempt of a task."""
     return Command("launch", f"{job_id}/{task}", attempt)
 
 
 def stop_command(task_id: str, attempt: int, grace_s: float) -> Command:
-    """Returns the command to stop an attempt, which may checkpoint if that takes at most `grace_s` seconds."""
+    """Return the command to stop an attempt, which may checkpoint if that takes at most `grace_s` seconds."""
     return Command("stop", task_id, attempt, grace_s)
 
 
 def forget_command(task_id: str, attempt: int) -> Command:
-    """Returns the command to stop reporting an attempt that has ended."""
+    """Return the command to stop reporting an attempt that has ended."""
     return Command("forget", task_id, attempt)
 
 
--- a/hookwall/protocol/http_client.py
+++ b/hookwall/protocol/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client for the platform's own services, with one JSON body each way."""
+"""HTTP client for the platform's own services, with one JSON body in each request and each response."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,13 +22,13 @@
     body: bytes
 
 
-# Arguments: session, method, URL, body to send as JSON or None, and timeout in seconds. The function is `request_json`,
-# or a replacement for it.
+# Arguments: session, method, URL, body to send as JSON or None, and timeout in seconds. The value is `request_json`
+# or a replacement for that function.
 SendRequest = Callable[[aiohttp.ClientSession | None, str, str, object, float], Awaitable[tuple[int, bytes]]]
 
 
 def open_session(connections: int) -> aiohttp.ClientSession:
-    """Opens a session of persistent connections. Addresses are numeric, so there are no DNS lookups."""
+    """Open a session of persistent connections. Addresses are numeric, so there are no DNS lookups."""
     connector = aiohttp.TCPConnector(limit=connections, keepalive_timeout=KEEPALIVE_S, use_dns_cache=False)
     return aiohttp.ClientSession(connector=connector, auto_decompress=False)
 
@@ -36,7 +36,7 @@
 async def request_json(
     session: aiohttp.ClientSession | None, method: str, url: str, body: object, timeout: float
 ) -> HttpResult:
-    """Sends one request, and returns the status and raw body of the response.
+    """Send one request, and return the status and raw body of the response.
 
     Raises:
         NoResponseError: no response arrived within `timeout` seconds; the request may have been executed.
--- a/hookwall/protocol/job_messages.py
+++ b/hookwall/protocol/job_messages.py
@@ -39,11 +39,11 @@
         spread: whether at most half of the tasks, rounded up, may be in one zone.
         spot: whether spot instances may run the job.
         estimated_duration_s: the user's estimate of a task's run time without fetching its image.
-        checkpoint_interval_s: seconds of progress after which a running task checkpoints by itself; 0: it never does.
+        checkpoint_interval_s: the progress after which a running task checkpoints by itself; 0: it never does so.
         checkpoint_cost_s: how long a task needs to checkpoint when it is stopped.
         types, zone: the allowed machine types and the only allowed zone; None: any.
-        due_s: seconds after its submission within which the job should be complete; None: no deadline.
-        dependencies: the jobs that have to be done before this one starts; None: there are none.
+        due_s: the time from the job's submission within which it should be complete; None: no deadline.
+        dependencies: the jobs that have to be done before this job starts; None: there are none.
     """
 
     job_id: str = msgspec.field(name="ref")
@@ -83,7 +83,7 @@
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """Decodes a submission; raises MalformedMessageError if it is malformed."""
+    """Decode a submission; raise MalformedMessageError if it is malformed."""
     try:
         spec = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -131,7 +131,7 @@
 
 
 def encode_job_status(job_id: str, phase: str, done: int | None = None, running: int | None = None) -> bytes:
-    """Encodes the status of a job for users: its phase and, if known, how many of its tasks are done and running."""
+    """Encode the status of a job for users: its phase and, if known, how many of its tasks are done and running."""
     body: dict[str, object] = {"ref": job_id, "phase": phase}
     if done is not None:
         body["done"] = done
--- a/hookwall/protocol/json_messages.py
+++ b/hookwall/protocol/json_messages.py
@@ -16,7 +16,7 @@
 
 
 def convert_message(raw: object, kind: type[Message]) -> Message:
-    """Converts a decoded body to a message of this type; raises MalformedMessageError if it is malformed."""
+    """Convert a decoded body to a message of this type; raise MalformedMessageError if it is malformed."""
     try:
         return msgspec.convert(raw, kind, strict=False)
     except msgspec.ValidationError as error:
--- a/hookwall/protocol/peer_messages.py
+++ b/hookwall/protocol/peer_messages.py
@@ -24,7 +24,7 @@
 class PeerStatus(msgspec.Struct, frozen=True):
     """What a node reports about itself in its heartbeats and responses; older programs report nothing."""
 
-    storage_version: int | None = None  # the newest that its program supports
+    storage_version: int | None = None  # the newest storage version that its program supports
     limits_lowered: bool | None = None  # whether it has seen the store's upcoming limits in force
 
 
@@ -35,17 +35,18 @@
     sender: str = msgspec.field(name="n")
     # Whether the key-value store responds to the sender.
     store_reachable: bool | None = msgspec.field(name="sok", default=None)
-    fencing_token: int | None = msgspec.field(
-        name="tok", default=None
-    )  # of the sender's leadership; 0: it does not lead
+    # The fencing token of the sender's leadership; 0: the sender does not lead.
+    fencing_token: int | None = msgspec.field(name="tok", default=None)
     storage_version: int | None = msgspec.field(name="format", default=None)
     limits_lowered: bool | None = msgspec.field(name="lowered", default=None)
-    revision: int | None = msgspec.field(name="pos", default=None)  # up to which a valid leader has read the records
+    # The revision up to which the sender, a valid leader, has read the records.
+    revision: int | None = msgspec.field(name="pos", default=None)
     # Cached images and arrival rates, for the node that leads next.
     successor_hint: object = msgspec.field(name="hint", default=None)
     # Requests and changes a second that the leader lends to the receiver.
     lent_rates: object = msgspec.field(name="lent", default=None)
-    replaces_version: int | None = msgspec.field(name="replaces", default=None)  # of the leader key to be replaced
+    # The version of the leader key that is to be replaced.
+    replaces_version: int | None = msgspec.field(name="replaces", default=None)
     # Whether a leader key that names the candidate proves that the leader is gone.
     proves_leader_gone: bool | None = msgspec.field(name="dead", default=None)
     election: int | None = msgspec.field(name="campaign", default=None)
@@ -55,7 +56,7 @@
     cancellations: object = msgspec.field(name="jobs", default=None)  # pairs of job id and version
 
     def sender_status(self) -> PeerStatus:
-        """Returns what the sender reports about itself."""
+        """Return what the sender reports about itself."""
         return PeerStatus(self.storage_version, self.limits_lowered)
 
 
@@ -66,31 +67,33 @@
     store_reachable: bool = msgspec.field(name="sok", default=False)
     # The highest fencing token for which the peer has granted a lease or vote.
     highest_token: int | None = msgspec.field(name="top", default=None)
-    heartbeat_count: int | None = msgspec.field(name="beats", default=None)  # from workers; 0 if none came recently
+    # The number of heartbeats that the peer has received from workers; 0 if none came recently.
+    heartbeat_count: int | None = msgspec.field(name="beats", default=None)
     # Requests and changes a second that the peer needs of the key-value store.
     wanted_rates: object = msgspec.field(name="want", default=None)
     storage_version: int | None = msgspec.field(name="format", default=None)
     limits_lowered: bool | None = msgspec.field(name="lowered", default=None)
     # Whether the peer has voted to replace the requesting leader's key.
     voted_to_replace: bool | None = msgspec.field(name="replaced", default=None)
-    fence_version: int | None = msgspec.field(name="fence", default=None)  # of the key that fences its votes
+    # The version of the key that fences the peer's votes.
+    fence_version: int | None = msgspec.field(name="fence", default=None)
     # Seconds since the key-value store last responded to the peer.
     store_contact_age_s: float | None = msgspec.field(name="age", default=None)
-    # Cancellations that the leader, by its revision, may not know: pairs of job id and version.
+    # Cancellations above the leader's `revision`, which the leader may not know: pairs of job id and version.
     cancellations: object = msgspec.field(name="cancelled", default=None)
-    # Whether `cancellations` holds all such cancellations that the peer knows.
+    # Whether `cancellations` holds all of these cancellations that the peer knows.
     cancellations_complete: bool | None = msgspec.field(name="complete", default=None)
     # Whether the peer has applied the cancellations that it was sent.
     cancellations_applied: bool | None = msgspec.field(name="knows", default=None)
     is_leader: bool | None = msgspec.field(name="leads", default=None)  # whether the peer is a valid leader
 
     def sender_status(self) -> PeerStatus:
-        """Returns what the peer reports about itself."""
+        """Return what the peer reports about itself."""
         return PeerStatus(self.storage_version, self.limits_lowered)
 
 
 class KnownCancellations(msgspec.Struct, frozen=True):
-    """The cancellations that a follower sends its leader with a quorum lease; `complete` if they are all it knows."""
+    """The cancellations that a follower sends its leader with a quorum lease, and whether these are all it knows."""
 
     cancellations: object  # pairs of job id and version
     complete: bool
@@ -100,7 +103,7 @@
 
 
 def encode_message(message: PeerMessage | PeerResponse) -> dict[str, object]:
-    """Encodes a message for the wire, with all fields that are set."""
+    """Encode a message for the wire, with all fields that are set."""
     return {
         field.encode_name: value
         for field in msgspec.structs.fields(message)
@@ -109,17 +112,17 @@
 
 
 def decode_message(raw: dict[str, object]) -> PeerMessage | None:
-    """Decodes a peer's request; returns None if the kind or the sender is missing."""
+    """Decode a peer's request; return None if the kind or the sender is missing."""
     return _decode(raw, PeerMessage)
 
 
 def decode_response(raw: dict[str, object]) -> PeerResponse:
-    """Decodes a peer's response; one that can't be decoded grants nothing."""
+    """Decode a peer's response; one that can't be decoded grants nothing."""
     return _decode(raw, PeerResponse) or PeerResponse()
 
 
 def _decode(raw: dict[str, object], kind: type[Message]) -> Message | None:
-    """Decodes a message without the fields that can't be decoded; returns None if a required field is missing."""
+    """Decode a message without the fields that can't be decoded; return None if a required field is missing."""
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError:
