--- a/hookwall/cli.py
+++ b/hookwall/cli.py
@@ -11,13 +11,13 @@
 from hookwall.config.operations import load_operations
 from hookwall.config.platform import load_settings
 
-GC_THRESHOLD = 10_000  # new objects, after which a garbage collection starts
+GC_THRESHOLD = 10_000  # the number of new objects after which a garbage collection starts
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def parser(with_operator_commands: bool = True) -> argparse.ArgumentParser:
-    """Builds the parser of all commands.
+    """Build the parser of all commands.
 
     Without `with_operator_commands` the operators' commands are left out, so that the daemon starts to listen sooner.
     """
@@ -36,7 +36,7 @@
 
 
 def log_to_stderr(level: str) -> None:
-    """Sends log lines of this level and above to standard error; raises InvalidSettingsError for an unknown level."""
+    """Send log lines of this level and above to standard error; raise InvalidSettingsError for an unknown level."""
     if level not in LEVELS:
         raise InvalidSettingsError(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}, is {level!r}")
     logging.basicConfig(
@@ -47,7 +47,7 @@
 
 
 def run_serve(args: argparse.Namespace) -> int:
-    """Runs one controller node until it is killed; returns the exit status."""
+    """Run one controller node until it is killed; return the exit status."""
     log_to_stderr(os.environ.get("LOG_LEVEL") or "error")
     settings = load_settings(args.config)
     operations = load_operations(args.operations, settings.platform)
@@ -79,7 +79,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Entry point: runs a command and returns its exit status."""
+    """Run a command and return its exit status."""
     command_line = sys.argv[1:] if argv is None else argv
     args = parser(with_operator_commands=command_line[:1] != ["serve"]).parse_args(command_line)
     try:
--- a/hookwall/config/checks.py
+++ b/hookwall/config/checks.py
@@ -12,7 +12,7 @@
 
 
 def read_toml(path: str, option: str) -> dict[str, object]:
-    """Reads the settings file that a command-line option names, without checking its fields.
+    """Read the settings file that a command-line option names, without checking its fields.
 
     Raises:
         InvalidSettingsError: the file can't be read or is not TOML.
@@ -26,6 +26,6 @@
 
 
 def require_positive(field: str, value: float) -> None:
-    """Refuses a number that is not finite and above 0."""
+    """Refuse a number that is not finite and above 0."""
     if not (math.isfinite(value) and value > 0):
         raise InvalidSettingsError(f"{field} must be a positive number, is {value}")
--- a/hookwall/config/operations.py
+++ b/hookwall/config/operations.py
@@ -1,7 +1,7 @@
 """The operators' own settings file, which switches optional subsystems on.
 
-It is read in addition to the platform's settings file and is optional: without it, every subsystem that it can switch
-on is off. Unknown fields are ignored. An invalid field is refused with an error that names it.
+The file is read in addition to the platform's settings file and is optional: without it, every subsystem that it can
+switch on is off. Unknown fields are ignored. An invalid field is refused with an error that names it.
 """
 
 import msgspec
@@ -39,7 +39,7 @@
 
 
 def validate_operations(operations: Operations, params: PlatformParameters) -> Operations:
-    """Refuses values that decode but make no sense, and teams that the platform's settings don't name.
+    """Refuse values that decode but make no sense, and teams that the platform's settings don't name.
 
     Raises:
         InvalidSettingsError: naming the team and the field.
@@ -58,7 +58,7 @@
 
 
 def _validate_amounts(budget: DisruptionBudget, where: str) -> None:
-    """Refuses numbers of one budget that make no sense."""
+    """Refuse numbers of one budget that make no sense."""
     if budget.jobs is None and budget.share is None:
         raise InvalidSettingsError(f"{where}: needs jobs (a whole number from 0) or share (a number from 0 to 1)")
     if budget.jobs is not None and budget.jobs < 0:
@@ -69,7 +69,7 @@
 
 
 def load_operations(path: str | None, params: PlatformParameters) -> Operations:
-    """Reads and checks the operators' file; without one, everything that it can switch on is off.
+    """Read and check the operators' file; without a file, everything that it can switch on is off.
 
     Raises:
         InvalidSettingsError: the file can't be read or used.
--- a/hookwall/config/platform.py
+++ b/hookwall/config/platform.py
@@ -70,7 +70,7 @@
 
     Attributes:
         report_s: the interval between two heartbeats.
-        lease_s: how long a worker runs its tasks after it sent the last heartbeat that was answered.
+        lease_s: how long a worker keeps running its tasks after it sent the last heartbeat that was answered.
         gang_wait_s: how long a task waits for its gang to be complete.
         gang_peer_s: the time after which the tasks of a running gang notice that one of them is gone.
         cancel_s: how long tasks of a job may still run after its cancellation.
@@ -102,15 +102,15 @@
     next: UpcomingStoreLimits | None = None
 
     def lowest_txn_ops(self) -> int:
-        """Returns the changes per transaction that are allowed both now and later."""
+        """Return the changes per transaction that are allowed both now and later."""
         return self.txn_ops if self.next is None else min(self.txn_ops, self.next.txn_ops or self.txn_ops)
 
     def lowest_value_kb(self) -> float:
-        """Returns the KiB per value that are allowed both now and later."""
+        """Return the KiB per value that are allowed both now and later."""
         return self.value_kb if self.next is None else min(self.value_kb, self.next.value_kb or self.value_kb)
 
     def rates_per_s(self, lowered: bool) -> tuple[float, float]:
-        """Returns the allowed requests and changes a second, before or, if `lowered`, after the limits have changed."""
+        """Return the allowed requests and changes a second: the current ones or, if `lowered`, the upcoming ones."""
         if self.next is None or not lowered:
             return self.rps, self.write_rps
         return self.next.rps or self.rps, self.next.write_rps or self.write_rps
@@ -158,7 +158,7 @@
 
 
 def parse_address(text: str, field: str) -> tuple[str, int]:
-    """Returns host and port of `host:port`; raises InvalidSettingsError, which names the field, for anything else."""
+    """Return host and port of `host:port`; raise InvalidSettingsError, which names the field, for anything else."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise InvalidSettingsError(f"{field}: not an address of the form host:port: {text!r}")
@@ -166,7 +166,7 @@
 
 
 def validate_settings(settings: Settings) -> Settings:
-    """Refuses values that decode but make no sense.
+    """Refuse values that decode but make no sense.
 
     Raises:
         InvalidSettingsError: naming the field.
@@ -193,7 +193,7 @@
 
 
 def _positive_fields(params: PlatformParameters) -> dict[str, float]:
-    """Returns the numbers that must be above 0, by the names of their fields."""
+    """Return the numbers that must be above 0, by the names of their fields."""
     upcoming = {} if params.state.next is None else msgspec.structs.asdict(params.state.next)
     return {
         "workers.report_s": params.workers.report_s,
@@ -209,7 +209,7 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Reads and checks the settings file.
+    """Read and check the settings file.
 
     Raises:
         InvalidSettingsError: the file can't be read or used.
--- a/run.py
+++ b/run.py
@@ -12,11 +12,11 @@
 
     A node can't write bytecode next to its sources, so without this loader each start compiled all sources again. That
     took a second on a sixth of a core, during which there was no leader. The loader serves hookwall's own modules only;
-    the bytecode of libraries is where the libraries are.
+    the bytecode of libraries is next to their sources.
     """
 
     def get_code(self, fullname: str) -> object:
-        """Returns the code of a module, from `target/pycache` if the build step compiled it."""
+        """Return the code of a module, from `target/pycache` if the build step compiled it."""
         sys.pycache_prefix = os.path.join(ROOT, "target", "pycache")
         try:
             return super().get_code(fullname)
@@ -25,7 +25,7 @@
 
 
 def hookwall_finder(path: str) -> FileFinder:
-    """Returns a finder for the directories of the hookwall package.
+    """Return a finder for the directories of the hookwall package.
 
     Raises ImportError for other directories, so that they keep their own finders.
     """
