--- a/hookwall/jobs/allocation.py
+++ b/hookwall/jobs/allocation.py
@@ -37,7 +37,7 @@
     )
 
     def __init__(self, task: int, machine: str, epoch: int, attempt: int, now: float) -> None:
-        """Allocate the task to the worker on `machine` with the incarnation number `epoch`."""
+        """Allocate the task to the worker on `machine`. The worker's epoch increases each time its lease expires."""
         self.task = task
         self.machine = machine
         self.epoch = epoch
--- a/hookwall/jobs/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -16,9 +16,9 @@
 not enough: its write may have been applied late, for a candidate that gave up, while the earlier leader has a quorum
 again.)
 
-A leader that is valid by its session lease stays valid only for a short time after the store has answered it. It relies
-on bounded staleness alone. Under such a leader, a cancellation is confirmed if the leader key is unchanged after the
-cancellation was stored.
+A leader that is valid by its session lease stays valid only for a short time after the store last answered it. It
+relies on bounded staleness alone. Under such a leader, a cancellation is confirmed if the leader key is unchanged after
+the cancellation was stored.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 
 
 class CancellationLedger:
-    """The cancellations that one node knows of and that a later leader may not know of.
+    """The cancellations of which one node knows, but a later leader may not know.
 
     Times are seconds on the node's clock.
     """
@@ -73,9 +73,11 @@
         # less than one heartbeat interval old.
         longest_lease_s = timings.lease_s * (1 + MAX_CLOCK_DRIFT)
         self.max_staleness_s = max(timings.report_s, timings.cancel_s - longest_lease_s - SAFETY_MARGIN_S)
-        self.records_current_at = NEVER  # when the last request was sent whose response showed the current records
+        # When the latest request was sent whose response showed all changes of the records up to that time.
+        self.records_current_at = NEVER
         self.all_records_read = False  # until all records are read, cancellations known before a restart may be missing
-        self.peer_reports_sent_at: dict[str, float] = {}  # send time of the last heartbeat answered completely
+        # By peer: when the last heartbeat was sent that the peer answered with all cancellations that it knows.
+        self.peer_reports_sent_at: dict[str, float] = {}
         self.unsettled_versions: dict[str, int] = {}  # by job id
         self.propagated_jobs: set[str] = set()  # unsettled jobs that a valid leader or a majority knows of
         self.settled_revision = 0
@@ -108,7 +110,7 @@
             self.unsettled_versions[job_id] = version
 
     def settle_up_to(self, revision: int) -> None:
-        """Settle the cancellations up to this revision: every leader from now on knows of them."""
+        """Settle the cancellations up to this revision, of which every leader knows from now on."""
         if revision <= self.settled_revision:
             return
         self.settled_revision = revision
@@ -130,7 +132,8 @@
     def known_cancellations(self, revision: int | None) -> KnownCancellations:
         """The unsettled cancellations that a node adds to its vote.
 
-        Cancellations up to `revision`, the leader's records revision, are settled first; None: it is not known.
+        Cancellations up to `revision`, up to which the leader has read the records, are settled first. None means that
+        this revision is not known.
         """
         if revision is not None:
             self.settle_up_to(revision)
@@ -148,7 +151,7 @@
             self.peer_reports_sent_at[peer] = max(sent_at, self.peer_reports_sent_at.get(peer, NEVER))
 
     def apply_cancellations(self, cancellations: object) -> None:
-        """Apply cancellations from a peer, as pairs of job id and version. Ignores anything else."""
+        """Apply cancellations from a peer, which are pairs of job id and version; ignore anything else."""
         for pair in cancellations if isinstance(cancellations, list | tuple) else ():
             if isinstance(pair, list | tuple) and len(pair) == 2:
                 job_id, version = pair
@@ -156,14 +159,17 @@
                     self.apply_cancellation(job_id, version)
 
     def on_cancellations_announced(self, cancellations: object) -> bool:
-        """Apply cancellations that a peer announces before confirming them; returns whether this node leads validly."""
+        """Apply cancellations that a peer announces before it confirms them.
+
+        Return True if this node is a valid leader.
+        """
         self.apply_cancellations(cancellations)
         return self.leadership.valid()
 
     # -- confirmation to users ---------------------------------------------------------------------
 
     async def confirm_cancellation(self, job_id: str, version: int) -> bool:
-        """Whether a stored cancellation may be confirmed to its user. Informs the peers first if that is necessary."""
+        """Inform peers of a stored cancellation if necessary; return True if it may be confirmed to its user."""
         self.add_cancellation(job_id, version)
         if version <= self.settled_revision or job_id in self.propagated_jobs:
             return True
@@ -176,7 +182,7 @@
     async def _propagate(self, job_id: str, version: int) -> bool:
         """Ensure that any node that renews leases knows of a cancellation, unless bounded staleness is sufficient.
 
-        Returns whether that is achieved.
+        Return True if one of the two holds.
         """
         leadership = self.leadership
         leader_key = leadership.leader_key
@@ -201,7 +207,8 @@
     async def _inform_peers(self, job_id: str, version: int) -> bool:
         """Send a cancellation to all peers.
 
-        Returns True once a peer that leads validly has applied it, or a majority of nodes including this one.
+        Return True once a peer that is a valid leader has applied it, or once a majority of nodes, including this node,
+        knows of it.
         """
         message = PeerMessage(
             kind=MessageKind.CANCELLATIONS, sender=self.leadership.node_name, cancellations=[[job_id, version]]
--- a/hookwall/jobs/chunked_commit.py
+++ b/hookwall/jobs/chunked_commit.py
@@ -33,7 +33,7 @@
     next_batch: Callable[[dict[str, str]], list[Put]],
     guard: ChunkGuard,
 ) -> int:
-    """Write chunks and the records that name them; returns the revision at which the records were written.
+    """Write chunks and the records that name them; return the revision at which the records were written.
 
     `next_batch` selects from the remaining chunks those to write in the next transaction, without records. It returns
     none once the remaining chunks fit in the transaction of the records. Chunks are added to the table as soon as they
--- a/hookwall/jobs/dependency_graph.py
+++ b/hookwall/jobs/dependency_graph.py
@@ -1,4 +1,4 @@
-"""The graph of dependencies between jobs. It does no I/O and stores nodes by dense indices.
+"""The graph of dependencies between jobs. It does no I/O and refers to jobs by dense indices.
 
 Invariant: a job is *ready* once every job that it depends on is stored as done, and *cancelled* once a job that it
 depends on, directly or transitively, is cancelled. Both states are final, because the stored outcomes that cause them
@@ -39,7 +39,7 @@
     own_rank: int = LOWEST_RANK
     own_deadline: float = math.inf
     duration_s: float = 0.0
-    rank: int = LOWEST_RANK  # its own, or the higher one of a dependent
+    rank: int = LOWEST_RANK  # the highest of its own rank and those of its dependents
     latest_end: float = math.inf
 
 
@@ -90,7 +90,7 @@
             return
         node = self._nodes[index]
         if node.own_rank == rank:
-            return  # already set: the description of a job never changes
+            return  # the requirements are set already, and the description of a job never changes
         node.own_rank = rank
         node.duration_s = duration_s
         node.own_deadline = math.inf if deadline is None else deadline
@@ -121,22 +121,22 @@
         return [] if index is None else [self._nodes[n].job_id for n in self._nodes[index].dependencies]
 
     def is_blocked(self, job_id: str) -> bool:
-        """Whether any job that it depends on directly is not known to be done."""
+        """Whether a direct dependency of the job is not known to be done."""
         index = self._index_of.get(job_id)
         return index is not None and self._nodes[index].unmet_count > 0
 
     def has_cancelled_dependency(self, job_id: str) -> bool:
-        """Whether a job that it depends on, directly or transitively, was cancelled."""
+        """Whether a direct or transitive dependency of the job was cancelled."""
         index = self._index_of.get(job_id)
         return index is not None and self._nodes[index].cancelled
 
     def ready_at(self, job_id: str) -> float:
-        """The time of day at which the last job that it depends on was done; 0 if that is not known."""
+        """The time of day at which the last dependency of the job was done; 0 if that is not known."""
         index = self._index_of.get(job_id)
         return 0.0 if index is None else self._nodes[index].ready_at
 
     def effective_rank(self, job_id: str, own_rank: int) -> int:
-        """The rank used for scheduling the job: its own, or the higher one of a dependent."""
+        """The rank used for scheduling the job: the highest of its own rank and those of its dependents."""
         index = self._index_of.get(job_id)
         return own_rank if index is None else min(own_rank, self._nodes[index].rank)
 
@@ -199,7 +199,7 @@
             stack.extend(node.dependents)
 
     def _raise_urgency_of_dependencies(self, index: int) -> None:
-        """Make the jobs that it depends on, directly or transitively, at least as urgent as it is."""
+        """Make all direct and transitive dependencies of the job at `index` at least as urgent as the job."""
         stack = [index]
         while stack:
             node = self._nodes[stack.pop()]
@@ -219,22 +219,22 @@
     def _lower_urgency(self, indices: Sequence[int]) -> None:
         """Lower the urgency of jobs, and of their dependencies, after a dependent of these jobs has ended.
 
-        Each is then as urgent as its own requirements and its remaining dependents demand.
+        Each of them is then as urgent as its own requirements and its remaining dependents demand.
         """
         stack = list(indices)
         while stack:
             node = self._nodes[stack.pop()]
             if node.outcome is not None:
                 continue
-            rank, latest_end = self._urgency_by_dependents(node)
+            rank, latest_end = self._compute_urgency(node)
             if (rank, latest_end) != (node.rank, node.latest_end):
                 node.rank = rank
                 node.latest_end = latest_end
                 self._changes.urgency_changed.append(node.job_id)
                 stack.extend(node.dependencies)
 
-    def _urgency_by_dependents(self, node: JobNode) -> tuple[int, float]:
-        """The rank and latest end of a job, by its own requirements and those of dependents that have not ended."""
+    def _compute_urgency(self, node: JobNode) -> tuple[int, float]:
+        """The rank and latest end of a job, from its own requirements and from dependents that have not ended."""
         rank = node.own_rank
         latest_end = node.own_deadline
         for dependent in node.dependents:
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -1,9 +1,9 @@
 """The state of one job: its stored record, and the leader's decisions since that record was stored.
 
 Invariant: the record of a job names every machine on which one of its tasks may run, so that the next leader knows
-which tasks may still be running, and where, and does not start them again. All other information about a task (the
-worker's last report) is kept in memory only and may be lost. So a decision takes effect for workers and users only once
-its write has succeeded.
+which tasks may still be running, and where, and does not start them again. Therefore a decision takes effect for
+workers and users only once its write has succeeded. All other information about a task (the worker's last report) is
+kept in memory only and may be lost.
 
 Phases are the stored strings themselves and not an `Enum`, because they are compared for each job in each scheduling
 round, and are read from records and written to them unchanged.
@@ -26,7 +26,7 @@
 UNASSIGNED = -1  # an index that is not known yet
 
 BATCHING_DELAY_S = 1.0  # delay before a task's end is written, so that several ends share a transaction
-MAX_BATCHING_DELAY_S = 15.0  # the same, while the rate limit of the key-value store leaves no spare changes
+MAX_BATCHING_DELAY_S = 15.0  # this delay while the rate limit of the key-value store leaves no spare changes
 
 
 class Job:
@@ -80,7 +80,7 @@
         self.last_failure_at = self.retry_not_before = NEVER
         # Derived state, used for scheduling.
         self.queued_at = 0.0  # time of day of its submission, or of the end of the last job that it depends on
-        self.rank = UNASSIGNED  # its own, or the higher one of a job that depends on it; 0 is the highest
+        self.rank = UNASSIGNED  # the highest of its own rank and those of its dependents; 0 is the highest
         self.image_index = self.team_index = self.zone_index = UNASSIGNED
         self.allowed_type_indices: frozenset[int] | None = None  # None: any machine type
         self.machine_type_fit: object = None  # the last computed fit with the machine types (scheduling/fit.py)
@@ -89,7 +89,7 @@
     # -- queries ---------------------------------------------------------------------------------
 
     def is_final(self) -> bool:
-        """Whether the stored phase is one that never changes again."""
+        """Whether the stored phase is final, so that it never changes again."""
         return self.stored_phase in (DONE, CANCELLED)
 
     def pending_tasks(self, limit: int) -> list[int]:
@@ -122,7 +122,8 @@
     def may_launch(self, allocation: Allocation) -> bool:
         """Whether the state of the job allows launching a stored start.
 
-        It does not if a newer record can't be read, or if another machine reports the task without a known start.
+        The start must not be launched if a newer record can't be read, or if another machine reports the task although
+        no start of the task on that machine is known.
         """
         if self.record_unreadable:
             return False
@@ -131,7 +132,7 @@
     # -- reports of workers ----------------------------------------------------------------------
 
     def add_unrecorded_sighting(self, task: int, machine: str) -> None:
-        """Record that a worker reports a task without a known start on its machine.
+        """Record that a worker reports a task although no start of the task on its machine is known.
 
         The task must not be started on any other machine.
         """
@@ -148,7 +149,7 @@
     # -- decisions of the leader -----------------------------------------------------------------
 
     def mark_task_done(self, task: int) -> None:
-        """Mark a task as done. Has no effect if it already is."""
+        """Mark a task as done. This has no effect if it is done already."""
         if self.done_flags is not None and not self.done_flags[task]:
             self.done_flags[task] = 1
             self.done_count += 1
@@ -232,7 +233,7 @@
                 self.stored_starts[task] = stored_start
 
     def _load_done_tasks(self, done_tasks: list[int]) -> None:
-        """Mark the tasks as done that are done according to the record, and no others."""
+        """Mark exactly those tasks as done that are done according to the record."""
         self.done_flags = bytearray(self.task_count)
         for task in done_tasks:
             self.done_flags[task] = 1
--- a/hookwall/jobs/job_table.py
+++ b/hookwall/jobs/job_table.py
@@ -26,11 +26,11 @@
 
 
 def _ignore_record(job: Job, previous: list[Allocation]) -> None:
-    """Default observer of records; does nothing."""
+    """Do nothing; the default observer of records."""
 
 
 def _ignore_cancellation(job_id: str, version: int) -> None:
-    """Default observer of cancellations; does nothing."""
+    """Do nothing; the default observer of cancellations."""
 
 
 class JobTable:
@@ -47,8 +47,8 @@
         self.on_record_applied = on_record_applied
         self.on_cancelled = on_cancelled
         self.jobs: dict[str, Job] = {}
-        self.open_jobs: dict[str, Job] = {}  # still to be handled by the leader, and waiting for no other job
-        self.blocked_jobs: dict[str, Job] = {}  # waiting for other jobs
+        self.open_jobs: dict[str, Job] = {}  # jobs that the leader still has to handle and that wait for no other job
+        self.blocked_jobs: dict[str, Job] = {}  # jobs that wait for other jobs
         self.dependencies = DependencyGraph()
         self.chunks = ChunkTable()
         # Versions of cancellations that are known from a peer or from a record version that is not applied yet.
@@ -86,7 +86,7 @@
         self.on_record_applied(job, previous)
 
     def _load_record(self, job: Job, value: object, version: int) -> bool:
-        """Load a job from its stored value. Returns False if the value can't be read."""
+        """Load a job from its stored value. Return False if the value can't be read."""
         try:
             record = job_records.decode_record(job.job_id, value, self.chunks.get)
             job.load_record(record, value, version, self.clock())
@@ -187,10 +187,10 @@
 
     def _update_lists(self, job: Job) -> None:
         """List a job as open or blocked, or as neither once it has ended and has no allocations."""
-        over = job.spec is None or (job.phase != OPEN and not job.allocations and job.is_final())
+        ended = job.spec is None or (job.phase != OPEN and not job.allocations and job.is_final())
         blocked = job.phase == OPEN and not job.allocations and self.dependencies.is_blocked(job.job_id)
-        _set_listed(self.open_jobs, job, not over and not blocked)
-        _set_listed(self.blocked_jobs, job, not over and blocked)
+        _set_listed(self.open_jobs, job, not ended and not blocked)
+        _set_listed(self.blocked_jobs, job, not ended and blocked)
 
     def _update_graph(self, job: Job) -> None:
         """Add a job with dependencies to the graph, and update a job that the graph contains."""
@@ -242,7 +242,7 @@
                 job.rank = self.effective_rank(job)
 
     def effective_rank(self, job: Job) -> int:
-        """The rank used for scheduling the job: its own, or the higher one of a job that depends on it."""
+        """The rank used for scheduling the job: the highest of its own rank and those of its dependents."""
         assert job.spec is not None
         return self.dependencies.effective_rank(job.job_id, job_messages.RANKS.index(job.spec.rank))
 
--- a/hookwall/jobs/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -34,12 +34,12 @@
 WRITE_INTERVAL_S = 0.05
 IDLE_INTERVAL_S = 0.5
 RETRY_DELAY_S = 0.2
-SINGLE_JOB_WRITES_S = 5.0  # duration of writing each job in its own transaction after a transaction was too large
+SINGLE_JOB_WRITES_S = 5.0  # how long each job is written in its own transaction after a transaction was too large
 USUAL_STATE_CHUNKS = 4  # enough for the state of most jobs
 CHUNK_WRITES_S = 2.0  # how long one job's write may use up the store's rate of changes; each chunk is one change
 MIN_STATE_CHUNKS = 2  # allowed even if the limits permit fewer
 RECORD_BYTES_PER_CHUNK_NAME = 60  # so that the names of chunks take at most half of a record
-PACKED_SIZE_RATIO = 0.5  # upper bound of packed to plain size; typical ratios are 0.3 to 0.45
+PACKED_SIZE_RATIO = 0.5  # upper bound of the ratio of packed to plain size; 0.3 to 0.45 was measured
 
 
 class DelegationPreconditions(Protocol):
@@ -51,16 +51,16 @@
         """The keys with the versions that are known here."""
 
     async def handle_changed_keys(self, changed: list[str], revision: int) -> None:
-        """Handle a write that failed because these keys had changed, at `revision` or earlier."""
+        """Handle the failure of a write because these keys had changed, at `revision` or earlier."""
 
 
 def _packing_disabled() -> bool:
-    """Default for writing records in the plain form only."""
+    """Disable packed records, for use where records are written in the plain form only."""
     return False
 
 
 def _ignore_stored_decisions() -> None:
-    """Default callback for stored decisions; does nothing."""
+    """Do nothing; the default callback for stored decisions."""
 
 
 class JobWriter:
@@ -122,7 +122,7 @@
     # -- limits ------------------------------------------------------------------------------------
 
     def start_record_budget(self) -> StartRecordBudget:
-        """The bytes that the starts of one job may take in the plain form. No more starts are made at a time."""
+        """The bytes that the starts of one job may take in the plain form; no further tasks are started beyond that."""
         plain_bytes = job_records.plain_allocations_bytes(self.store.limits.value_kb)
         if not self.packing_enabled():
             return StartRecordBudget(plain_bytes, plain_bytes)
@@ -146,7 +146,7 @@
     # -- one write ---------------------------------------------------------------------------------
 
     def _prepare(self, job: Job) -> PendingWrite | None:
-        """Prepare the write of a job. Returns None if its record does not fit in any form."""
+        """Prepare the write of a job. Return None if its record does not fit in any form."""
         try:
             return PendingWrite.prepare(job, self.store.max_value_bytes if self.packing_enabled() else None)
         except RecordTooLargeError:
@@ -159,8 +159,8 @@
         The batch includes at least one job even if that exceeds the limits. Jobs whose records do not fit the store are
         skipped.
         """
-        single = self._single_job_writes_until is not None and self.clock() < self._single_job_writes_until
-        max_changes = 1 if single else self.store.batch_size()
+        single_job_writes = self._single_job_writes_until is not None and self.clock() < self._single_job_writes_until
+        max_changes = 1 if single_job_writes else self.store.batch_size()
         batch: list[PendingWrite] = []
         changes = 0
         transaction_bytes = ENTRY_OVERHEAD_BYTES
@@ -206,7 +206,7 @@
             await asyncio.sleep(RETRY_DELAY_S)
 
     async def _commit(self, fencing_token: int, batch: list[PendingWrite]) -> int:
-        """Write the records of a batch with their new chunks; returns the version of the records."""
+        """Write the records of a batch with their new chunks; return the version of the records."""
         preconditions: list[Precondition] = [
             Precondition(keys.LEADER_KEY, fencing_token),
             *(Precondition(*known) for known in self.delegation_guard.preconditions()),
@@ -225,7 +225,7 @@
     def _finish(self, write: PendingWrite, version: int, still_leader: bool) -> None:
         """Process the end of one job's write. `version` is that of the written record, or 0 if the write failed.
 
-        Also applies a record that was received while the write was in flight.
+        Also apply a record that was received while the write was in flight.
         """
         job = write.job
         job.write_in_flight = False
@@ -261,7 +261,7 @@
     # -- conflicts and unreadable records ----------------------------------------------------------
 
     async def _resolve_conflict(self, conflict: PreconditionFailedError) -> None:
-        """Update this node's knowledge of the keys whose preconditions failed. Steps down if the leader key is one."""
+        """Update this node's knowledge of the keys whose preconditions failed; step down if the leader key is one."""
         if keys.LEADER_KEY in conflict.keys:
             self.leadership.step_down("write rejected: the leader key has changed")
             return
--- a/hookwall/jobs/leadership_view.py
+++ b/hookwall/jobs/leadership_view.py
@@ -63,4 +63,4 @@
         """
 
     def call_all_peers(self, message: PeerMessage, timeout_s: float) -> list[asyncio.Task[PeerResponse | None]]:
-        """Send a message to all peers; returns one task for each peer, which gives None if there was no response."""
+        """Send a message to all peers; return one task for each peer, which gives None if there was no response."""
--- a/hookwall/jobs/start_record_budget.py
+++ b/hookwall/jobs/start_record_budget.py
@@ -17,7 +17,7 @@
     """The bytes that the starts of one job may take in the plain form of its record.
 
     Starts on the same machine share its name. So in a record of up to `usual_bytes`, new starts are assumed to need no
-    further machine names. In a larger record, each new start is assumed to be on a machine of its own, which is the
+    further machine names. In a larger record, each new start is assumed to be on a different machine, which is the
     worst case.
     """
 
--- a/hookwall/jobs/write_batch.py
+++ b/hookwall/jobs/write_batch.py
@@ -82,8 +82,8 @@
 def next_chunks(remaining: dict[str, str], batch: list[PendingWrite], max_changes: int) -> list[Put]:
     """The chunks to write in the next transaction before the records of a batch: at least one, and all that fit in it.
 
-    Empty if the remaining chunks fit in the transaction of the records. Only for a batch of a single job may there be
-    chunks that do not.
+    The list is empty if the remaining chunks fit in the transaction of the records. Only a batch of a single job may
+    have more chunks than fit in that transaction.
     """
     record_bytes = sum(write.record_bytes for write in batch)
     fits_changes = len(remaining) + len(batch) <= max(max_changes, len(batch))
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -89,7 +89,7 @@
     make_leader(ledger, clock)
     ledger.confirm_records_read(clock() - 100.0)
     ledger.on_known_cancellations("n1", clock(), KnownCancellations([], False))
-    assert not ledger.may_renew_leases(), "a peer that has not read all records may have lost a cancellation"
+    assert not ledger.may_renew_leases(), "a peer that has not read all records may not know of every cancellation"
     ledger.on_known_cancellations("n1", clock(), KnownCancellations([["run-000001", 33]], True))
     assert ledger.may_renew_leases() and ledger.cancelled == {"run-000001": 33}
     # This holds only for a leader with a quorum lease. Under a leader with a session lease, cancellations are confirmed
@@ -162,7 +162,7 @@
 ):
     ledger.leadership.observe_leader_key({"node": "n1", "mode": "hold"}, 25)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is False, (
-        "the stored leader key is a different version"
+        "the stored leader key has another version than the known one"
     )
     state.keys[keys.LEADER_KEY] = ({"node": "n1", "mode": "hold"}, 25)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is True
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -40,16 +40,16 @@
     assert graph.is_blocked("c")
 
 
-@pytest.mark.parametrize("late", [False, True])
-def test_all_dependents_of_a_cancelled_job_are_cancelled_in_any_order_of_records(late):
+@pytest.mark.parametrize("added_after_cancellation", [False, True])
+def test_all_dependents_of_a_cancelled_job_are_cancelled_in_any_order_of_records(added_after_cancellation):
     edges = [("b", ["a"]), ("c", ["b", "x"]), ("d", ["c"]), ("e", ["x"])]
     graph = DependencyGraph()
-    if not late:
+    if not added_after_cancellation:
         graph = graph_of(*edges)
     else:
         graph.add_job("b", ["a"])
     graph.record_outcome("a", Outcome.CANCELLED)
-    if late:
+    if added_after_cancellation:
         for job_id, dependencies in edges:
             graph.add_job(job_id, dependencies)
     assert sorted(graph.drain_changes().cancelled) == ["b", "c", "d"]
--- a/tests/jobs/test_job_table.py
+++ b/tests/jobs/test_job_table.py
@@ -30,18 +30,18 @@
 
 
 def test_starts_are_stored_before_ends_of_single_tasks(cluster: Cluster):
-    ended, started, over = cluster.submit(1, pieces=2), cluster.submit(2), cluster.submit(3)
+    ended, started, done = cluster.submit(1, pieces=2), cluster.submit(2), cluster.submit(3)
     cluster.beat("vm-1")
     now = cluster.clock()
     ended.mark_task_done(0)
     cluster.fleet.allocate(started, 0, cluster.fleet.machines["vm-1"], 1, now)
-    over.phase, over.has_unsaved_changes = "done", True
-    assert jobs_to_write(cluster.table.open_jobs.values(), now, has_spare_changes=True) == [over, started]
+    done.phase, done.has_unsaved_changes = "done", True
+    assert jobs_to_write(cluster.table.open_jobs.values(), now, has_spare_changes=True) == [done, started]
     later = [now + 2.0, now + 16.0]
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], has_spare_changes=True) == [over, started, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], has_spare_changes=True) == [done, started, ended]
     # While the store has no spare changes, the end of a single task waits longer, but not indefinitely.
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], has_spare_changes=False) == [over, started]
-    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], has_spare_changes=False) == [over, started, ended]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[0], has_spare_changes=False) == [done, started]
+    assert jobs_to_write(cluster.table.open_jobs.values(), later[1], has_spare_changes=False) == [done, started, ended]
 
 
 def test_the_start_that_waits_longest_is_stored_first_regardless_of_submission_order(cluster: Cluster):
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -45,7 +45,7 @@
 
 
 async def no_reload(key: str) -> None:
-    """Ignores requests to reload a record."""
+    """Ignore requests to reload a record."""
 
 
 def leader_writer(table: JobTable, state: FakeState, clock: Clock, delegation_keys, leadership, **options) -> JobWriter:
@@ -156,12 +156,12 @@
     )
 
 
-def test_after_a_read_of_the_delegates_key_earlier_delegations_are_assumed_possible(
+def test_if_the_watch_is_late_any_lease_may_have_been_renewed_until_now(
     leading_writer: JobWriter, state: FakeState, clock: Clock
 ):
-    """The key may have named vm-1 before it was deleted and written again with vm-9.
+    """The delegate's key may have named vm-1 before it was deleted and written again with vm-9.
 
-    Only the watch would show the first value.
+    Only the watch would deliver the first value; a read of the key returns the second one.
     """
     state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
@@ -256,7 +256,7 @@
 
 
 def writer_with_job_on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
-    """The writer of a leader, and a job on the maximum number of machines that it may use, limited to 4000."""
+    """Return the writer of a leader, and a job on as many machines as its record can name, at most 4000."""
     limits = StoreLimits(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
     state.limits, state.max_transaction_changes, state.max_value_bytes = limits, txn_ops, usable_value_bytes(value_kb)
     state.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
