--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -165,7 +165,7 @@
     """
     state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
     clock.tick(5.0)
-    leading_writer.delegation_guard._watched = _return_false
+    leading_writer.delegation_guard._wait_for_watch = _return_false
     write(leading_writer)
     assert machines(leading_writer) == ["vm-1"]
     assert (
