--- a/hookwall/storage/chunk_collector.py
+++ b/hookwall/storage/chunk_collector.py
@@ -1,7 +1,7 @@
 """Removes chunks that no record names any more (`job_records`).
 
-Invariant: a chunk is removed only in a transaction whose precondition is the version of the job's record that does not
-name the chunk, so no record loses a chunk that it names.
+Invariant: a chunk is removed only on the precondition that the job's record still has the version that does not name
+the chunk. So no record loses a chunk that it names.
 """
 
 import logging
@@ -61,7 +61,7 @@
     def __init__(
         self, table: StoredJobs, store: KeyValueClient, leadership: FencingTokenHolder, clock: Callable[[], float]
     ) -> None:
-        """Collect the chunks of the jobs in `table`, fenced by the token of `leadership`."""
+        """Create a collector for the chunks of the jobs in `table`, fenced by the token of `leadership`."""
         self.table = table
         self.store = store
         self.leadership = leadership
@@ -88,7 +88,8 @@
     async def _remove(self, job_id: str, version: int, unreferenced: list[str]) -> None:
         """Remove chunks if the job's record still has this version."""
         chunks = self.table.chunks
-        # If the outcome is unknown, the chunks count as removed, so they are written again if a record needs them.
+        # If the outcome is unknown, the chunks count as removed at their newest known version, so that they are written
+        # again if a record needs them.
         removed_at = max(chunks.versions.get(key, 0) for key in unreferenced)
         preconditions = [
             Precondition(keys.LEADER_KEY, self.leadership.fencing_token),
--- a/hookwall/storage/chunk_table.py
+++ b/hookwall/storage/chunk_table.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without chunks."""
+        """Create a table without chunks."""
         self.texts: dict[str, str] = {}
         self.versions: dict[str, int] = {}
         self.keys_by_job: dict[str, set[str]] = {}
@@ -67,7 +67,10 @@
             self.unreadable_records[job_id] = UnreadableRecord(value, version)
 
     def next_unreadable_job(self) -> str:
-        """Return a job whose record can't be read, each job in turn, as a record may stay unreadable indefinitely."""
+        """Return a job whose record can't be read.
+
+        Successive calls return all such jobs in turn, since a record may stay unreadable indefinitely.
+        """
         job_id = next(iter(self.unreadable_records))
         self.unreadable_records[job_id] = self.unreadable_records.pop(job_id)
         return job_id
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -50,8 +50,9 @@
 
 log = logging.getLogger(__name__)
 
-PRECONDITIONS_PER_CHANGE = 4  # preconditions that a transaction may have for each change that the store's limit allows
-RECENT_RESPONSE_S = 1.5
+# The number of preconditions that a transaction may have for each change that the store's limit allows.
+PRECONDITIONS_PER_CHANGE = 4
+RECENT_RESPONSE_S = 1.5  # a response counts as recent for this long
 REQUEST_TIMEOUT_S = 1.5
 SCAN_PAGE_TIMEOUT_S = 4.0
 LEASE_TIMEOUT_S = 1.0
@@ -59,7 +60,8 @@
 CONNECTIONS = 64
 BATCH_WINDOW_S = 0.5  # a batch holds the changes that the rate limit allows within this time
 SPARE_CHANGES_SHARE = 0.5  # share of the burst that must be available before changes count as spare
-NO_RESPONSE_YET = -1e9  # so long ago that no response counts as recent; finite, as peers are sent the age as a number
+# A time so long ago that no response counts as recent. It is finite because peers are sent the age as a number.
+NO_RESPONSE_YET = -1e9
 
 JsonObject: TypeAlias = dict[str, Any]  # decoded but not validated; each field is checked where it is read
 
@@ -85,7 +87,7 @@
         clock: Callable[[], float],
         send_request: SendRequest = request_json,
     ) -> None:
-        """Prepare requests to `host:port` for one of `node_count` nodes that share the limits."""
+        """Create a client of the store at `host:port`, for one of `node_count` nodes that share the limits."""
         self.base_url = f"http://{address}"
         self.limits = limits
         # Every write fits the current limits as well as the announced limits, which come into force without notice.
@@ -103,7 +105,7 @@
         self.session = open_session(CONNECTIONS)
 
     def max_plain_value_bytes(self) -> int:
-        """The size limit in bytes of a value while older programs, which do not know the announced limits, read it."""
+        """The size limit in bytes of a value that older programs, which do not know the announced limits, may read."""
         if self.rate_shares.limits_lowered:
             return self.max_value_bytes
         return usable_value_bytes(self.limits.value_kb)
@@ -142,12 +144,12 @@
         return VersionedValue(body.get(wire_format.VALUE), revision, revision)
 
     async def get(self, key: str) -> StoredValue | None:
-        """Return the value and version of a key, or None if the key is absent; raises the same errors as `read`."""
+        """Return the value and version of a key, or None if the key is absent; raise the same errors as `read`."""
         current = await self.read(key)
         return StoredValue(current.value, current.version) if current.version else None
 
     async def scan(self, prefix: str) -> ScanResult:
-        """Read all keys below a prefix, page by page; raises the same errors as `read`."""
+        """Read all keys below a prefix, page by page; raise the same errors as `read`."""
         found: list[KeyValueEntry] = []
         first_revision: int | None = None
         after = ""
@@ -170,12 +172,12 @@
         timeout: float = REQUEST_TIMEOUT_S,
         delete: Sequence[str] = (),
     ) -> int:
-        """Execute a transaction and return the store's revision; without `put` and `delete`, only compare versions.
+        """Execute a transaction and return the store's revision. Without `put` and `delete` it only compares versions.
 
         Args:
             preconditions: the keys to compare and the versions that they must have.
             put: keys and values to write.
-            hold: the session lease at whose end the written keys are deleted; None: the keys stay.
+            hold: the session lease whose end deletes the written keys; None: the keys stay.
             timeout: seconds to wait for the response.
             delete: keys to delete.
 
@@ -206,7 +208,7 @@
         return lease
 
     async def renew_session_lease(self, lease: int) -> bool:
-        """Renew a session lease; returns False if the lease has ended."""
+        """Renew a session lease; return False if the lease has ended."""
         status, _ = await self._send("POST", f"/holds/{lease}/extend", {}, timeout=LEASE_TIMEOUT_S)
         return status == HTTPStatus.OK
 
@@ -272,7 +274,7 @@
 
 
 def _decode_body(raw: bytes) -> JsonObject | None:
-    """Decode the JSON object of a response: empty if there is no body, None if the body is anything else."""
+    """Decode the JSON object of a response. Return an empty object if there is no body, None for any other body."""
     try:
         body = msgspec.json.decode(raw) if raw else {}
     except msgspec.DecodeError:
@@ -281,7 +283,7 @@
 
 
 def _revision(status: int, body: JsonObject, request: str) -> int:
-    """Return the revision that a successful response names; any other response raises OutcomeUnknownError."""
+    """Return the revision that a successful response names; raise OutcomeUnknownError for any other response."""
     revision = body.get(wire_format.REVISION)
     if status != HTTPStatus.OK or not isinstance(revision, int):
         raise OutcomeUnknownError(f"{request}status {status} {body.get(wire_format.ERROR, '')}".rstrip())
--- a/hookwall/storage/compression.py
+++ b/hookwall/storage/compression.py
@@ -20,7 +20,7 @@
 
 
 def decompress(text: str, value_type: type[T]) -> T:
-    """Decompress a text of `compress` to a value of the given type; raises MalformedRecordError for any other text."""
+    """Decompress a text of `compress` to a value of the given type; raise MalformedRecordError for any other text."""
     try:
         return msgspec.json.decode(decompress_bytes(text), type=value_type)
     except msgspec.DecodeError as error:
@@ -33,7 +33,7 @@
 
 
 def decompress_bytes(text: str) -> bytes:
-    """Decompress a text of `compress_bytes`; raises MalformedRecordError for any other text."""
+    """Decompress a text of `compress_bytes`; raise MalformedRecordError for any other text."""
     try:
         stream = zlib.decompressobj()
         raw = stream.decompress(b64decode(text, validate=True), MAX_UNPACKED_BYTES)
--- a/hookwall/storage/errors.py
+++ b/hookwall/storage/errors.py
@@ -30,7 +30,7 @@
     """A transaction was not executed because some keys had other versions.
 
     Attributes:
-        keys: the keys that the store names; it may name only some.
+        keys: the keys that the store named; it may name only some of those that had other versions.
         revision: the revision at which the store compared the versions; 0 if the store did not state it.
     """
 
@@ -50,7 +50,7 @@
 
 
 class RecordTooLargeError(RecordError):
-    """No form of the record fits the store's limits."""
+    """The record fits the store's limits in none of its forms."""
 
 
 class MissingChunksError(RecordError):
--- a/hookwall/storage/job_records.py
+++ b/hookwall/storage/job_records.py
@@ -47,12 +47,12 @@
 ]
 
 USABLE_SHARE = 0.9  # of a value's size limit, as the store may count other white space than this client writes
-USABLE_MARGIN_BYTES = 64  # room for a cancellation, which changes the phase of a record in place
+USABLE_MARGIN_BYTES = 64  # left free for a cancellation, which changes the phase of a record in place
 MIN_USABLE_BYTES = 256
 CHUNK_NAME_BYTES = 12
 PLAIN_SHARE = 0.75  # of a value's size limit, for a record in its plain form
 PLAIN_DESCRIPTION_BYTES = 700  # reserved for the job's description
-JSON_OVERHEAD_BYTES = 64  # of JSON around the compressed texts
+JSON_OVERHEAD_BYTES = 64  # bytes of JSON around the compressed texts
 
 # Stored names, which never change.
 PHASE = "phase"
@@ -68,7 +68,7 @@
 ChunkLookup = Callable[[str], str | None]  # returns a chunk's text by its key, or None if the chunk is not available
 
 
-StoredAllocation = tuple[str, int, int, str]  # machine, epoch of the machine's agent, attempt, ranges of tasks
+StoredAllocation = tuple[str, int, int, str]  # machine, epoch of its worker, attempt, ranges of tasks
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
@@ -138,7 +138,9 @@
 
 
 def encode_record(job_id: str, record: JobRecord, limit: int | None) -> EncodedRecord:
-    """Encode a record in the simplest form whose values fit `limit` bytes each; None: in the plain form of any size.
+    """Encode a record in the simplest form whose values fit `limit` bytes each.
+
+    If `limit` is None, the record is encoded in the plain form, whatever its size.
 
     Raises:
         RecordTooLargeError: no form of the record fits.
@@ -153,7 +155,7 @@
 
 
 def _encode_packed(job_id: str, record: JobRecord, limit: int) -> EncodedRecord:
-    """Encode a record in the packed form with the fewest chunked parts that fits."""
+    """Encode a record in the packed form, with as few parts in chunks as the limit allows."""
     unpacked_fields: dict[str, object] = {
         PHASE: record.phase, TASK_COUNT: record.task_count, NEXT_ATTEMPT: record.next_attempt,
     }  # fmt: skip
--- a/hookwall/storage/rate_limit.py
+++ b/hookwall/storage/rate_limit.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, rate: float, burst: float, clock: Callable[[], float]) -> None:
-        """Start with a full bucket."""
+        """Create a full bucket."""
         self.rate = rate
         self.burst = burst
         self.clock = clock
@@ -30,7 +30,7 @@
     def reserve(self, cost: float, max_wait_s: float = math.inf) -> float | None:
         """Reserve `cost` tokens and return the seconds to wait before the request is sent.
 
-        Returns None and reserves nothing if the wait would exceed `max_wait_s`. A refusal must take no tokens: when it
+        Return None and reserve nothing if the wait would exceed `max_wait_s`. A refusal must take no tokens: when it
         did, the deficit of a leader that retried a large write every quarter of a second kept growing, and the leader
         never wrote again.
         """
@@ -65,7 +65,7 @@
     """Estimates the requests and changes per second that this node wants to send, including those that were refused."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start without any demand."""
+        """Create an estimate of no demand."""
         self.clock = clock
         self.updated_at = clock()
         self._rates = [0.0, 0.0]
--- a/hookwall/storage/rate_shares.py
+++ b/hookwall/storage/rate_shares.py
@@ -31,7 +31,7 @@
 
 
 NO_RATES = Rates(0.0, 0.0)
-LEADER_SHARES = Rates(0.66, 0.76)  # followers need less, as they only store new jobs and cancellations
+LEADER_SHARES = Rates(0.66, 0.76)  # followers need less, since they store only new jobs and cancellations
 ALL_NODES_SHARE = 0.96  # share of the limits that a leader and its followers use together
 SINGLE_NODE_SHARE = 0.95
 INITIAL_SHARE = 0.25  # share of the limits before the node's role is known
@@ -40,11 +40,11 @@
 MIN_BURST = 2.0
 MAX_WAIT_S = 1.0
 LOAN_DURATION_S = 2.5  # how long a follower may use the rates that it was lent
-DEMAND_HEADROOM = 1.3  # a loan raises a follower's rate to at most this multiple of its demand
+DEMAND_HEADROOM = 1.3  # a loan raises a follower's rate to at most its demand times this factor
 
 
 class RateShares:
-    """Paces requests and changes below this node's share, since a rejection with 429 costs as much as an answer.
+    """Paces requests and changes below this node's share, since a rejection with 429 costs as much as a response.
 
     Attributes:
         requests: the token bucket for requests.
@@ -54,7 +54,7 @@
     """
 
     def __init__(self, limits: StoreLimits, node_count: int, clock: Callable[[], float]) -> None:
-        """Start with a follower's share."""
+        """Create the shares of a follower without loans."""
         self.limits = limits
         self.node_count = node_count
         self.clock = clock
@@ -70,7 +70,7 @@
     def reserve(self, changes: float) -> float | None:
         """Reserve a request that makes `changes` changes, and return the seconds to wait before it is sent.
 
-        Returns None and reserves nothing if the wait would exceed `MAX_WAIT_S`.
+        Return None and reserve nothing if the wait would exceed `MAX_WAIT_S`.
         """
         self.demand.record(1.0, changes)
         self._end_expired_loans()
@@ -107,7 +107,7 @@
     def lend_rates(self, peer: str, demand: object) -> list[float]:
         """Lend a follower rates beyond its own share, according to the demand that it reports.
 
-        Returns the lent requests and changes per second, by which the leader reduces its own rates. Users connect to
+        Return the lent requests and changes per second, by which the leader reduces its own rates. Users connect to
         any healthy node, whether or not it leads. When two of three nodes had crashed, all users connected to one
         follower, and new jobs were accepted 20 s late because the follower's share was a tenth of the changes.
         """
--- a/hookwall/storage/read_confirmation.py
+++ b/hookwall/storage/read_confirmation.py
@@ -1,6 +1,6 @@
 """Confirmation with the key-value store that cached versions are current.
 
-Invariant: a node sends a response from its cache that is not final only after the store has confirmed the cached
+Invariant: unless a cached state is final, a node responds from it only after the store has confirmed the cached
 version. Without the confirmation, the response could be older than one that another node has sent to the same user.
 """
 
@@ -46,12 +46,12 @@
     """Confirms that cached versions are still current, with many versions in one comparison.
 
     Attributes:
-        refresh: reads a key again whose cached version is not current.
+        refresh: reads a key again if its cached version is not current.
         max_batch_size: the largest number of versions in one comparison.
     """
 
     def __init__(self, store: KeyValueClient, refresh: Callable[[str], Awaitable[None]]) -> None:
-        """Confirm with this store; `refresh` reads a changed key again."""
+        """Create a confirmation with `store`; `refresh` reads a changed key again."""
         self.store = store
         self.refresh = refresh
         self.max_batch_size = max(1, store.limits.lowest_txn_ops() * PRECONDITIONS_PER_CHANGE - 1)
@@ -59,7 +59,7 @@
         self._requested = asyncio.Event()
 
     async def confirm(self, key: str, version: int) -> bool:
-        """Return whether the key still has this version; if not, the key has been read again.
+        """Return True if the key still has this version; otherwise return False after reading the key again.
 
         Raises:
             RequestRejectedError, OutcomeUnknownError, TimeoutError: it is unknown whether the version is current.
--- a/hookwall/storage/storage_version.py
+++ b/hookwall/storage/storage_version.py
@@ -7,8 +7,8 @@
 older programs that are executed late still fail on their preconditions, which are versions of keys.
 
 A node whose requests the key-value store rejects can't store its marker. Nodes therefore state their version in their
-messages too, and a node that receives such a message stores the marker for the sender: what a program states about
-itself stays true.
+messages too, and a node that receives such a message stores the marker for the sender. This is safe because a program
+that has stated its version is never replaced by one without support for that version.
 
 Invariant: once all nodes support a storage version, it stays supported, whatever this node reads later.
 """
@@ -66,7 +66,7 @@
     def __init__(
         self, node_name: str, peers: Iterable[str], store: KeyValueClient, current: int = CURRENT_VERSION
     ) -> None:
-        """Start without any marker; `peers` are the other nodes."""
+        """Create a gate that knows no markers yet; `peers` are the other nodes."""
         self.store = store
         self.current_version = int(current)
         self.nodes = frozenset((node_name, *peers))
@@ -103,18 +103,18 @@
         if not was_complete and self.supported_by_all(self.current_version):
             log.info("storage version supported by all nodes: version=%d", self.current_version)
 
-    def record_reported_version(self, node: str, known: object) -> None:
+    def record_reported_version(self, node: str, reported: object) -> None:
         """Record the storage version that a node reports in a message; programs of version 1 report none."""
-        if isinstance(known, int) and node in self.nodes and known > self.reported_versions.get(node, 0):
-            self.reported_versions[node] = known
+        if isinstance(reported, int) and node in self.nodes and reported > self.reported_versions.get(node, 0):
+            self.reported_versions[node] = reported
             self._marker_missing.set()
 
     async def run(self) -> None:
         """Store each marker that is missing or lower than the reported version, until the task is cancelled."""
         while True:
-            for node, known in sorted(self.reported_versions.items()):
-                if known > self.markers.get(node, NO_MARKER).storage_version:
-                    await self._store_marker(node, known)
+            for node, reported in sorted(self.reported_versions.items()):
+                if reported > self.markers.get(node, NO_MARKER).storage_version:
+                    await self._store_marker(node, reported)
             complete = self.supported_by_all(self.current_version)
             try:
                 async with asyncio.timeout(None if complete else RETRY_S):
@@ -123,10 +123,10 @@
                 pass  # markers of other nodes may still be missing
             self._marker_missing.clear()
 
-    async def _store_marker(self, node: str, known: int) -> None:
+    async def _store_marker(self, node: str, reported: int) -> None:
         """Store a marker, on the precondition that no other node has written the marker in the meantime."""
         key = keys.STORAGE_VERSION_PREFIX + node
-        value = {MARKER_FIELD: known}
+        value = {MARKER_FIELD: reported}
         stored_version = self.markers.get(node, NO_MARKER).version
         try:
             version = await self.store.commit([Precondition(key, stored_version)], [Put(key, value)])
--- a/hookwall/storage/task_ranges.py
+++ b/hookwall/storage/task_ranges.py
@@ -12,14 +12,14 @@
             last = number
             continue
         if start >= 0:
-            ranges.append(_range(start, last))
+            ranges.append(_format_range(start, last))
         start = last = number
     if start >= 0:
-        ranges.append(_range(start, last))
+        ranges.append(_format_range(start, last))
     return ",".join(ranges)
 
 
-def _range(start: int, last: int) -> str:
+def _format_range(start: int, last: int) -> str:
     return f"{start}-{last}" if last > start else f"{start}"
 
 
--- a/hookwall/storage/watch.py
+++ b/hookwall/storage/watch.py
@@ -15,8 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_TIMEOUT_S = 3.0  # kept short, as a request that waits for changes does not show how current this node is
-LEADER_PAUSE_S = 0.1  # with a pause, frequent changes arrive in batches, which need few requests
+# Kept short because a request shows how current this node is only once its response arrives.
+WATCH_TIMEOUT_S = 3.0
+LEADER_PAUSE_S = 0.1  # between two requests, so that frequent changes arrive in batches and need few requests
 FOLLOWER_PAUSE_S = 0.25
 RETRY_S = 0.4
 
@@ -65,7 +66,7 @@
     def __init__(
         self, store: KeyValueClient, progress: WatchProgress, observer: KeyObserver, clock: Callable[[], float]
     ) -> None:
-        """Watch the keys of `store` and record in `progress` which changes have been applied."""
+        """Create a watch of the keys of `store` that records in `progress` which changes have been applied."""
         self.store = store
         self.progress = progress
         self.observer = observer
--- a/hookwall/storage/wire_format.py
+++ b/hookwall/storage/wire_format.py
@@ -48,7 +48,7 @@
 
 
 def changes_path(prefix: str, after: int, wait_s: float) -> str:
-    """The path of the changes below a prefix since a revision; the store waits up to `wait_s` for the first change."""
+    """The path of the changes below a prefix since a revision; the store waits up to `wait_s` seconds for one."""
     return f"/changes?under={prefix}&after={after}&blockMs={int(wait_s * 1000)}"
 
 
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -87,9 +87,9 @@
 
 
 def test_version_1_keys_of_leader_lease_delegates_and_catalog_are_read(clock: Clock, state: FakeState):
-    lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.observe_leader_key(GOLDEN_1["leader_key"], 9)
-    assert (lead.leader_key.leader, lead.leader_key.version, lead.leader_key.lease_mode) == (
+    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+    leadership.observe_leader_key(GOLDEN_1["leader_key"], 9)
+    assert (leadership.leader_key.leader, leadership.leader_key.version, leadership.leader_key.lease_mode) == (
         "n0",
         9,
         LeaseMode.QUORUM_LEASE,
@@ -105,13 +105,13 @@
 @pytest.mark.parametrize("kind", sorted(GOLDEN_1["messages"]))
 def test_responses_to_version_1_messages_are_readable_by_version_1(kind, clock: Clock, state: FakeState):
     state.last_response_at = clock()
-    lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.exchange.local_status = lambda: PeerStatus(2, False)
-    lead.exchange.rate_demand = lambda: [1.0, 1.0]
-    lead.exchange.on_cancellations_announced = lambda jobs: False
-    lead.exchange.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
+    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+    leadership.exchange.local_status = lambda: PeerStatus(2, False)
+    leadership.exchange.rate_demand = lambda: [1.0, 1.0]
+    leadership.exchange.on_cancellations_announced = lambda jobs: False
+    leadership.exchange.known_cancellations = lambda revision: KnownCancellations([("run-000003", 12)], True)
     clock.tick(6.0)
-    answer = lead.handle_peer_message(GOLDEN_1["messages"][kind])
+    answer = leadership.handle_peer_message(GOLDEN_1["messages"][kind])
     golden = GOLDEN_1["answers"][kind]
     assert golden.keys() <= answer.keys()
     for name, value in golden.items():
@@ -120,17 +120,17 @@
 
 
 def test_version_1_responses_are_accepted(clock: Clock, state: FakeState):
-    lead = Leadership("n0", 3, [], state, clock, None, lambda role: None)
+    leadership = Leadership("n0", 3, [], state, clock, None, lambda role: None)
     reported_statuses: list[PeerStatus] = []
-    lead.exchange.on_peer_status = lambda node, status: reported_statuses.append(status)
+    leadership.exchange.on_peer_status = lambda node, status: reported_statuses.append(status)
 
     class Peer:
         name = "n1"
 
     for answer in GOLDEN_1["answers"].values():
-        lead.record_peer_answer(Peer, decode_response(answer))
+        leadership.record_peer_answer(Peer, decode_response(answer))
     assert (
-        lead.peer_rate_demand["n1"][1] == [2.0, 0.5]
+        leadership.peer_rate_demand["n1"][1] == [2.0, 0.5]
         and reported_statuses
         and all(status == PeerStatus() for status in reported_statuses)
     )
@@ -139,7 +139,9 @@
 def test_a_lease_delegates_key_may_name_machines_in_packed_form():
     names = [f"vm-{n:06d}" for n in range(300)]
     assert decode_machines({"token": 5, "packed": job_records.compress(names)}) == frozenset(names)
-    assert decode_machines({"token": 5, "packed": "nonsense"}) is None, "any lease may be delegated"
+    assert decode_machines({"token": 5, "packed": "nonsense"}) is None, (
+        "if the key can't be decoded, any lease may be delegated"
+    )
 
 
 # -- storage version 2 ------------------------------------------------------------------------------------
@@ -170,7 +172,7 @@
     encoded_again = job_records.encode_record(job_id, record, job_records.usable_value_bytes(1.0))
     assert job_records.decode_record(job_id, stored(encoded_again.value), encoded_again.chunks.get) == record
     assert set(job_records.chunk_keys(job_id, encoded_again.value)) == set(job_records.chunk_keys(job_id, value)), (
-        "chunks are written once"
+        "an unchanged record names the same chunks"
     )
     table = JobTable(clock)
     for key, text in GOLDEN_2["parts"].items():
@@ -196,9 +198,9 @@
 
 
 def test_version_2_keys_of_leader_lease_delegates_markers_and_catalog_are_read(clock: Clock, state: FakeState):
-    lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.observe_leader_key(GOLDEN_2["leader_key"], 9)
-    assert (lead.leader_key.leader, lead.leader_key.version, lead.leader_key.lease_mode) == (
+    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+    leadership.observe_leader_key(GOLDEN_2["leader_key"], 9)
+    assert (leadership.leader_key.leader, leadership.leader_key.version, leadership.leader_key.lease_mode) == (
         "n0",
         9,
         LeaseMode.QUORUM_LEASE,
@@ -217,13 +219,13 @@
 @pytest.mark.parametrize("kind", sorted(GOLDEN_2["messages"]))
 def test_responses_to_version_2_messages_are_readable_by_version_2(kind, clock: Clock, state: FakeState):
     state.last_response_at = clock()
-    lead = Leadership("n1", 3, [], state, clock, None, lambda role: None)
-    lead.exchange.local_status = lambda: PeerStatus(3, False)
-    lead.exchange.rate_demand = lambda: [1.0, 1.0]
-    lead.exchange.on_cancellations_announced = lambda jobs: False
-    lead.exchange.known_cancellations = lambda position: KnownCancellations([("run-000003", 12)], True)
+    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+    leadership.exchange.local_status = lambda: PeerStatus(3, False)
+    leadership.exchange.rate_demand = lambda: [1.0, 1.0]
+    leadership.exchange.on_cancellations_announced = lambda jobs: False
+    leadership.exchange.known_cancellations = lambda revision: KnownCancellations([("run-000003", 12)], True)
     clock.tick(6.0)
-    answer = stored(lead.handle_peer_message(GOLDEN_2["messages"][kind]))
+    answer = stored(leadership.handle_peer_message(GOLDEN_2["messages"][kind]))
     golden = GOLDEN_2["answers"][kind]
     assert answer.keys() - golden.keys() <= {"fence"}
     for name, value in golden.items():
--- a/tests/storage/test_storage_version.py
+++ b/tests/storage/test_storage_version.py
@@ -49,9 +49,11 @@
     assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
     assert gate.markers["n0"].storage_version == CURRENT_VERSION
     gate.apply_marker(KEY + "n0", {"format": 2}, 99)
-    assert gate.markers["n0"].storage_version == CURRENT_VERSION, "what a node's program once knew it still knows"
+    assert gate.markers["n0"].storage_version == CURRENT_VERSION, (
+        "a version that a node's program once stated stays supported"
+    )
     gate.apply_marker(KEY + "n0", {"format": 2}, 98)
-    assert gate.markers["n0"].version == 99, "an older state of it changes nothing"
+    assert gate.markers["n0"].version == 99, "an older state of the marker is ignored"
 
 
 def test_an_unread_marker_is_read_before_it_is_raised(gate: StorageVersionGate, state: FakeState):
--- a/tests/storage/test_watch.py
+++ b/tests/storage/test_watch.py
@@ -37,7 +37,7 @@
 
 
 def run_watch(params: PlatformParameters, clock: Clock, *responses: tuple[int, bytes]):
-    """Run the watch until the responses are used up; returns its progress and the events of its observer."""
+    """Run the watch until the responses are used up; return its progress and the events of its observer."""
     progress = WatchProgress()
     observer = RecordingObserver(progress)
     watch = Watch(store_with(params.state, clock, *responses), progress, observer, clock)
