--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -265,11 +265,12 @@
         self.round_requested.set()
 
     def _on_machines_delegated(self, machines: frozenset[str] | None) -> None:
-        """Void unsaved decisions that rely on the expiry of leases that followers renew; None: of any machine.
+        """Void unsaved decisions that rely on the expiry of leases of these machines, which followers renew now.
 
-        From now on the preconditions of the leader's writes hold the new versions of the lease delegates' keys. They
-        no longer reject decisions that were made on the older versions, for example to start the tasks of a machine
-        elsewhere because its lease seemed to have expired, although the machine still runs them.
+        None stands for any machine. From now on the preconditions of the leader's writes hold the new versions of the
+        lease delegates' keys. They no longer reject decisions that were made on the older versions, for example to
+        start the tasks of a machine elsewhere because its lease seemed to have expired, although the machine still runs
+        them.
         """
         if self.leadership.role is Role.LEADER and self.fleet.lease_expiry.retract_expiry(machines):
             log.info("expired lease was renewed by a follower; unsaved decisions are void")
--- a/hookwall/node/key_dispatch.py
+++ b/hookwall/node/key_dispatch.py
@@ -139,7 +139,7 @@
             if key != keys.LEADER_KEY:
                 self.apply_key(key, value, version)
         for job_id in list(self.job_table.chunks.unreadable_records):
-            # The record's chunks were replaced while the keys were being read.
+            # The chunks of this record were replaced while the keys were being read.
             await self.record_reader.reload(keys.JOB_PREFIX + job_id)
         self.progress.scanned_revision = revision
         self._mark_records_read(sent_at)
@@ -190,5 +190,5 @@
 
 
 def _capacities(catalog: Catalog) -> list[tuple[object, ...]]:
-    """The fields of a catalog whose change is worth a write; a change of prices is not."""
+    """The fields of a catalog whose change causes a write of the catalog. A change of prices alone does not."""
     return [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in catalog.types]
--- a/hookwall/node/node.py
+++ b/hookwall/node/node.py
@@ -21,7 +21,7 @@
         return reply if isinstance(reply, HeartbeatReply) else await reply
 
     def is_healthy(self) -> bool:
-        """Whether this node can serve users, or knows that no other node could serve them either."""
+        """Whether this node can serve users, or knows that no other node can serve them either."""
         if not self.watch_progress.loaded:
             return False
         return self.store.healthy() or self.leadership.peer_observations.store_outage_is_shared()
--- a/hookwall/node/peer_exchange.py
+++ b/hookwall/node/peer_exchange.py
@@ -45,11 +45,11 @@
         return self._rate_shares.demand.rates_per_s()
 
     def lend_rate(self, peer: str, demand: object) -> object:
-        """The part of this leader's share that it lends to a peer, in requests and changes per second."""
+        """The part of its share that this leader lends to a peer, in requests and changes per second."""
         return self._rate_shares.lend_rates(peer, demand)
 
     def on_rate_lent(self, lent: object) -> None:
-        """Use the rates that the leader lends to this follower from its share."""
+        """Use the rates that the leader lends to this follower from the leader's share."""
         self._rate_shares.borrow_rates(lent)
 
     def records_revision(self) -> int | None:
@@ -67,7 +67,7 @@
     def on_cancellations_announced(self, cancellations: object) -> bool:
         """Apply cancellations that a peer announces before it confirms them to a user.
 
-        Returns whether this node is a valid leader.
+        Return True if this node is a valid leader.
         """
         return self._cancellations().on_cancellations_announced(cancellations)
 
--- a/hookwall/node/round_loop.py
+++ b/hookwall/node/round_loop.py
@@ -41,23 +41,23 @@
 
     async def run(self) -> None:
         """Run rounds until the task is cancelled."""
-        took_s = 0.0
+        round_duration_s = 0.0
         while True:
             with suppress(TimeoutError):
                 async with asyncio.timeout(ROUND_INTERVAL_S):
                     await self.requested.wait()
-            # After a long round, heartbeats and user requests get as much time as the round took, up to
+            # After a long round, heartbeats and user requests get as much time as the round took, but at most
             # ROUND_INTERVAL_S.
-            await asyncio.sleep(min(max(MIN_ROUND_GAP_S, took_s), ROUND_INTERVAL_S))
+            await asyncio.sleep(min(max(MIN_ROUND_GAP_S, round_duration_s), ROUND_INTERVAL_S))
             self.requested.clear()
             if not self.leadership.valid():
                 continue
-            began = self.clock()
+            started_at = self.clock()
             try:
                 self._run_round()
             except Exception:
                 log.exception("round failed")
-            took_s = self.clock() - began
+            round_duration_s = self.clock() - started_at
 
     def _run_round(self) -> None:
         """Expire leases, run a scheduling round and request that the job writer stores the decisions."""
--- a/hookwall/node/supervision.py
+++ b/hookwall/node/supervision.py
@@ -1,4 +1,4 @@
-"""Supervision of a node's loops: a failed loop is restarted, as a node must not run without one of them."""
+"""Supervision of a node's loops: a loop that fails is restarted, because a node must not run without any of them."""
 
 import asyncio
 import logging
--- a/tests/node/test_cost.py
+++ b/tests/node/test_cost.py
@@ -71,7 +71,7 @@
         inventory = node.scale_out.inventory
         pages = -(-len(node.fleet.machines) // inventory.client.page_size)
         assert inventory.interval_s() >= max(4.0, 2 * pages / params.cloud.rps)
-    assert fleets[0].scale_out.inventory.interval_s() == 4.0, "small fleets are listed as often as before"
+    assert fleets[0].scale_out.inventory.interval_s() == 4.0, "a small fleet is listed at the usual interval"
 
 
 def test_lease_expiry_makes_at_most_five_calls_per_machine(fleets):
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -63,7 +63,7 @@
 
 def test_a_follower_redirects_workers_to_the_leader_it_votes_for(node: Node):
     assert node.leadership.vote_grant.renew_lease("n1", 7) is False, (
-        "just started, it may have voted for another before"
+        "a node that has just started may have voted for another node before"
     )
     node.leadership.observe_leader_key({"node": "n1"}, 7)
     assert node.leadership.vote_grant.renew_lease("n1", 7)
@@ -90,7 +90,9 @@
     node.store.scan = scan
     asyncio.run(node.key_dispatcher.read_all())
     assert node.fleet.delegated_leases.last_possible_renewal("vm-1") == clock()
-    assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes, "what was decided meanwhile is void"
+    assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes, (
+        "decisions made before the missed changes were noticed are void"
+    )
 
 
 def test_leases_count_from_the_start_of_the_current_validity_period(node: Node, clock: Clock):
