--- a/hookwall/api/job_service.py
+++ b/hookwall/api/job_service.py
@@ -95,7 +95,7 @@
 
     async def get(self, job_id: str) -> HttpResponse:
         """Return the status of a job."""
-        if not job_messages.JOB_REF_PATTERN.match(job_id):
+        if not job_messages.JOB_ID_PATTERN.match(job_id):
             return NO_SUCH_JOB
         if not self.store.healthy() and not self._is_known_final(job_id):
             return retry_later(STORE_UNAVAILABLE)
@@ -128,7 +128,7 @@
 
     async def cancel(self, job_id: str) -> HttpResponse:
         """Cancel a job unless it has ended."""
-        if not job_messages.JOB_REF_PATTERN.match(job_id):
+        if not job_messages.JOB_ID_PATTERN.match(job_id):
             return NO_SUCH_JOB
         if self._is_known_final(job_id):
             job = self.table.jobs[job_id]
--- a/hookwall/jobs/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -73,7 +73,8 @@
         # less than one heartbeat interval old.
         longest_lease_s = timings.lease_s * (1 + MAX_CLOCK_DRIFT)
         self.max_staleness_s = max(timings.report_s, timings.cancel_s - longest_lease_s - SAFETY_MARGIN_S)
-        # When the latest request was sent whose response showed all changes of the records up to that time.
+        # Up to this time all changes of the records are known here. It is the time at which the latest request was sent
+        # whose response showed these changes.
         self.records_current_at = NEVER
         self.all_records_read = False  # until all records are read, cancellations known before a restart may be missing
         # By peer: when the last heartbeat was sent that the peer answered with all cancellations that it knows.
--- a/hookwall/jobs/job_table.py
+++ b/hookwall/jobs/job_table.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-# Called with a job whose record was applied, or that has become ready, and the allocations that it had before.
+# Called with a job whose record was applied, or that has become ready, and the allocations that the job had before.
 RecordObserver = Callable[[Job, list[Allocation]], None]
 # Called with the id of a cancelled job and the version of the record that contains the cancellation.
 CancellationObserver = Callable[[str, int], None]
--- a/hookwall/jobs/leadership_view.py
+++ b/hookwall/jobs/leadership_view.py
@@ -33,7 +33,7 @@
     def valid(self) -> bool:
         """Whether this node may act as leader at this moment."""
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Stop leading, for the given reason."""
 
 
--- a/hookwall/protocol/job_messages.py
+++ b/hookwall/protocol/job_messages.py
@@ -16,7 +16,7 @@
 MAX_NAME_CHARACTERS = 120
 MAX_TYPES = 64
 
-JOB_REF_PATTERN = re.compile(r"run-[0-9]{1,18}\Z")
+JOB_ID_PATTERN = re.compile(r"run-[0-9]{1,18}\Z")
 IMAGE_NAME_PATTERN = re.compile(r"[^\s/]{1,120}\Z")
 
 GANG_KIND = "ensemble"
@@ -94,7 +94,7 @@
 
 
 def _check_names(spec: JobSpec) -> None:
-    if not JOB_REF_PATTERN.match(spec.job_id):
+    if not JOB_ID_PATTERN.match(spec.job_id):
         raise MalformedMessageError("ref: not a job id")
     if spec.kind not in JOB_KINDS:
         raise MalformedMessageError("shape: unknown")
@@ -102,15 +102,15 @@
         raise MalformedMessageError("rank: unknown")
     if not IMAGE_NAME_PATTERN.match(spec.image) or not spec.team or not spec.job_class:
         raise MalformedMessageError("bundle, owner or hookset: empty or too long")
-    if _too_long(spec.team) or _too_long(spec.job_class):
+    if _is_too_long(spec.team) or _is_too_long(spec.job_class):
         raise MalformedMessageError("owner or hookset: too long")
-    if spec.types is not None and (len(spec.types) > MAX_TYPES or any(_too_long(name) for name in spec.types)):
+    if spec.types is not None and (len(spec.types) > MAX_TYPES or any(_is_too_long(name) for name in spec.types)):
         raise MalformedMessageError("hulls: too long")
-    if spec.zone is not None and _too_long(spec.zone):
+    if spec.zone is not None and _is_too_long(spec.zone):
         raise MalformedMessageError("yard: too long")
 
 
-def _too_long(name: str) -> bool:
+def _is_too_long(name: str) -> bool:
     return len(name) > MAX_NAME_CHARACTERS
 
 
@@ -125,7 +125,7 @@
 def _without_duplicate_dependencies(spec: JobSpec) -> JobSpec:
     if spec.dependencies is None:
         return spec
-    if not all(JOB_REF_PATTERN.match(job_id) for job_id in spec.dependencies):
+    if not all(JOB_ID_PATTERN.match(job_id) for job_id in spec.dependencies):
         raise MalformedMessageError("awaits: not a list of job ids")
     return msgspec.structs.replace(spec, dependencies=list(dict.fromkeys(spec.dependencies)) or None)
 
--- a/hookwall/storage/rate_limit.py
+++ b/hookwall/storage/rate_limit.py
@@ -65,7 +65,7 @@
     """Estimates the requests and changes per second that this node wants to send, including those that were refused."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Create an estimate of no demand."""
+        """Create an estimate that starts without any demand."""
         self.clock = clock
         self.updated_at = clock()
         self._rates = [0.0, 0.0]
--- a/hookwall/storage/read_confirmation.py
+++ b/hookwall/storage/read_confirmation.py
@@ -51,7 +51,7 @@
     """
 
     def __init__(self, store: KeyValueClient, refresh: Callable[[str], Awaitable[None]]) -> None:
-        """Create a confirmation with `store`; `refresh` reads a changed key again."""
+        """Confirm versions with `store`; `refresh` reads a changed key again."""
         self.store = store
         self.refresh = refresh
         self.max_batch_size = max(1, store.limits.lowest_txn_ops() * PRECONDITIONS_PER_CHANGE - 1)
--- a/hookwall/storage/storage_version.py
+++ b/hookwall/storage/storage_version.py
@@ -7,8 +7,8 @@
 older programs that are executed late still fail on their preconditions, which are versions of keys.
 
 A node whose requests the key-value store rejects can't store its marker. Nodes therefore state their version in their
-messages too, and a node that receives such a message stores the marker for the sender. This is safe because a program
-that has stated its version is never replaced by one without support for that version.
+messages too, and a node that receives such a message stores the marker for the sender. This is safe because a node that
+has stated a version never runs a program without support for that version again.
 
 Invariant: once all nodes support a storage version, it stays supported, whatever this node reads later.
 """
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -97,7 +97,7 @@
     state.keys = {keys.LEADER_KEY: ({"node": "n0"}, 5), keys.JOB_PREFIX + spec.job_id: (value, 9)}
     table = JobTable(clock)
     table.apply_record(keys.JOB_PREFIX + spec.job_id, value, 9)
-    leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda why: None)
+    leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda reason: None)
     writer = leader_writer(table, state, clock, [DELEGATE_KEY], leadership)
     move_to_vm_2(table.jobs[spec.job_id])
     return writer
@@ -256,7 +256,10 @@
 
 
 def writer_with_job_on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
-    """Return the writer of a leader, and a job on as many machines as its record can name, at most 4000."""
+    """Return the writer of a leader, and a job on as many machines as its record can name.
+
+    No more than 4000 machines are used, which is a large fleet.
+    """
     limits = StoreLimits(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
     state.limits, state.max_transaction_changes, state.max_value_bytes = limits, txn_ops, usable_value_bytes(value_kb)
     state.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
