--- a/tests/cluster/test_histories.py
+++ b/tests/cluster/test_histories.py
@@ -1,4 +1,7 @@
-"""Random histories, the same in each run: `histories.py` and those beside it describe what is checked."""
+"""Random histories of failures, drawn from fixed seeds so that every run plays the same ones.
+
+`tests/histories.py`, `tests/pipeline_histories.py` and `tests/drain_histories.py` describe what they check.
+"""
 
 import drain_histories
 import pipeline_histories
--- a/tests/cluster/test_pipelines.py
+++ b/tests/cluster/test_pipelines.py
@@ -1,4 +1,9 @@
-"""Dependent jobs among nodes, state service, workers and users: `too_early` and `orphaned` are checked all the time."""
+"""Dependent jobs in a simulated cluster: order, cancellation, and the limits of the key-value store.
+
+The simulation checks two rules throughout every scenario. `too_early`: no task starts before the dependencies of its
+job are done. `orphaned`: no dependent of a cancelled job is answered as pending or running later than `cancel_s` after
+the cancellation was answered.
+"""
 
 import asyncio
 
@@ -10,12 +15,12 @@
 from hookwall.config.platform import StoreLimits, TeamQuota, UpcomingStoreLimits
 from hookwall.storage import keys
 
-SMALL = StoreLimits(
+SMALL_STORE_LIMITS = StoreLimits(
     rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(write_rps=21.0, txn_ops=4)
 )
 
 
-# -- ready ----------------------------------------------------------------------------------------
+# -- jobs that become ready ----------------------------------------------------------------------------------------
 
 
 def test_dependent_jobs_run_in_order_across_failovers():
@@ -23,26 +28,28 @@
         job_ids = await submit_chain(simulation, 1, 5, run_s=4.0, pieces=2)
         for _ in range(3):
             await asyncio.sleep(6.0)
-            lead = await simulation.led_by()
-            simulation.crash(lead)
-            simulation.start(lead)
+            leader = await simulation.led_by()
+            simulation.crash(leader)
+            simulation.start(leader)
         await simulation.led()
         await all_become_done(simulation, job_ids, 60.0)
 
     play(scenario)
 
 
-def test_a_job_waits_for_all_its_dependencies_and_for_lost_tasks_of_them():
+def test_a_job_waits_until_lost_tasks_of_its_dependencies_have_run_again():
     async def scenario(simulation: Simulation) -> None:
-        one, two = simulation.job(1, run_s=10.0, pieces=2), simulation.job(2, run_s=3.0, shape="ensemble", pieces=2)
-        for job_id in (one, two):
+        array, gang = simulation.job(1, run_s=10.0, pieces=2), simulation.job(2, run_s=3.0, shape="ensemble", pieces=2)
+        for job_id in (array, gang):
             await simulation.accepted(job_id)
-        last = simulation.job(3, run_s=3.0, awaits=[one, two, one])
-        await simulation.accepted(last)
-        await simulation.runs(one)
-        machine = next(worker for worker in simulation.workers.values() if any(p.startswith(one) for p in worker.tasks))
+        dependent = simulation.job(3, run_s=3.0, awaits=[array, gang, array])
+        await simulation.accepted(dependent)
+        await simulation.runs(array)
+        machine = next(
+            worker for worker in simulation.workers.values() if any(p.startswith(array) for p in worker.tasks)
+        )
         machine.hung = True
-        await all_become_done(simulation, [one, two, last], 80.0)
+        await all_become_done(simulation, [array, gang, dependent], 80.0)
 
     play(scenario)
 
@@ -51,13 +58,13 @@
     async def scenario(simulation: Simulation) -> None:
         job_ids = await submit_chain(simulation, 1, 2, run_s=8.0, pieces=3, ends={0: 2.0, 1: 4.0})
         await asyncio.sleep(9.0)
-        copies = [body for worker in simulation.workers.values() for body in worker.sent_heartbeats[-6:]]
-        lead = simulation.current_leader_name()
-        simulation.crash(lead)
+        duplicates = [body for worker in simulation.workers.values() for body in worker.sent_heartbeats[-6:]]
+        leader = simulation.current_leader_name()
+        simulation.crash(leader)
         await simulation.led()
-        for body in copies:
+        for body in duplicates:
             await simulation.deliver_heartbeat(simulation.current_leader_name(), body)
-        simulation.start(lead)
+        simulation.start(leader)
         await all_become_done(simulation, job_ids, 60.0)
 
     play(scenario)
@@ -68,39 +75,40 @@
         simulation.cloud.room = 20
         first = simulation.job(1, run_s=15.0, owner="red", cards=4.0)
         await simulation.accepted(first)
-        wide = simulation.job(2, run_s=3.0, owner="red", cards=4.0, pieces=2, shape="ensemble", awaits=[first])
-        await simulation.accepted(wide)
-        before = len(simulation.workers)
-        # The team's limit is 8: what waits takes none of it.
+        gang = simulation.job(2, run_s=3.0, owner="red", cards=4.0, pieces=2, shape="ensemble", awaits=[first])
+        await simulation.accepted(gang)
+        workers_before = len(simulation.workers)
+        # The team's quota is 8 GPUs; a job that waits for its dependencies uses none of it.
         other = simulation.job(3, run_s=5.0, owner="red", cards=4.0)
         await simulation.accepted(other)
         await simulation.runs(other)
-        assert wide not in simulation.leader().scheduler.waiting and len(simulation.workers) == before
-        await all_become_done(simulation, [first, other, wide], 60.0)
+        assert gang not in simulation.leader().scheduler.waiting and len(simulation.workers) == workers_before
+        await all_become_done(simulation, [first, other, gang], 60.0)
 
     play(scenario, teams=[TeamQuota("red", gpus=8.0, gpus_max=8.0), TeamQuota("grey")])
 
 
-def test_dependencies_inherit_the_rank_of_their_last_dependent():
+def test_dependencies_inherit_the_rank_of_a_more_urgent_dependent():
     async def scenario(simulation: Simulation) -> None:
-        fill = simulation.job(1, run_s=40.0, pieces=16, rank="low")
-        await simulation.accepted(fill)
-        await simulation.runs(fill)
-        low = simulation.job(2, run_s=3.0, rank="low")
-        await simulation.accepted(low)
-        last = simulation.job(3, run_s=3.0, rank="urgent", awaits=[low])
-        await simulation.accepted(last)
-        # Room is made for the first although its own rank would have to wait.
-        await all_become_done(simulation, [low, last], 20.0)
+        filler = simulation.job(1, run_s=40.0, pieces=16, rank="low")
+        await simulation.accepted(filler)
+        await simulation.runs(filler)
+        dependency = simulation.job(2, run_s=3.0, rank="low")
+        await simulation.accepted(dependency)
+        dependent = simulation.job(3, run_s=3.0, rank="urgent", awaits=[dependency])
+        await simulation.accepted(dependent)
+        # Running tasks are preempted for the dependency, although it would have to wait by its own rank.
+        await all_become_done(simulation, [dependency, dependent], 20.0)
 
     play(scenario)
 
 
-# -- cancelled -------------------------------------------------------------------------------------
+# -- cancellation -------------------------------------------------------------------------------------
 
 
 def test_a_cancellation_reaches_all_dependents_and_no_other_job():
     async def scenario(simulation: Simulation) -> None:
+        # b depends on a, c on a and x, d on b and c, `late` on x and d, and `other` on x only; a is cancelled.
         a, x = simulation.job(1, run_s=60.0), simulation.job(2, run_s=3.0)
         for job_id in (a, x):
             await simulation.accepted(job_id)
@@ -119,23 +127,25 @@
     play(scenario)
 
 
-def test_a_job_that_names_one_that_was_cancelled_long_ago_is_accepted_as_cancelled():
+def test_a_job_with_a_dependency_cancelled_long_ago_is_accepted_as_cancelled():
     async def scenario(simulation: Simulation) -> None:
-        a = simulation.job(1, run_s=60.0)
-        await simulation.accepted(a)
-        await simulation.cancel("n0", a)
+        needed = simulation.job(1, run_s=60.0)
+        await simulation.accepted(needed)
+        await simulation.cancel("n0", needed)
         await asyncio.sleep(simulation.params.workers.cancel_s + 10.0)
-        b = simulation.job(2, awaits=[a])
-        before = simulation.service.revision
+        dependent = simulation.job(2, awaits=[needed])
+        revision_before = simulation.service.revision
         for node in simulation.nodes:
-            assert await simulation.submit(node, b) in (200, 201)
-            assert await simulation.poll(node, b) == (200, "withdrawn")
-        assert simulation.service.revision == before + 1, "stored as cancelled from the start"
+            assert await simulation.submit(node, dependent) in (200, 201)
+            assert await simulation.poll(node, dependent) == (200, "withdrawn")
+        assert simulation.service.revision == revision_before + 1, (
+            "the job must be stored as cancelled by a single write"
+        )
 
     play(scenario)
 
 
-def test_a_cancellation_that_is_answered_done_lets_those_after_it_go_on():
+def test_dependents_run_when_a_cancellation_is_answered_done():
     async def scenario(simulation: Simulation) -> None:
         job_ids = await submit_chain(simulation, 1, 2)
         await all_become_done(simulation, job_ids[:1], 20.0)
@@ -145,45 +155,47 @@
     play(scenario)
 
 
-def test_cancellation_and_submission_of_the_dependent_at_the_same_moment_on_two_nodes():
+def test_concurrent_cancellation_and_submission_of_a_dependent_on_two_nodes():
     async def scenario(simulation: Simulation) -> None:
-        one, two = simulation.followers()
+        first_follower, second_follower = simulation.followers()
         for n in range(1, 20, 2):
-            a = simulation.job(n, run_s=60.0)
-            await simulation.accepted(a, one)
-            b = simulation.job(n + 1, awaits=[a])
-            answers = await asyncio.gather(simulation.cancel(one, a), simulation.submit(two, b))
+            needed = simulation.job(n, run_s=60.0)
+            await simulation.accepted(needed, first_follower)
+            dependent = simulation.job(n + 1, awaits=[needed])
+            answers = await asyncio.gather(
+                simulation.cancel(first_follower, needed), simulation.submit(second_follower, dependent)
+            )
             assert answers[0] == (200, "withdrawn")
-            await simulation.accepted(b, two)
+            await simulation.accepted(dependent, second_follower)
         await asyncio.sleep(1.0)
         await all_become_cancelled(simulation, [simulation.job_id(n) for n in range(1, 21)], 20.0)
 
     play(scenario)
 
 
-@pytest.mark.parametrize("trouble", ["outage", "leader ends", "refused", "zones apart"])
-def test_dependents_are_answered_as_cancelled_in_time_whatever_fails_after_the_response(trouble):
-    """A node that can't know answers 503 rather than `pending` too late."""
+@pytest.mark.parametrize("fault", ["outage", "leader ends", "refused", "zones apart"])
+def test_dependents_are_answered_as_cancelled_in_time_despite_later_failures(fault):
+    """A node that cannot know of the cancellation has to answer 503 once `pending` would come too late."""
 
     async def scenario(simulation: Simulation) -> None:
         job_ids = await submit_chain(simulation, 1, 8, run_s=100.0)
-        one, two = simulation.followers()
-        lead = simulation.current_leader_name()
-        if trouble == "refused":
-            simulation.service.refused.add(two)
-        if trouble == "zones apart":
-            simulation.partitions |= {frozenset((lead, one)), frozenset((one, two))}
-            simulation.service.disconnected.add(two)
-        answer = await simulation.cancel(lead if trouble == "zones apart" else one, job_ids[0])
+        first_follower, second_follower = simulation.followers()
+        leader = simulation.current_leader_name()
+        if fault == "refused":
+            simulation.service.refused.add(second_follower)
+        if fault == "zones apart":
+            simulation.partitions |= {frozenset((leader, first_follower)), frozenset((first_follower, second_follower))}
+            simulation.service.disconnected.add(second_follower)
+        answer = await simulation.cancel(leader if fault == "zones apart" else first_follower, job_ids[0])
         assert answer == (200, "withdrawn")
-        if trouble == "outage":
+        if fault == "outage":
             simulation.service.outage(True)
-        elif trouble == "leader ends":
-            simulation.crash(lead)
+        elif fault == "leader ends":
+            simulation.crash(leader)
         for _ in range(20):
             await asyncio.sleep(2.5)
             for job_id in job_ids:
-                await simulation.poll(simulation.random_node(), job_id)  # the rule is checked on each answer
+                await simulation.poll(simulation.random_node(), job_id)  # checks the rule `orphaned` on the response
         simulation.service.outage(False)
         simulation.service.refused.clear()
         simulation.service.disconnected.clear()
@@ -193,40 +205,48 @@
     play(scenario)
 
 
-def test_a_leader_whose_watch_is_blocked_does_not_answer_pending_for_dependents_for_ever():
-    """It learns from its peers that the first is cancelled, but not from the records what that means for others."""
+def test_a_leader_with_a_blocked_watch_stops_answering_pending_for_cancelled_dependents():
+    """Guard against a leader that answers `pending` for cancelled dependents without a time limit.
+
+    The leader learns from its peers that the first job is cancelled, but its blocked watch keeps it from learning from
+    the records that the dependents are cancelled as well.
+    """
 
     async def scenario(simulation: Simulation) -> None:
-        # The one that is cancelled waits itself: what its tasks do would make the leader read its record.
+        # The job that is cancelled waits for a dependency itself and has no tasks on machines. Reports about its tasks
+        # would make the leader read its record.
         _, *job_ids = await submit_chain(simulation, 1, 4, run_s=200.0)
-        lead = simulation.current_leader_name()
-        simulation.service.watch_blocked.add(lead)
+        leader = simulation.current_leader_name()
+        simulation.service.watch_blocked.add(leader)
         await asyncio.sleep(1.0)
         assert await simulation.cancel(simulation.followers()[0], job_ids[0]) == (200, "withdrawn")
-        answers = set()
+        statuses = set()
         for _ in range(30):
             await asyncio.sleep(2.0)
-            answers |= {(await simulation.poll(lead, job_id))[0] for job_id in job_ids[1:]}
-        assert answers <= {200, 503} and 503 in answers
+            statuses |= {(await simulation.poll(leader, job_id))[0] for job_id in job_ids[1:]}
+        assert statuses <= {200, 503} and 503 in statuses
         simulation.service.watch_blocked.clear()
         await all_become_cancelled(simulation, job_ids, 20.0)
 
     play(scenario)
 
 
-def test_thousands_of_dependents_against_a_small_transaction_limit():
-    """They are stored at the service's pace; none is called pending too late meanwhile."""
+def test_many_dependents_are_cancelled_under_a_small_transaction_limit():
+    """The cancelled dependents are stored only as fast as the store's limits allow.
+
+    Until all are stored, none of them may be answered as pending later than `cancel_s` allows.
+    """
 
     async def scenario(simulation: Simulation) -> None:
-        a = simulation.job(1, run_s=200.0)
-        await simulation.accepted(a)
+        needed = simulation.job(1, run_s=200.0)
+        await simulation.accepted(needed)
         job_ids = []
         for n in range(2, 1502):
-            job_ids.append(simulation.job(n, awaits=[a]))
+            job_ids.append(simulation.job(n, awaits=[needed]))
             simulation.put_record(job_ids[-1])
         await asyncio.sleep(3.0)
         simulation.service.lower_limits()
-        assert await simulation.cancel(simulation.followers()[0], a) == (200, "withdrawn")
+        assert await simulation.cancel(simulation.followers()[0], needed) == (200, "withdrawn")
         for _ in range(30):
             await asyncio.sleep(2.0)
             for job_id in simulation.random.sample(job_ids, 10):
@@ -236,49 +256,53 @@
                 simulation.service.keys[keys.JOB_PREFIX + job_id][0]["phase"] == "withdrawn" for job_id in job_ids
             ),
             60.0,
-            "too slow",
+            "not all dependents are stored as cancelled in time",
         )
 
-    play(scenario, state=SMALL)
+    play(scenario, state=SMALL_STORE_LIMITS)
+
 
+def test_a_submission_is_not_answered_pending_from_stale_records():
+    """Guard against an answer from stale records.
 
-def test_a_submission_is_not_answered_pending_on_data_older_than_a_cancellation_before_it():
-    """Its needs are known as accepted from records that were read long ago; one may be cancelled since."""
+    The node knows from records that it read long ago that the dependency was accepted; the dependency may have been
+    cancelled since then.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         needed = simulation.job(1, run_s=200.0)
         await simulation.accepted(needed)
         await asyncio.sleep(2.0)
-        behind = simulation.followers()[0]
-        simulation.service.watch_blocked.add(behind)
-        other = next(name for name in simulation.nodes if name != behind)
-        assert await simulation.cancel(other, needed) == (200, "withdrawn")
+        stale_node = simulation.followers()[0]
+        simulation.service.watch_blocked.add(stale_node)
+        other_node = next(name for name in simulation.nodes if name != stale_node)
+        assert await simulation.cancel(other_node, needed) == (200, "withdrawn")
         await asyncio.sleep(simulation.params.workers.cancel_s + 3.0)
         dependent = simulation.job(2, awaits=[needed])
-        assert await simulation.submit(behind, dependent) == 503
+        assert await simulation.submit(stale_node, dependent) == 503
         simulation.service.watch_blocked.clear()
-        await simulation.accepted(dependent, behind)
-        assert await simulation.poll(behind, dependent) == (200, "withdrawn")
+        await simulation.accepted(dependent, stale_node)
+        assert await simulation.poll(stale_node, dependent) == (200, "withdrawn")
 
     play(scenario)
 
 
-# -- what is refused --------------------------------------------------------------------------------
+# -- validation and storage of dependency lists ---------------------------------------------------
 
 
-def test_what_is_refused_and_what_is_known():
+def test_invalid_dependency_lists_are_refused_and_repeated_submissions_accepted():
     async def scenario(simulation: Simulation) -> None:
-        a = simulation.job(1, run_s=3.0)
-        await simulation.accepted(a, "n0")
+        accepted = simulation.job(1, run_s=3.0)
+        await simulation.accepted(accepted, "n0")
         for n, awaits, status in (
             (2, "run-000001", 400),
             (3, ["run-1/2"], 400),
             (4, [1], 400),
             (5, ["run-000005"], 422),
-            (6, [a, "run-999999"], 422),
+            (6, [accepted, "run-999999"], 422),
             (7, [], 201),
             (8, None, 201),
-            (9, [a, a], 201),
+            (9, [accepted, accepted], 201),
         ):
             job_id = simulation.job(n, awaits=awaits) if status == 201 else None
             spec = simulation.jobs[job_id].spec if job_id else simulation.description(n, awaits=awaits)
@@ -287,49 +311,49 @@
                     n,
                     node,
                 )
-        # A repeat of an accepted submission is known, whatever it names.
-        again = {**simulation.jobs[simulation.job_id(9)].spec, "awaits": ["run-999999"]}
-        assert [await simulation.submit_spec(node, again) for node in simulation.nodes] == [200, 200, 200]
+        # A repeated submission of an accepted job succeeds, whichever dependencies it names.
+        repeated = {**simulation.jobs[simulation.job_id(9)].spec, "awaits": ["run-999999"]}
+        assert [await simulation.submit_spec(node, repeated) for node in simulation.nodes] == [200, 200, 200]
 
     play(scenario)
 
 
-def test_a_long_list_of_names_that_nobody_has_submitted_costs_one_comparison():
+def test_a_long_list_of_unknown_dependencies_costs_few_comparisons():
     async def scenario(simulation: Simulation) -> None:
         await asyncio.sleep(2.0)
         node = simulation.followers()[0]
-        asked: list[int] = []
+        comparison_counts: list[int] = []
         commit = simulation.nodes[node].store.commit
 
-        async def counted(when, *args, **kwargs):
-            asked.append(len(when))
+        async def counting_commit(when, *args, **kwargs):
+            comparison_counts.append(len(when))
             return await commit(when, *args, **kwargs)
 
-        simulation.nodes[node].store.commit = counted
+        simulation.nodes[node].store.commit = counting_commit
         names = [f"run-{n}" for n in range(10**6, 10**6 + 4000)]
         assert await simulation.submit_spec(node, simulation.description(1, awaits=names)) == 422
-        assert sum(asked) < 2 * simulation.nodes[node].read_confirmation.max_batch_size + 5
+        assert sum(comparison_counts) < 2 * simulation.nodes[node].read_confirmation.max_batch_size + 5
 
     play(scenario)
 
 
-def test_the_longest_list_of_accepted_names_is_stored_and_runs():
+def test_a_job_with_a_very_long_dependency_list_is_stored_and_runs():
     async def scenario(simulation: Simulation) -> None:
-        a = simulation.job(1, run_s=30.0)
-        await simulation.accepted(a)
-        names = [a]
+        unfinished = simulation.job(1, run_s=30.0)
+        await simulation.accepted(unfinished)
+        names = [unfinished]
         for n in range(2, 1200):
             names.append(simulation.job(n * 10**14 + n * n * 7919))
             simulation.put_record(names[-1], {"phase": "done", "n": 1, "next": 2, "on": []})
             simulation.jobs[names[-1]].done.add(0)
         await asyncio.sleep(3.0)
         simulation.service.lower_limits()
-        last = simulation.job(5000, run_s=3.0, awaits=names)
-        await simulation.accepted(last, simulation.followers()[0], within_s=60.0)
-        await all_become_done(simulation, [a, last], 60.0)
-        parts = [k for k in simulation.service.keys if k.startswith(keys.CHUNK_PREFIX)]
+        dependent = simulation.job(5000, run_s=3.0, awaits=names)
+        await simulation.accepted(dependent, simulation.followers()[0], within_s=60.0)
+        await all_become_done(simulation, [unfinished, dependent], 60.0)
+        chunks = [k for k in simulation.service.keys if k.startswith(keys.CHUNK_PREFIX)]
         await simulation.until(
-            lambda: not any(k in simulation.service.keys for k in parts), 60.0, "parts stay for ever"
+            lambda: not any(k in simulation.service.keys for k in chunks), 60.0, "chunks are never deleted"
         )
 
     play(
@@ -339,8 +363,8 @@
 
 
 def test_chunked_records_survive_late_writes_and_failovers():
-    """Parts are written, replaced and removed while a fifth of the transactions come late, after newer ones."""
-    tiny = StoreLimits(
+    """Chunks are written, replaced and deleted while a fifth of the transactions are carried out after newer ones."""
+    limits = StoreLimits(
         rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=0.5, txn_ops=4)
     )
 
@@ -352,22 +376,22 @@
             ends = {task: 4.0 + (task * 7) % 19 for task in range(120)}
             job_ids.append(simulation.job(n, pieces=120, cards=0.0, cores=1.0, memGb=1.0, ends=ends))
             await simulation.accepted(job_ids[-1])
-        last = simulation.job(9, run_s=3.0, awaits=job_ids)
-        await simulation.accepted(last)
+        dependent = simulation.job(9, run_s=3.0, awaits=job_ids)
+        await simulation.accepted(dependent)
         simulation.service.delay_writes(0.2)
         for _ in range(3):
             await asyncio.sleep(9.0)
             assert any(k.startswith(keys.CHUNK_PREFIX) for k in simulation.service.keys)
-            lead = await simulation.led_by()
-            simulation.crash(lead)
-            simulation.start(lead)
+            leader = await simulation.led_by()
+            simulation.crash(leader)
+            simulation.start(leader)
         simulation.service.write_at_once()
         await simulation.led()
-        await all_become_done(simulation, [*job_ids, last], 120.0)
+        await all_become_done(simulation, [*job_ids, dependent], 120.0)
         assert simulation.service.refusals[400] == 0
-        left = [k for k in simulation.service.keys if k.startswith(keys.CHUNK_PREFIX)]
+        chunks = [k for k in simulation.service.keys if k.startswith(keys.CHUNK_PREFIX)]
         await simulation.until(
-            lambda: not any(k in simulation.service.keys for k in left), 180.0, "parts stay for ever"
+            lambda: not any(k in simulation.service.keys for k in chunks), 180.0, "chunks are never deleted"
         )
 
-    play(scenario, machines=24, state=tiny)
+    play(scenario, machines=24, state=limits)
