--- a/tests/cluster/test_meetings.py
+++ b/tests/cluster/test_meetings.py
@@ -42,7 +42,7 @@
             simulation.loop.call_later(duration_s, setattr, worker, "mute", False)
 
 
-# -- cancellations that the leader cannot read ----------------------------------------------------
+# -- cancellations that the leader cannot read -----------------------------------------------------
 
 
 def test_cancellation_missed_by_the_leader_stops_tasks_during_a_long_outage():
@@ -123,6 +123,8 @@
 
 
 def test_cancellation_is_not_confirmed_by_a_node_that_reaches_no_peer():
+    """A node that can inform neither the leader nor another peer of a cancellation must not confirm it."""
+
     async def scenario(simulation: Simulation) -> None:
         job_id = simulation.job(1, run_s=300.0)
         await submit_and_wait_running(simulation, job_id)
@@ -136,7 +138,7 @@
         assert (await simulation.cancel(first_follower, job_id))[0] == 503
         assert (await simulation.poll(first_follower, job_id))[0] == 503
         assert await simulation.submit(first_follower, job_id) == 503
-        # Another node that reads the record can inform its peers, and therefore confirms the cancellation.
+        # Another node that reads the record can inform the leader, and therefore confirms the cancellation.
         assert await simulation.poll(second_follower, job_id) == (200, "withdrawn")
         simulation.partitions.clear()
         assert await simulation.cancel(first_follower, job_id) == (200, "withdrawn")
@@ -159,6 +161,8 @@
 
 
 def test_leader_cut_off_from_store_and_peers_does_not_extend_cancelled_tasks():
+    """A leader that reaches neither store nor peers cannot learn of a cancellation, so the leases have to expire."""
+
     async def scenario(simulation: Simulation) -> None:
         job_id = simulation.job(1, run_s=300.0)
         await submit_and_wait_running(simulation, job_id)
@@ -177,11 +181,13 @@
     play(scenario)
 
 
-# -- unreachable machines and a new leader -------------------------------------------------
+# -- unreachable machines and a new leader ---------------------------------------------------------
 
 
 @pytest.mark.parametrize("fault", ["mute", "deaf", "hung"])
 def test_task_of_an_unreachable_machine_moves_only_after_lease_expiry_despite_failover(fault):
+    """Guard against a new leader that restarts a task elsewhere while the silent machine may still run it."""
+
     async def scenario(simulation: Simulation) -> None:
         job_id = simulation.job(1, run_s=300.0)
         await submit_and_wait_running(simulation, job_id)
@@ -222,6 +228,8 @@
 
 
 def test_heartbeats_delayed_until_a_new_leader_has_acted_change_nothing():
+    """Late duplicates of earlier heartbeats must not make a new leader restart a task."""
+
     async def scenario(simulation: Simulation) -> None:
         job_id = simulation.job(1, run_s=60.0)
         await simulation.accepted(job_id)
@@ -319,10 +327,12 @@
     play(scenario, machines=6)
 
 
-# -- zones and leases -------------------------------------------------------------------------------
+# -- zones and leases ------------------------------------------------------------------------------
 
 
 def test_tasks_keep_running_in_a_zone_that_reaches_only_an_isolated_follower():
+    """The tasks of a zone that is cut off together with a follower keep running, and none of them starts twice."""
+
     async def scenario(simulation: Simulation) -> None:
         job_ids = [simulation.job(n, run_s=120.0, yard=zone) for n, zone in enumerate(("east", "west"), 1)]
         await submit_and_wait_running(simulation, *job_ids)
@@ -373,12 +383,14 @@
     play(scenario)
 
 
-# -- completion of jobs -------------------------------------------------------------------------------------
+# -- completion of jobs ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("latency_s", [0.004, 0.2])
 @pytest.mark.parametrize("after_s", [0.0, 0.1, 0.2, 0.3, 0.5, 0.8])
 def test_concurrent_requests_at_job_completion_get_consistent_responses(after_s, latency_s):
+    """Cancellations, polls and repeated submissions arrive as tasks end; all nodes have to agree on the result."""
+
     async def scenario(simulation: Simulation) -> None:
         job_ids = [simulation.job(n, run_s=10.0) for n in range(1, 5)]
         for job_id in job_ids:
@@ -430,10 +442,12 @@
     play(scenario)
 
 
-# -- the key-value store -----------------------------------------------------------------------------------
+# -- the key-value store ---------------------------------------------------------------------------
 
 
 def test_delayed_writes_do_not_undo_newer_writes():
+    """A quarter of the transactions get no response and are carried out later, after newer ones."""
+
     async def scenario(simulation: Simulation) -> None:
         simulation.service.delay_writes(0.25)
         job_ids = [simulation.job(n, run_s=15.0, pieces=2) for n in range(1, 13)]
@@ -458,6 +472,8 @@
 
 
 def test_cancellations_hold_while_a_slow_store_degrades_to_an_outage():
+    """The store is slow at first, then refuses the leader, and then refuses all nodes."""
+
     async def scenario(simulation: Simulation) -> None:
         job_ids = [simulation.job(n, run_s=200.0) for n in range(1, 6)]
         await submit_and_wait_running(simulation, *job_ids)
@@ -488,7 +504,7 @@
     play(scenario, machines=6)
 
 
-# -- leadership ---------------------------------------------------------------------------------------------
+# -- leadership ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("restart_after_s", [0.2, 0.9, 3.0])
@@ -519,6 +535,8 @@
 
 @pytest.mark.parametrize("restart_after_s", [0.1, 0.6, 3.0])
 def test_jobs_end_when_all_nodes_crash_and_a_former_follower_restarts_first(restart_after_s):
+    """The store refuses one leader after the other; then all nodes crash, and an initial follower restarts first."""
+
     async def scenario(simulation: Simulation) -> None:
         job_id = simulation.job(1, run_s=100.0)
         await submit_and_wait_running(simulation, job_id)
@@ -586,6 +604,8 @@
 
 @pytest.mark.parametrize("until_outage_s", [0.3, 1.0, 2.0, 2.4, 2.6, 2.8, 3.5])
 def test_cancellations_hold_when_the_store_refuses_the_leader_before_an_outage(until_outage_s):
+    """The store refuses the leader as cancellations are sent, and refuses all nodes shortly afterwards."""
+
     async def scenario(simulation: Simulation) -> None:
         job_ids = [simulation.job(n, run_s=300.0) for n in range(1, 7)]
         await submit_and_wait_running(simulation, *job_ids)
@@ -608,7 +628,7 @@
     play(scenario, machines=6)
 
 
-# -- unusual requests ----------------------------------------------------------------------------------------------
+# -- unusual requests ------------------------------------------------------------------------------
 
 
 def test_unusual_requests_are_answered_alike_at_every_node_and_in_an_outage():
--- a/tests/cluster/test_pipeline_meetings.py
+++ b/tests/cluster/test_pipeline_meetings.py
@@ -1,4 +1,4 @@
-"""Submissions, cancellations, ends, restarts and limits that meet in the same moment, with dependent jobs."""
+"""Dependent jobs when submissions, cancellations, completions, restarts or lowered limits coincide."""
 
 import asyncio
 
@@ -12,8 +12,11 @@
 
 
 @pytest.mark.parametrize("old", [1, 2])
-def test_a_job_may_name_one_that_a_node_of_the_other_version_has_just_accepted(old):
-    """Nothing new is asked before all nodes are new, but what a dependent names may have been taken before that."""
+def test_a_job_may_depend_on_a_job_that_an_older_node_accepted_during_the_upgrade(old):
+    """Dependent jobs are accepted only after all nodes are upgraded, but their dependencies may be accepted before.
+
+    Here a node with the older program accepts the dependency while another node is upgraded already.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.upgrade("n0")
@@ -29,22 +32,24 @@
 
 
 @pytest.mark.parametrize("node", ["the same", "another"])
-def test_a_dependent_is_accepted_at_the_moment_its_dependency_is_accepted(node):
-    """The other node does not know the dependency yet: it reads the store rather than answer 422."""
+def test_a_dependent_is_accepted_immediately_after_its_dependency(node):
+    """A node that does not know the dependency yet has to read the store rather than answer 422."""
 
     async def scenario(simulation: Simulation) -> None:
-        one, two = simulation.followers()
+        first_follower, second_follower = simulation.followers()
         for n in range(1, 12, 2):
             first = simulation.job(n, run_s=2.0)
-            assert await simulation.submit(one, first) == 201
+            assert await simulation.submit(first_follower, first) == 201
             second = simulation.job(n + 1, run_s=2.0, awaits=[first])
-            assert await simulation.submit(one if node == "the same" else two, second) == 201
+            assert await simulation.submit(first_follower if node == "the same" else second_follower, second) == 201
         await all_become_done(simulation, [simulation.job_id(n) for n in range(1, 13)], 60.0)
 
     play(scenario)
 
 
-def test_in_an_outage_a_dependent_is_refused_for_now_and_never_for_good():
+def test_an_outage_refuses_dependents_only_temporarily():
+    """During an outage nodes answer 503 to all dependent jobs; they answer 422 only once they can read the store."""
+
     async def scenario(simulation: Simulation) -> None:
         first = simulation.job(1, run_s=30.0)
         await simulation.accepted(first)
@@ -63,20 +68,23 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("late_s", [0.0, 4.0])
-def test_a_submission_without_a_response_can_be_repeated_after_its_dependency_was_cancelled(late_s):
-    """The first write is carried out at once, or after the repeat: either way there is one record, and it is over."""
+@pytest.mark.parametrize("delay_s", [0.0, 4.0])
+def test_a_submission_without_a_response_can_be_repeated_after_its_dependency_was_cancelled(delay_s):
+    """The first write is carried out at once or after the repeated submission.
+
+    Either way there has to be one record, and the job has to be cancelled.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         needed = simulation.job(1, run_s=200.0)
         await simulation.accepted(needed)
-        one, two = simulation.followers()
+        first_follower, second_follower = simulation.followers()
         dependent = simulation.job(2, awaits=[needed])
-        simulation.service.late = lambda node, body: late_s if node == one and body.get("apply") else None
-        assert await simulation.submit(one, dependent) == 503
+        simulation.service.late = lambda node, body: delay_s if node == first_follower and body.get("apply") else None
+        assert await simulation.submit(first_follower, dependent) == 503
         simulation.service.write_at_once()
-        assert await simulation.cancel(two, needed) == (200, "withdrawn")
-        await simulation.accepted(dependent, two)
+        assert await simulation.cancel(second_follower, needed) == (200, "withdrawn")
+        await simulation.accepted(dependent, second_follower)
         await asyncio.sleep(6.0)
         await all_become_cancelled(simulation, [needed, dependent], 10.0)
         assert simulation.jobs[dependent].starts == 0
@@ -86,14 +94,15 @@
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0])
 def test_cancelling_a_dependency_while_its_dependent_becomes_ready_is_answered_consistently(after_s):
-    """Asked just before, at and after the end of the need: whichever it is, both are answered the same.
+    """The cancellation arrives just before, at or just after the end of the dependency.
 
-    The dependent runs if the answer was `done`, and is cancelled without a start if it was `withdrawn`.
+    In each case both jobs have to be answered consistently: the dependent runs if the cancellation was answered `done`,
+    and is cancelled without a start if the answer was `withdrawn`.
     """
 
     async def scenario(simulation: Simulation) -> None:
         first, second = await submit_chain(simulation, 1, 2, run_s=3.0)
-        await simulation.until(lambda: simulation.jobs[first].starts > 0, 20.0, "it does not start")
+        await simulation.until(lambda: simulation.jobs[first].starts > 0, 20.0, "the first job does not start")
         await asyncio.sleep(1.5 + after_s)
         answer = await simulation.cancel(simulation.random.choice(simulation.followers()), first)
         while answer[0] != 200:
@@ -109,17 +118,20 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0])
-def test_a_job_that_became_ready_is_cancelled_while_it_is_placed_stored_and_launched(after_s):
-    """Its own cancellation, with one more job after it, through a change of leader."""
+def test_a_job_is_cancelled_just_after_it_became_ready_across_a_failover(after_s):
+    """A job is cancelled just after it became ready, while another job depends on it, and the leader crashes.
+
+    Both jobs have to be answered consistently across the failover.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         first, second, third = await submit_chain(simulation, 1, 3, run_s=3.0, pieces=2)
-        await simulation.until(lambda: len(simulation.jobs[first].done) == 2, 30.0, "the first does not end")
+        await simulation.until(lambda: len(simulation.jobs[first].done) == 2, 30.0, "the first job does not end")
         await asyncio.sleep(after_s)
-        lead = simulation.current_leader_name()
+        leader = simulation.current_leader_name()
         answer = await simulation.cancel(simulation.followers()[0], second)
-        simulation.crash(lead)
-        simulation.start(lead)
+        simulation.crash(leader)
+        simulation.start(leader)
         while answer[0] != 200:
             await asyncio.sleep(0.3)
             answer = await simulation.cancel(simulation.random_node(), second)
@@ -145,34 +157,36 @@
     play(scenario)
 
 
-def test_times_count_from_readiness_and_the_deadline_from_submission_for_every_new_leader():
+def test_every_leader_counts_queue_time_from_readiness_and_the_deadline_from_submission():
     async def scenario(simulation: Simulation) -> None:
         first = simulation.job(1, run_s=20.0)
         await simulation.accepted(first)
-        seconds = [simulation.job(n, run_s=200.0, awaits=[first], dueS=500.0) for n in (2, 3)]
-        submitted = simulation.now()
-        for job_id in seconds:
+        dependents = [simulation.job(n, run_s=200.0, awaits=[first], dueS=500.0) for n in (2, 3)]
+        submitted_at = simulation.now()
+        for job_id in dependents:
             await simulation.accepted(job_id)
         await all_become_done(simulation, [first], 40.0)
-        ended = simulation.now()
+        ended_at = simulation.now()
         for _ in range(3):
-            lead = await simulation.led_by()
-            simulation.crash(lead)
-            simulation.start(lead)
-            jobs = (await simulation.led()).job_table
+            leader = await simulation.led_by()
+            simulation.crash(leader)
+            simulation.start(leader)
+            job_table = (await simulation.led()).job_table
             await asyncio.sleep(3.0)
-            for job_id in seconds:
-                # Both alike, in whatever order the records were read.
-                assert ended - 8.0 < jobs.jobs[job_id].queued_at <= ended
-                latest_end = jobs.dependencies.latest_start(job_id) + jobs.jobs[job_id].spec.estimated_duration_s
-                assert abs(latest_end - submitted - 500.0) < 2.0
+            for job_id in dependents:
+                # Both dependents get the same times, whatever the order in which the records were read.
+                assert ended_at - 8.0 < job_table.jobs[job_id].queued_at <= ended_at
+                latest_end = (
+                    job_table.dependencies.latest_start(job_id) + job_table.jobs[job_id].spec.estimated_duration_s
+                )
+                assert abs(latest_end - submitted_at - 500.0) < 2.0
 
     play(scenario)
 
 
 @pytest.mark.parametrize("lowered_after", [0, 1, 2, 3])
 def test_a_record_is_stored_when_limits_are_lowered_between_its_chunks(lowered_after):
-    """Its parts were stored under the limits of before; the rest, and the record, fit those of then."""
+    """The first chunks fit the former limits; the remaining chunks and the record have to fit the lowered limits."""
     limits = StoreLimits(
         rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=1.0, txn_ops=4)
     )
@@ -184,44 +198,44 @@
             simulation.put_record(names[-1], {"phase": "done", "n": 1, "next": 2, "on": []})
             simulation.jobs[names[-1]].done.add(0)
         await asyncio.sleep(3.0)
-        writes: list[int] = []
+        write_sizes: list[int] = []
         commit = simulation.service.commit
 
-        def counted(body: dict):
+        def counting_commit(body: dict):
             if any(change.get("set", "").startswith(keys.CHUNK_PREFIX) for change in body.get("apply", ())):
-                if len(writes) == lowered_after:
+                if len(write_sizes) == lowered_after:
                     simulation.service.lower_limits()
-                writes.append(len(body["apply"]))
+                write_sizes.append(len(body["apply"]))
             return commit(body)
 
-        simulation.service.commit = counted
-        last = simulation.job(5000, run_s=3.0, awaits=names)
-        await simulation.accepted(last, simulation.followers()[0], within_s=60.0)
-        assert len(writes) > lowered_after
-        await all_become_done(simulation, [last], 60.0)
+        simulation.service.commit = counting_commit
+        dependent = simulation.job(5000, run_s=3.0, awaits=names)
+        await simulation.accepted(dependent, simulation.followers()[0], within_s=60.0)
+        assert len(write_sizes) > lowered_after
+        await all_become_done(simulation, [dependent], 60.0)
         assert simulation.service.refusals[400] == 0
 
     play(scenario, state=limits)
 
 
-def test_a_wide_fan_and_a_long_chain_end_in_order_under_the_smallest_transactions():
-    tiny = StoreLimits(
+def test_a_large_fan_out_and_a_long_chain_end_in_order_with_small_transactions():
+    limits = StoreLimits(
         rps=150.0, write_rps=30.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(write_rps=20.0, txn_ops=4)
     )
 
     async def scenario(simulation: Simulation) -> None:
         first = simulation.job(1, run_s=8.0)
         await simulation.accepted(first)
-        fan = [simulation.job(n, run_s=2.0, cards=0.0, cores=1.0, memGb=1.0, awaits=[first]) for n in range(2, 102)]
-        for job_id in fan:
+        fan_out = [simulation.job(n, run_s=2.0, cards=0.0, cores=1.0, memGb=1.0, awaits=[first]) for n in range(2, 102)]
+        for job_id in fan_out:
             simulation.put_record(job_id)
-        line = []
+        chain = []
         for n in range(200, 215):
-            line.append(simulation.job(n, run_s=1.0, cards=0.0, cores=1.0, memGb=1.0, awaits=line[-1:] or fan))
-            simulation.put_record(line[-1])
+            chain.append(simulation.job(n, run_s=1.0, cards=0.0, cores=1.0, memGb=1.0, awaits=chain[-1:] or fan_out))
+            simulation.put_record(chain[-1])
         await asyncio.sleep(2.0)
         simulation.service.lower_limits()
-        await all_become_done(simulation, line[-1:], 240.0)
-        await all_become_done(simulation, [first, *fan, *line], 30.0)
+        await all_become_done(simulation, chain[-1:], 240.0)
+        await all_become_done(simulation, [first, *fan_out, *chain], 30.0)
 
-    play(scenario, state=tiny)
+    play(scenario, state=limits)
--- a/tests/cluster/test_pipelines.py
+++ b/tests/cluster/test_pipelines.py
@@ -20,7 +20,7 @@
 )
 
 
-# -- jobs that become ready ----------------------------------------------------------------------------------------
+# -- jobs that become ready ------------------------------------------------------------------------
 
 
 def test_dependent_jobs_run_in_order_across_failovers():
@@ -103,7 +103,7 @@
     play(scenario)
 
 
-# -- cancellation -------------------------------------------------------------------------------------
+# -- cancellation ----------------------------------------------------------------------------------
 
 
 def test_a_cancellation_reaches_all_dependents_and_no_other_job():
@@ -287,7 +287,7 @@
     play(scenario)
 
 
-# -- validation and storage of dependency lists ---------------------------------------------------
+# -- validation and storage of dependency lists ----------------------------------------------------
 
 
 def test_invalid_dependency_lists_are_refused_and_repeated_submissions_accepted():
@@ -363,7 +363,10 @@
 
 
 def test_chunked_records_survive_late_writes_and_failovers():
-    """Chunks are written, replaced and deleted while a fifth of the transactions are carried out after newer ones."""
+    """A fifth of the transactions are carried out late, after newer ones.
+
+    Chunks are written, replaced and deleted meanwhile.
+    """
     limits = StoreLimits(
         rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12, next=UpcomingStoreLimits(value_kb=0.5, txn_ops=4)
     )
--- a/tests/cluster/test_upgrade.py
+++ b/tests/cluster/test_upgrade.py
@@ -1,6 +1,7 @@
-"""Rolling upgrades: nodes that know an older format are replaced while users, workers and troubles go on.
+"""Rolling upgrades: nodes that run an older program are replaced while requests, heartbeats and failures continue.
 
-`old` is the format of the program that is replaced: 1 was in production up to e723b3b, 2 is that of 0dce834.
+`old` is the storage format of the program that is replaced: format 1 was in production up to e723b3b, and format 2 is
+that of 0dce834.
 """
 
 import asyncio
@@ -22,66 +23,68 @@
     next=UpcomingStoreLimits(write_rps=30.0, value_kb=2.0, txn_ops=4),
 )
 NAMES = ("n0", "n1", "n2")
-any_old = pytest.mark.parametrize("old", [1, 2])
+with_each_old_format = pytest.mark.parametrize("old", [1, 2])
 
 
 async def wait_all_upgraded(simulation: Simulation, within_s: float = 10.0) -> None:
-    """Wait until every node knows that all run the current program."""
+    """Wait until every node knows that all nodes run the current program."""
     await simulation.until(
         lambda: all(n.storage_version.supported_by_all(CURRENT_VERSION) for n in simulation.nodes.values()),
         within_s,
-        "not all nodes know all are new",
+        "not every node knows that all are upgraded",
     )
 
 
 async def submit_until_accepted(simulation: Simulation, job_id: str, within_s: float = 60.0) -> None:
-    """Submit at any node that is up until one accepts."""
+    """Submit a job at random nodes that are up until one of them accepts it."""
     end = simulation.now() + within_s
     while not simulation.nodes or await simulation.submit(simulation.random_node(), job_id) not in (200, 201):
         assert simulation.now() < end, f"{job_id} is not accepted"
         await asyncio.sleep(1.0)
 
 
-async def submit_and_cancel(simulation: Simulation, first: int, n: int, every_s: float = 1.0) -> list[str]:
-    """Users submit jobs at any node and cancel a third of them."""
+async def submit_and_cancel(
+    simulation: Simulation, first_number: int, count: int, interval_s: float = 1.0
+) -> list[str]:
+    """Submit `count` jobs at random nodes and cancel a third of them; return the ids of all."""
     job_ids = []
-    for i in range(first, first + n):
+    for i in range(first_number, first_number + count):
         job_id = simulation.job(i, run_s=4.0, cards=0.0, cores=1.0)
         job_ids.append(job_id)
         await submit_until_accepted(simulation, job_id)
-        await asyncio.sleep(every_s)
+        await asyncio.sleep(interval_s)
         if i % 3 == 0 and simulation.nodes:
             await simulation.cancel(simulation.random_node(), job_id)
     return job_ids
 
 
-async def wait_all_over(simulation: Simulation, job_ids: list[str], within_s: float = 40.0) -> None:
-    """Wait until every node answers that all of these jobs are over."""
+async def wait_all_ended(simulation: Simulation, job_ids: list[str], within_s: float = 40.0) -> None:
+    """Wait until every node answers that each of these jobs is done or cancelled."""
 
-    async def over(job_id: str) -> bool:
+    async def has_ended(job_id: str) -> bool:
         answers = [await simulation.poll(node, job_id) for node in list(simulation.nodes)]
         return all(status == 200 and phase in ("done", "withdrawn") for status, phase in answers)
 
     end = simulation.now() + within_s
     for job_id in job_ids:
-        while not await over(job_id):
+        while not await has_ended(job_id):
             assert simulation.now() < end, f"{job_id} does not end"
             await asyncio.sleep(1.0)
 
 
-async def submit_pipeline(simulation: Simulation, first: int) -> list[str]:
-    """Three jobs one after the other, each needing the one before."""
+async def submit_pipeline(simulation: Simulation, first_number: int) -> list[str]:
+    """Submit three jobs, each of which depends on the one before; return their ids."""
     job_ids: list[str] = []
-    for n in range(first, first + 3):
+    for n in range(first_number, first_number + 3):
         job_ids.append(
-            simulation.job(n, run_s=3.0, awaits=job_ids[-1:] or None, rank="urgent" if n == first + 2 else "low")
+            simulation.job(n, run_s=3.0, awaits=job_ids[-1:] or None, rank="urgent" if n == first_number + 2 else "low")
         )
         await submit_until_accepted(simulation, job_ids[-1])
     return job_ids
 
 
 @pytest.mark.parametrize("order", permutations(NAMES))
-@any_old
+@with_each_old_format
 def test_jobs_end_while_nodes_are_replaced_one_by_one_in_any_order(order, old):
     async def scenario(simulation: Simulation) -> None:
         traffic = simulation.go(submit_and_cancel(simulation, 1, 25))
@@ -91,29 +94,29 @@
         await simulation.led()
         await wait_all_upgraded(simulation)
         job_ids = await submit_pipeline(simulation, 100)
-        await wait_all_over(simulation, [*await traffic, *job_ids])
+        await wait_all_ended(simulation, [*await traffic, *job_ids])
         assert all(simulation.jobs[job_id].final == "done" for job_id in job_ids)
 
     play(scenario, old=old)
 
 
 @pytest.mark.parametrize("leader_first", [True, False])
-@any_old
+@with_each_old_format
 def test_jobs_end_when_two_nodes_are_replaced_at_once(leader_first, old):
     async def scenario(simulation: Simulation) -> None:
         traffic = simulation.go(submit_and_cancel(simulation, 1, 25))
-        lead, others = simulation.current_leader_name(), simulation.followers()
-        both = (lead, others[0]) if leader_first else tuple(others)
-        await simulation.upgrade(*both)
+        leader, others = simulation.current_leader_name(), simulation.followers()
+        first_pair = (leader, others[0]) if leader_first else tuple(others)
+        await simulation.upgrade(*first_pair)
         await asyncio.sleep(5.0)
-        await simulation.upgrade(*(set(NAMES) - set(both)))
+        await simulation.upgrade(*(set(NAMES) - set(first_pair)))
         await wait_all_upgraded(simulation, 20.0)
-        await wait_all_over(simulation, [*await traffic, *await submit_pipeline(simulation, 100)])
+        await wait_all_ended(simulation, [*await traffic, *await submit_pipeline(simulation, 100)])
 
     play(scenario, old=old)
 
 
-def test_a_dependent_job_is_not_accepted_while_an_older_program_may_come_back():
+def test_a_dependent_job_is_not_accepted_while_a_node_may_restart_with_an_older_program():
     async def scenario(simulation: Simulation) -> None:
         first = simulation.job(1, run_s=3.0)
         await simulation.accepted(first, "n0")
@@ -121,7 +124,8 @@
         await simulation.upgrade("n0", "n1")
         await simulation.led()
         await asyncio.sleep(5.0)
-        # The last one ends before its turn and comes back old; neither then nor while it is away is it known to be new.
+        # n2 crashes before its upgrade and restarts with the older program. Neither while it is down nor afterwards may
+        # the other nodes take it for upgraded.
         simulation.crash("n2")
         assert await simulation.submit("n0", second) == 503
         await asyncio.sleep(3.0)
@@ -131,14 +135,17 @@
         await simulation.upgrade("n2")
         await wait_all_upgraded(simulation)
         assert await simulation.submit("n1", second) == 201
-        await wait_all_over(simulation, [first, second])
+        await wait_all_ended(simulation, [first, second])
 
     play(scenario, old=1)
 
 
-@any_old
+@with_each_old_format
 def test_a_node_that_the_store_refuses_gets_its_version_marker_from_its_peers(old):
-    """It can't store its marker: submissions would be answered 503 for as long as it is refused."""
+    """A node that the store refuses cannot store its own version marker.
+
+    Without its marker, submissions of dependent jobs would be answered 503 for as long as the store refuses the node.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.service.refused.add("n2")
@@ -147,7 +154,7 @@
         await simulation.until(
             lambda: simulation.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
             15.0,
-            "no marker for the node that is refused",
+            "no marker is stored for the refused node",
         )
         first = simulation.job(1, run_s=3.0)
         await simulation.accepted(first, "n0")
@@ -156,7 +163,7 @@
     play(scenario, old=old)
 
 
-@any_old
+@with_each_old_format
 def test_a_marked_node_that_is_down_does_not_delay_the_new_storage_version(old):
     async def scenario(simulation: Simulation) -> None:
         await simulation.upgrade("n2")
@@ -168,29 +175,29 @@
         await simulation.until(
             lambda: simulation.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
             10.0,
-            "waits for a node that is marked",
+            "the storage version waits for a node that has a marker",
         )
 
     play(scenario, old=old)
 
 
-@pytest.mark.parametrize("trouble", ["outage", "cut", "late writes", "crash"])
-@any_old
-def test_jobs_end_when_a_failure_meets_an_upgrade(trouble, old):
+@pytest.mark.parametrize("fault", ["outage", "cut", "late writes", "crash"])
+@with_each_old_format
+def test_jobs_end_when_a_failure_occurs_during_an_upgrade(fault, old):
     async def scenario(simulation: Simulation) -> None:
         traffic = simulation.go(submit_and_cancel(simulation, 1, 30))
         await simulation.upgrade(simulation.followers()[0])
-        lead = simulation.leader() or await simulation.led()
-        if trouble == "outage":
+        leader = simulation.leader() or await simulation.led()
+        if fault == "outage":
             simulation.service.outage(True)
             simulation.loop.call_later(14.0, simulation.service.outage, False)
-        elif trouble == "cut":
+        elif fault == "cut":
             simulation.partitions |= simulation.links_of("n0")
             simulation.loop.call_later(14.0, simulation.partitions.clear)
-        elif trouble == "late writes":
+        elif fault == "late writes":
             simulation.service.delay_writes(0.2)
         else:
-            name = lead.settings.node_name
+            name = leader.settings.node_name
             simulation.crash(name)
             simulation.start(name, old=old if name != simulation.followers()[0] else 0)
         await asyncio.sleep(3.0)
@@ -200,14 +207,14 @@
         await asyncio.sleep(12.0)
         simulation.service.write_at_once()
         await wait_all_upgraded(simulation, 30.0)
-        await wait_all_over(simulation, [*await traffic, *await submit_pipeline(simulation, 100)], 60.0)
+        await wait_all_ended(simulation, [*await traffic, *await submit_pipeline(simulation, 100)], 60.0)
 
     play(scenario, old=old)
 
 
-@any_old
-def test_nothing_new_is_written_before_all_are_new_and_then_all_fits_both_limits(old):
-    """Large records of production stay alterable after the switch, in the midst of writes."""
+@with_each_old_format
+def test_the_old_format_is_written_until_all_are_upgraded_and_lowered_limits_hold(old):
+    """Large records of the older program have to stay writable after the switch to lower limits, amid other writes."""
 
     async def scenario(simulation: Simulation) -> None:
         job_ids = []
@@ -230,45 +237,48 @@
         await simulation.accepted(first)
         job_ids += [first, simulation.job(11, run_s=3.0, awaits=[first])]
         await simulation.accepted(job_ids[-1])
-        await wait_all_over(simulation, job_ids, 120.0)
+        await wait_all_ended(simulation, job_ids, 120.0)
         assert simulation.service.refusals[400] <= 3 and simulation.service.largest <= 2048
 
     play(scenario, machines=8, old=old, state=LIMITS)
 
 
-@any_old
-def test_a_write_of_production_that_is_carried_out_late_does_not_undo_a_newer_one(old):
-    """The old leader's last transaction is carried out once all nodes are new and have written the same job."""
+@with_each_old_format
+def test_a_delayed_write_of_an_old_leader_does_not_undo_a_newer_write(old):
+    """The last transaction of a leader with the older program is carried out late.
+
+    By then all nodes are upgraded and have written the record of the same job.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         job_id = simulation.job(1, pieces=4, ends={0: 4.0, 1: 30.0, 2: 34.0, 3: 40.0})
         await simulation.accepted(job_id)
         await simulation.runs(job_id)
-        lead = simulation.current_leader_name()
-        simulation.service.late = lambda node, body: 30.0 if node == lead and body.get("apply") else None
+        leader = simulation.current_leader_name()
+        simulation.service.late = lambda node, body: 30.0 if node == leader and body.get("apply") else None
         await asyncio.sleep(5.0)
-        simulation.crash(lead)
+        simulation.crash(leader)
         simulation.service.write_at_once()
-        simulation.start(lead)
-        for name in [n for n in NAMES if n != lead]:
+        simulation.start(leader)
+        for name in [n for n in NAMES if n != leader]:
             await simulation.upgrade(name, down_s=1.0)
         await wait_all_upgraded(simulation)
         second = simulation.job(2, run_s=3.0, awaits=[job_id])
         await simulation.accepted(second)
-        await wait_all_over(simulation, [job_id, second], 60.0)
+        await wait_all_ended(simulation, [job_id, second], 60.0)
 
     play(scenario, old=old)
 
 
-@any_old
-def test_markers_are_ignored_by_production_and_stay(old):
+@with_each_old_format
+def test_version_markers_are_kept_and_older_programs_ignore_them(old):
     async def scenario(simulation: Simulation) -> None:
         await simulation.upgrade("n0")
         await asyncio.sleep(4.0)
         assert simulation.service.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
         job_id = simulation.job(1, run_s=3.0)
         await simulation.accepted(job_id, "n1")
-        await wait_all_over(simulation, [job_id])
+        await wait_all_ended(simulation, [job_id])
         assert simulation.service.keys.get(keys.STORAGE_VERSION_PREFIX + "n1", (None,))[0] == (
             None if old == 1 else {"format": 2}
         )
