--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that all folders share; the stand-ins that they give are in `harness`."""
+"""Fixtures for the tests in all folders; the fakes that they return are defined in `harness`."""
 
 import pytest
 from harness.fake_clock import Clock
@@ -16,7 +16,7 @@
     WorkerTimings,
 )
 
-# What tests import from here, and the hooks that pytest looks for here.
+# The names that tests import from this module, and the hooks that pytest looks up in it.
 __all__ = [
     "CATALOG",
     "Clock",
--- a/tests/harness/__init__.py
+++ b/tests/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Several nodes, key-value store, cloud, workers and users on one fake clock, written from PROTOCOL."""
+"""A simulated deployment on one fake clock: nodes, key-value store, cloud, workers and users, as PROTOCOL specifies."""
--- a/tests/harness/cloud.py
+++ b/tests/harness/cloud.py
@@ -1,4 +1,4 @@
-"""The stand-in for the cloud: machine list, provisioning and deletion."""
+"""A fake cloud: machine list, provisioning and deletion."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 class FakeCloud:
-    """Lists, provisions and deletes the simulation's machines; `down` makes it answer 503."""
+    """Lists, provisions and deletes the simulation's machines; responds with 503 while `down` is set."""
 
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
@@ -28,7 +28,7 @@
         body: Any,
         timeout: float,
     ) -> tuple[int, bytes]:
-        """Status and body of the response to a node's request."""
+        """Return status and body of the response to a request of a node."""
         await asyncio.sleep(LATENCY_S)
         if self.down:
             return 503, b'{"error":"trouble"}'
--- a/tests/harness/fake_clock.py
+++ b/tests/harness/fake_clock.py
@@ -1,8 +1,8 @@
-"""A clock that stands still between the steps of a test."""
+"""A fake clock that advances only when a test advances it."""
 
 
 class Clock:
-    """Seconds that pass only when a test says so; called, it gives the time now."""
+    """A fake clock; calling it returns the current time in seconds."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -11,5 +11,5 @@
         return self.now
 
     def tick(self, seconds: float) -> None:
-        """Let `seconds` pass."""
+        """Advance the clock by `seconds`."""
         self.now += seconds
--- a/tests/harness/frozen_process.py
+++ b/tests/harness/frozen_process.py
@@ -1,4 +1,4 @@
-"""A process that stands still: what it would do waits until it is thawed."""
+"""A frozen process: its coroutines are suspended until the process is thawed."""
 
 import asyncio
 import types
@@ -7,23 +7,27 @@
 
 
 @types.coroutine
-def run_while_not_frozen(work: Any, frozen: Callable[[], asyncio.Event | None]) -> Any:
-    """Run a coroutine, but for as long as `frozen` names an event; what happens meanwhile reaches it afterwards."""
+def run_while_not_frozen(coroutine: Any, thaw_event: Callable[[], asyncio.Event | None]) -> Any:
+    """Run a coroutine, suspended while its process is frozen.
+
+    The process is frozen while `thaw_event` returns an event, and is thawed once that event is set. A result, an error
+    or a cancellation that arrives meanwhile is passed to the coroutine after the thaw.
+    """
     error: BaseException | None = None
     while True:
-        event = frozen()
+        event = thaw_event()
         while event is not None:
             try:
                 yield from event.wait().__await__()
             except asyncio.CancelledError as cancelled:
                 error = cancelled
-            event = frozen()
+            event = thaw_event()
         try:
-            waits_for = work.send(None) if error is None else work.throw(error)
+            awaited = coroutine.send(None) if error is None else coroutine.throw(error)
         except StopIteration as end:
             return end.value
         error = None
         try:
-            yield waits_for
+            yield awaited
         except BaseException as raised:
             error = raised
--- a/tests/harness/key_value_store.py
+++ b/tests/harness/key_value_store.py
@@ -1,4 +1,4 @@
-"""The stand-in for the key-value store: keys, session leases, watches and transactions, with faults."""
+"""A fake key-value store: keys, session leases, watches and transactions, with fault injection."""
 
 import asyncio
 import json
@@ -15,7 +15,11 @@
 
 
 class FakeKeyValueStore:
-    """Keys, session leases, watches and transactions, with outages, refusals, lost answers and late writes."""
+    """The fake store; it can inject outages, rejections, lost responses and delayed writes.
+
+    `keys` maps each key to its value, its version and its session lease. `session_leases` maps each session lease to
+    its time to live in seconds and its expiry time.
+    """
 
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
@@ -23,30 +27,31 @@
         self.revision = 0
         self.changes: list[tuple[int, dict]] = []
         self.session_leases: dict[int, list[float]] = {}
-        self.last_lease = 0
+        self.last_lease_id = 0
         self.down = False
-        self.refused: set[str] = set()  # nodes that get 503
-        self.watch_blocked: set[str] = set()  # nodes whose watches are never answered
-        self.disconnected: set[str] = set()  # nodes whose requests get no answer
+        self.refused: set[str] = set()  # nodes that receive 503
+        self.watch_blocked: set[str] = set()  # nodes whose watches receive no response
+        self.disconnected: set[str] = set()  # nodes whose requests receive no response
+        # Seconds after which a transaction is executed without a response; None: executed at once, with a response.
         self.late: Callable[[str, dict], float | None] = lambda node, body: None
-        self.late_answer: Callable[[str, str], float] = lambda node, path: 0.0  # how late reads are answered
+        self.read_delay_s: Callable[[str, str], float] = lambda node, path: 0.0  # additional latency of a read
         self.latency_s = 0.004
-        self.limits = simulation.params.state  # those in force now
-        self.recent_writes: list[tuple[float, int]] = []  # when, and how many changes: for the limit of a second
+        self.limits = simulation.params.state  # the limits in force now
+        self.recent_writes: list[tuple[float, int]] = []  # time and number of changes, for the limit per second
         self.refusals: dict[int, int] = {400: 0, 429: 0}
-        self.largest = 0  # bytes of the largest value since `lower_limits`
+        self.largest = 0  # length in bytes of the longest value since `lower_limits`
 
     def delay_writes(self, share: float) -> None:
-        """A share of the transactions get no answer, and are carried out 2 to 12 s later."""
+        """Execute a share of the transactions 2 to 12 s late and send no response to them."""
         draws = self.simulation.random
         self.late = lambda node, body: draws.uniform(2.0, 12.0) if draws.random() < share else None
 
     def write_at_once(self) -> None:
-        """No later transaction is delayed."""
+        """Execute all further transactions without delay."""
         self.late = lambda node, body: None
 
     def expire_session_leases(self, now: float) -> None:
-        """End the session leases that nobody renewed in time, and delete their keys."""
+        """End the session leases that have expired, and delete their keys; none expires during an outage."""
         if self.down:
             return
         for lease, (_, until) in list(self.session_leases.items()):
@@ -54,6 +59,7 @@
                 self.end_session_lease(lease)
 
     def end_session_lease(self, lease: int) -> None:
+        """End a session lease and delete its keys."""
         del self.session_leases[lease]
         self.revision += 1
         for k in [k for k, v in self.keys.items() if v[2] == lease]:
@@ -61,47 +67,54 @@
             self.changes.append((self.revision, {"delete": k, "stamp": self.revision}))
 
     def outage(self, on: bool) -> None:
+        """Begin or end an outage; after it every session lease has its full time to live again."""
         self.down = on
         if not on:
-            for h in self.session_leases.values():
-                h[1] = self.simulation.now() + h[0]
+            for lease in self.session_leases.values():
+                lease[1] = self.simulation.now() + lease[0]
 
     def refuses(self, node: str) -> bool:
+        """Whether requests of a node receive 503."""
         return self.down or node in self.refused
 
     async def call(self, node: str, method: str, path: str, body: Any, timeout: float) -> tuple[int, bytes]:
+        """Return status and body of the response to a request of a node, with the injected faults.
+
+        Raise NoResponseError after `timeout` seconds if no response arrives.
+        """
         body = json.loads(json.dumps(body)) if body is not None else None
         await asyncio.sleep(self.latency_s / 2)
         if node in self.disconnected:
             await asyncio.sleep(timeout)
-            raise NoResponseError("cut")
+            raise NoResponseError("disconnected")
         if self.refuses(node):
             return 503, b"{}"
         if path == "/commit":
-            after = self.late(node, body)
-            if after is not None:
-                asyncio.get_running_loop().call_later(after, self.commit, body)
+            delay_s = self.late(node, body)
+            if delay_s is not None:
+                asyncio.get_running_loop().call_later(delay_s, self.commit, body)
                 await asyncio.sleep(timeout)
-                raise NoResponseError("late")
+                raise NoResponseError("transaction delayed")
         if path.startswith("/changes"):
             status, out = await self.watch(node, path, timeout)
         else:
             status, out = self.respond(method, path, body)
-        late_s = self.late_answer(node, path) if method == "GET" else 0.0
-        await asyncio.sleep(self.latency_s / 2 + late_s)
+        read_delay_s = self.read_delay_s(node, path) if method == "GET" else 0.0
+        await asyncio.sleep(self.latency_s / 2 + read_delay_s)
         if node in self.disconnected:
             await asyncio.sleep(timeout)
-            raise NoResponseError("cut")
+            raise NoResponseError("disconnected")
         return status, json.dumps(out).encode()
 
     def respond(self, method: str, path: str, body: Any) -> tuple[int, dict]:
+        """Execute a request other than a watch; return status and body of the response."""
         if path == "/commit":
             return self.commit(body)
         if path == "/holds":
-            self.last_lease += 1
+            self.last_lease_id += 1
             ttl = body["ttlMs"] / 1000
-            self.session_leases[self.last_lease] = [ttl, self.simulation.now() + ttl]
-            return 200, {"hold": self.last_lease}
+            self.session_leases[self.last_lease_id] = [ttl, self.simulation.now() + ttl]
+            return 200, {"hold": self.last_lease_id}
         if path.startswith("/holds/"):
             lease = int(path.split("/")[2])
             if lease not in self.session_leases:
@@ -114,17 +127,19 @@
         if path.startswith("/store?"):
             entries = [{"k": k, "value": v, "stamp": s} for k, (v, s, _) in sorted(self.keys.items())]
             return 200, {"entries": entries, "more": False, "epoch": self.revision}
-        got = self.keys.get(path[len("/store/") :])
-        return (404, {"epoch": self.revision}) if got is None else (200, {"value": got[0], "stamp": got[1]})
+        stored = self.keys.get(path[len("/store/") :])
+        return (404, {"epoch": self.revision}) if stored is None else (200, {"value": stored[0], "stamp": stored[1]})
 
     def lower_limits(self) -> None:
-        """The limits to come are in force, without notice."""
-        now, later = self.limits, self.limits.next
-        self.limits = StoreLimits(*now.rates_per_s(True), later.value_kb or now.value_kb, later.txn_ops or now.txn_ops)
+        """Put the announced lower limits in force at once, without notice to the nodes."""
+        current, upcoming = self.limits, self.limits.next
+        self.limits = StoreLimits(
+            *current.rates_per_s(True), upcoming.value_kb or current.value_kb, upcoming.txn_ops or current.txn_ops
+        )
         self.largest = 0
 
-    def over_limits(self, changes: list[dict]) -> tuple[int, dict] | None:
-        """The answer to a transaction that is over a limit."""
+    def reject_over_limits(self, changes: list[dict]) -> tuple[int, dict] | None:
+        """Return the error response to a transaction that exceeds a limit; None for one within all limits."""
         largest = max((len(json.dumps(a["value"])) for a in changes if "set" in a), default=0)
         self.largest = max(self.largest, largest)
         if len(changes) > self.limits.txn_ops or largest > self.limits.value_kb * 1024:
@@ -139,9 +154,10 @@
         return None
 
     def commit(self, body: dict) -> tuple[int, dict]:
-        over = self.over_limits(body.get("apply", []))
-        if over is not None:
-            return over
+        """Execute a transaction; return status and body of the response."""
+        rejection = self.reject_over_limits(body.get("apply", []))
+        if rejection is not None:
+            return rejection
         failed = [c["k"] for c in body["when"] if self.keys.get(c["k"], (None, 0, None))[1] != c["stamp"]]
         if any("hold" in a and a["hold"] not in self.session_leases for a in body.get("apply", ())):
             return 400, {"error": "no such lease"}
@@ -159,9 +175,13 @@
         return 200, {"epoch": self.revision}
 
     async def watch(self, node: str, path: str, timeout: float) -> tuple[int, dict]:
+        """Return the changes since a revision once there are any, or none after the time that the request allows.
+
+        Raise NoResponseError after `timeout` seconds if faults have held back the response until then.
+        """
         args = dict(a.split("=") for a in path.partition("?")[2].split("&"))
         after, until = int(args["after"]), self.simulation.now() + int(args["blockMs"]) / 1000
-        give_up = self.simulation.now() + timeout
+        times_out_at = self.simulation.now() + timeout
         while True:
             changes = [c for e, c in self.changes if e > after]
             if (
@@ -170,6 +190,6 @@
                 and (changes or self.simulation.now() >= until)
             ):
                 return 200, {"epoch": self.revision, "log": changes}
-            if self.simulation.now() >= give_up:
-                raise NoResponseError("watch")
+            if self.simulation.now() >= times_out_at:
+                raise NoResponseError("watch timed out")
             await asyncio.sleep(0.05)
--- a/tests/harness/leader_fixture.py
+++ b/tests/harness/leader_fixture.py
@@ -1,4 +1,4 @@
-"""A leader's job table, fleet and scheduler without its loops, for tests of single decisions."""
+"""A leader's job table, fleet and scheduler without its background loops, for unit tests of single decisions."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -24,7 +24,10 @@
 
 
 class Cluster:
-    """A leader's parts without its loops: `submit`, `beat` and `store` play users, workers and the job writer."""
+    """A leader's job table, fleet and scheduler.
+
+    `submit`, `beat` and `store` stand in for users, workers and the job writer.
+    """
 
     def __init__(self, params: PlatformParameters, clock: Clock) -> None:
         self.clock = clock
@@ -35,10 +38,10 @@
         self.fleet.begin_validity(clock())
         self.scheduler = Scheduler(params, self.table, self.fleet, clock, time_of_day=lambda: clock() - 1000.0)
         self.stamp = 10
-        self.ticks: dict[str, int] = {}
+        self.sequence_numbers: dict[str, int] = {}
 
     def submit(self, n: int = 1, **changes: Any) -> Job:
-        """The record of a new job arrives, submitted at `n` seconds."""
+        """Apply the record of a new job that was submitted at `n` seconds; return the job."""
         spec = description(n, **changes)
         record = {"phase": "open", "n": spec["pieces"], "next": 1, "on": [], "spec": spec, "at": float(n), "done": ""}
         self.stamp += 1
@@ -46,7 +49,7 @@
         return self.table.jobs[spec["ref"]]
 
     def store(self) -> None:
-        """Confirm a write of every job that has unsaved changes."""
+        """Confirm a write of the record of every job that has unsaved changes."""
         for job in list(self.table.open_jobs.values()):
             if job.has_unsaved_changes:
                 self.stamp += 1
@@ -66,16 +69,19 @@
         notice: float | None = None,
         tick: int | None = None,
     ) -> list[tuple[str, str, int]] | None:
-        """Process a heartbeat with tasks as (id, attempt, phase, cause): the commands as (action, task id, attempt).
+        """Process a heartbeat; return the commands of the response as (action, task id, attempt).
 
-        None where the worker gets no response. `tick` is the sequence number; without it the next one is used.
+        `tasks` are given as (id, attempt, phase, cause). `token` is the fencing token of the heartbeat, `tenure` its
+        epoch and `tick` its sequence number; without `tick` it has the next number. Return None if the worker receives
+        no response.
         """
-        if tick is None and name not in self.ticks:
-            # Tasks are placed on a worker once it has shown that it gets responses: by a second heartbeat soon after.
-            self.ticks[name] = 0
+        if tick is None and name not in self.sequence_numbers:
+            # The scheduler places tasks on a worker only after the worker has shown that it receives responses: by a
+            # second heartbeat soon after the first.
+            self.sequence_numbers[name] = 0
             self.beat(name, tasks, token, tenure, zone, spot)
-        sequence = self.ticks.get(name, 0) + 1 if tick is None else tick
-        self.ticks[name] = sequence
+        sequence = self.sequence_numbers.get(name, 0) + 1 if tick is None else tick
+        self.sequence_numbers[name] = sequence
         heartbeat = heartbeat_messages.Heartbeat(
             machine=name,
             epoch=tenure,
--- a/tests/harness/leading_node.py
+++ b/tests/harness/leading_node.py
@@ -1,4 +1,4 @@
-"""A node that leads a fleet with one running job a machine, and the heartbeats of its workers."""
+"""A leader node for a fleet that runs one job on each machine, and the heartbeats of its workers."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 def make_leader(node: Node, clock: Clock, fencing_token: int) -> None:
-    """A node holds the leader key and a quorum lease, given by node `n1`, from now on."""
+    """Make a node the leader: it holds the leader key, and a quorum lease that node `n1` has acknowledged."""
     leadership = node.leadership
     leadership.role = Role.LEADER
     leadership.lease_mode = LeaseMode.QUORUM_LEASE
@@ -26,10 +26,11 @@
 
 
 def unstarted_node(params: PlatformParameters, clock: Clock) -> Node:
-    """Node `n0` of three; it has connected to nothing.
+    """Return node `n0` of three; it is not started and has no connections.
 
-    It gets the clock when it is made: set afterwards, the machine's own uptime decided whether a node had just
-    started, and a test of that failed on machines that were up for less than the fake clock's first 1,000 s.
+    The constructor receives the fake clock, because a node stores its start time when it is created. If the clock were
+    replaced afterwards, that time would be the uptime of the host, and tests of whether a node has just started would
+    fail on hosts with an uptime of less than 1,000 s, the initial time of the fake clock.
     """
     seeds = [PeerSeed(f"n{i}", f"127.0.0.1:{7000 + i}") for i in (1, 2)]
     services = ExternalServices("127.0.0.1:1", "127.0.0.1:2")
@@ -37,7 +38,7 @@
 
 
 def report(number: int, tick: int) -> bytes:
-    """The heartbeat with sequence number `tick` of machine `number`, which runs its job."""
+    """Return the body of a heartbeat of machine `number`, which runs its job, with sequence number `tick`."""
     tasks = [{"piece": f"run-{number:06d}/0", "try": 1, "phase": "running"}]
     return msgspec.json.encode(
         {"host": f"vm-{number:06d}", "hull": "g4", "yard": "east", "tenure": 1, "tick": tick, "mandate": FENCING_TOKEN,
@@ -46,7 +47,7 @@
 
 
 def leading(params: PlatformParameters, clock: Clock, machines: int) -> Node:
-    """A leader with a job running on each machine of a fleet."""
+    """Return a leader of a fleet that runs one job on each machine."""
     node = unstarted_node(params, clock)
     make_leader(node, clock, FENCING_TOKEN)
     for number in range(machines):
--- a/tests/harness/older_versions.py
+++ b/tests/harness/older_versions.py
@@ -1,10 +1,11 @@
-"""Versions that were in production, as newer ones meet them: what they require, and nodes that follow them.
-
-Written from their code; `docs/design.md` has the same as a table. Format 1 (up to e723b3b) reads a job record's
-`phase`, `n`, `next`, `on` (lists of machine, tenure, attempt, ranges of tasks), `spec` (the fields of a submission
-without `awaits`), `at` and `done`, and drops all else when it writes the record again. Format 2 (0dce834) reads
-`ended`, `spec.awaits` and `packed` as well, and keepers' keys with `machines` or `packed`; one with neither stands for
-any machine. Both ignore keys that they do not know and unknown fields of messages.
+"""Earlier versions that were in production: what their decoders require, and nodes that behave as they did.
+
+This is derived from the code of those versions; `docs/design.md` has the same as a table. Format 1 (up to e723b3b)
+reads the fields `phase`, `n`, `next`, `on` (lists of machine, tenure, attempt, ranges of tasks), `spec` (the fields of
+a submission without `awaits`), `at` and `done` of a job record, and drops all other fields when it writes the record
+again. Format 2 (0dce834) also reads `ended`, `spec.awaits` and `packed`, and the keys of lease delegations with
+`machines` or `packed`; a delegation with neither field covers every machine. Both formats ignore unknown keys and
+unknown fields of messages.
 """
 
 import json
@@ -23,48 +24,48 @@
     "cards": float, "memGb": float, "bundle": str, "sizeGb": float, "samePlace": bool, "spread": bool,
     "loaners": bool, "guessS": float, "pinEveryS": float, "pinCostS": float,
 }  # fmt: skip
-SPEC_OPTIONAL = {"hulls", "yard", "dueS"}
+OPTIONAL_SPEC_FIELDS = {"hulls", "yard", "dueS"}
 RECORD_FIELDS = {"phase", "n", "next", "on", "spec", "at", "done"}
 FORMAT_2_FIELDS = {"ended", "packed"}
 
 
 def misread(value: Any) -> list[str]:
-    """What the decoder of format 1 would lose or take for something else in a job record; empty: nothing."""
-    wrong = [f"unknown field {name}" for name in value.keys() - RECORD_FIELDS]
+    """Return what the decoder of format 1 would drop from a job record or misinterpret; empty if it reads all of it."""
+    problems = [f"unknown field {name}" for name in value.keys() - RECORD_FIELDS]
     if value.get("phase") not in ("open", "done", "withdrawn"):
-        wrong.append("phase")
-    wrong += [name for name in ("n", "next") if type(value.get(name)) is not int]
-    for start in value.get("on", ()):
-        machine, tenure, attempt, tasks = start
+        problems.append("phase")
+    problems += [name for name in ("n", "next") if type(value.get(name)) is not int]
+    for allocation in value.get("on", ()):
+        machine, tenure, attempt, tasks = allocation
         if [type(x) for x in (machine, tenure, attempt, tasks)] != [str, int, int, str]:
-            wrong.append(f"on: {start}")
-        for part in tasks.split(","):
-            first, _, last = part.partition("-")
+            problems.append(f"on: {allocation}")
+        for task_range in tasks.split(","):
+            first, _, last = task_range.partition("-")
             if not first.isdigit() or not (last or first).isdigit():
-                wrong.append(f"on: {start}")
+                problems.append(f"on: {allocation}")
     spec = value.get("spec")
     if spec is None:
         if value.get("phase") == "open" or value.get("on"):
-            wrong.append("no spec")
-        return wrong
+            problems.append("no spec")
+        return problems
     if not isinstance(value.get("at"), int | float) or not isinstance(value.get("done"), str):
-        wrong.append("at or done")
-    wrong += [f"unknown field spec.{name}" for name in spec.keys() - SPEC_FIELDS.keys() - SPEC_OPTIONAL]
+        problems.append("at or done")
+    problems += [f"unknown field spec.{name}" for name in spec.keys() - SPEC_FIELDS.keys() - OPTIONAL_SPEC_FIELDS]
     for name, kind in SPEC_FIELDS.items():
         if not isinstance(spec.get(name), (int, float) if kind is float else kind):
-            wrong.append(f"spec.{name}")
-    return wrong
+            problems.append(f"spec.{name}")
+    return problems
 
 
 class Format1Node(Node):
-    """A node that writes and says only what programs of format 1 do, and reports what they would misread."""
+    """A node that writes and sends only what programs of format 1 do; `broken` lists what they would misread."""
 
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         limits = settings.platform
         limits = msgspec.structs.replace(limits, state=msgspec.structs.replace(limits.state, next=None))
         super().__init__(msgspec.structs.replace(settings, platform=limits), clock, wall)
         self.broken = broken
-        self.dispatch = self.key_dispatcher.apply_key
+        self.apply_any_key = self.key_dispatcher.apply_key
         self.key_dispatcher.apply_key = self._apply_key
         self.leadership.exchange.local_status = PeerStatus
         self.leadership.exchange.on_peer_status = lambda node, about: None
@@ -73,19 +74,19 @@
         self.job_writer.packing_enabled = self.job_service.packing_enabled = lambda: False
         self.lease_delegate.packed_names = self.lease_delegate.numbered_names = lambda: False
         submit = self.job_service.submit
-        self.job_service.submit = lambda body: submit(without_needs(body))
+        self.job_service.submit = lambda body: submit(without_dependencies(body))
 
     def _apply_key(self, key: str, value: Any, version: int) -> None:
         if key.startswith(keys.JOB_PREFIX):
-            wrong = misread(value)
-            if wrong:
-                self.broken.append(f"format 1 misreads {key}: {wrong}")
+            problems = misread(value)
+            if problems:
+                self.broken.append(f"format 1 misreads {key}: {problems}")
         if key.startswith((keys.JOB_PREFIX, keys.LEADER_KEY, keys.LEASE_DELEGATE_PREFIX, keys.CATALOG_KEY)):
-            self.dispatch(key, value, version)
+            self.apply_any_key(key, value, version)
 
 
 class Format2Gate(StorageVersionGate):
-    """Markers as programs of format 2 know them: they never replace one, whatever it says."""
+    """The storage version gate of format 2, which never replaces an existing marker, whatever its value is."""
 
     def record_reported_version(self, node: str, known: object) -> None:
         super().record_reported_version(
@@ -99,12 +100,12 @@
 
 
 class Format2Node(Node):
-    """A node that writes and says only what programs of format 2 do, and reports what they would misread."""
+    """A node that writes and sends only what programs of format 2 do; `broken` lists what they would misread."""
 
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
         self.broken = broken
-        self.dispatch = self.key_dispatcher.apply_key
+        self.apply_any_key = self.key_dispatcher.apply_key
         self.key_dispatcher.apply_key = self._apply_key
         self.leadership.vote_fence = None
         self.storage_version = Format2Gate(settings.node_name, [s.node_name for s in settings.seeds], self.store, 2)
@@ -120,13 +121,13 @@
             if unknown:
                 self.broken.append(f"format 2 misreads {key}: {unknown}")
         if key.startswith(keys.LEASE_DELEGATE_PREFIX) and not {"machines", "packed"} & value.keys():
-            self.broken.append(f"format 2 takes {key} to name any machine")
+            self.broken.append(f"format 2 reads {key} as a delegation of every machine")
         if not key.startswith(keys.VOTE_FENCE_PREFIX):
-            self.dispatch(key, value, version)
+            self.apply_any_key(key, value, version)
 
 
 class Format3Node(Node):
-    """A node that writes and says only what programs of format 3 do: drains and cordons mean nothing to it."""
+    """A node that writes and sends only what programs of format 3 do; it ignores drains and cordons."""
 
     def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
         super().__init__(settings, clock, wall)
@@ -137,8 +138,8 @@
 OLD_NODES = {1: Format1Node, 2: Format2Node, 3: Format3Node}
 
 
-def without_needs(body: bytes) -> bytes:
-    """A submission as programs of format 1 understand it."""
+def without_dependencies(body: bytes) -> bytes:
+    """Return a submission without its dependencies, which programs of format 1 ignore."""
     fields = json.loads(body)
     fields.pop("awaits", None)
     return json.dumps(fields).encode()
--- a/tests/harness/peer_link.py
+++ b/tests/harness/peer_link.py
@@ -1,48 +1,48 @@
-"""One node's messages to another, with delays, partitions and frozen receivers."""
+"""The link from one node to a peer, with delays, partitions and frozen receivers."""
 
 import asyncio
 from typing import TYPE_CHECKING
 
 import cbor2
 
-from harness.worker import WIRE_S
+from harness.worker import NETWORK_DELAY_S
 
 if TYPE_CHECKING:
     from harness.simulation import Simulation
 
 
 class PeerLink:
-    """One node's messages to another."""
+    """The link from node `sender` to the peer `name`."""
 
     def __init__(self, simulation: "Simulation", sender: str, name: str) -> None:
         self.simulation = simulation
         self.sender = sender
         self.name = name
-        self.delay_s = WIRE_S
+        self.delay_s = NETWORK_DELAY_S
 
     async def call(self, message: dict, timeout: float = 1.0) -> dict | None:
-        """The receiver's answer; None where none comes within `timeout` seconds."""
+        """Send a message; return the response, or None if there is none within `timeout` seconds."""
         if frozenset((self.sender, self.name)) in self.simulation.partitions:
             await asyncio.sleep(timeout)
             return None
-        sent = cbor2.dumps(message)
+        encoded = cbor2.dumps(message)
         await asyncio.sleep(self.delay_s)
         try:
             async with asyncio.timeout(timeout):
                 await self.simulation.wait_while_frozen(self.name)
         except TimeoutError:
-            # What was sent is read once the process goes on, and nobody waits for the answer.
-            self.simulation.go(self._read_later(sent))
+            # The receiver reads the message after its process is thawed; the sender no longer waits for a response.
+            self.simulation.go(self._deliver_after_thaw(encoded))
             return None
         node = self.simulation.nodes.get(self.name)
         if node is None:
             return None
-        answer = cbor2.dumps(node.leadership.handle_peer_message(cbor2.loads(sent)))
+        response = cbor2.dumps(node.leadership.handle_peer_message(cbor2.loads(encoded)))
         await asyncio.sleep(self.delay_s)
-        return cbor2.loads(answer)
+        return cbor2.loads(response)
 
-    async def _read_later(self, sent: bytes) -> None:
+    async def _deliver_after_thaw(self, encoded: bytes) -> None:
         await self.simulation.wait_while_frozen(self.name)
         node = self.simulation.nodes.get(self.name)
         if node is not None:
-            node.leadership.handle_peer_message(cbor2.loads(sent))
+            node.leadership.handle_peer_message(cbor2.loads(encoded))
--- a/tests/harness/play.py
+++ b/tests/harness/play.py
@@ -1,4 +1,4 @@
-"""Playing a scenario from its beginning to a checked end."""
+"""Runs a scenario on virtual time and checks the rules."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -9,18 +9,18 @@
 
 
 def play(
-    scenario: Callable[[Simulation], Coroutine[Any, Any, Any]], machines: int = 4, old: int = 0, **limits: Any
+    scenario: Callable[[Simulation], Coroutine[Any, Any, Any]], machines: int = 4, old: int = 0, **options: Any
 ) -> Simulation:
-    """Run a scenario in a simulation whose nodes have a leader and whose machines report; no rule may break.
+    """Run a scenario in a simulation that has a leader and machines with workers; assert that it breaks no rule.
 
-    `old`: the nodes begin with a program that knows this format only.
+    With `old`, the nodes start with a program of that storage format; 0 is the current program.
     """
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     simulations: list[Simulation] = []
 
     async def main() -> Simulation:
-        simulation = Simulation(**limits)
+        simulation = Simulation(**options)
         simulations.append(simulation)
         for i in range(machines):
             simulation.machine("east" if i % 2 == 0 else "west")
@@ -38,11 +38,11 @@
             event.set()
         for each in simulations:
             each.frozen.clear()
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        remaining = asyncio.all_tasks(loop)
+        for task in remaining:
             task.cancel()
-        if left:
-            loop.run_until_complete(asyncio.wait(left, timeout=1.0))
+        if remaining:
+            loop.run_until_complete(asyncio.wait(remaining, timeout=1.0))
         asyncio.set_event_loop(None)
         loop.close()
     assert simulation.broken == []
--- a/tests/harness/rules.py
+++ b/tests/harness/rules.py
@@ -1,4 +1,4 @@
-"""The rules of the platform, checked on machines and in responses while a scenario plays."""
+"""The oracle for the rules of the platform: checks machines and responses while a scenario runs."""
 
 import json
 from dataclasses import dataclass, field
@@ -11,49 +11,49 @@
 
 
 @dataclass
-class JobFacts:
-    """What is true of a job, and what its user was answered."""
+class JobState:
+    """The true state of a job, and what the responses to its user have said."""
 
     spec: dict
     run_s: float
-    save_s: float = 0.0  # how long its tasks save when they are stopped
-    ends: dict[int, float] = field(default_factory=dict)  # run time of single tasks, where it differs
+    save_s: float = 0.0  # how long its tasks take to save a checkpoint when they are stopped
+    ends: dict[int, float] = field(default_factory=dict)  # by task number: run times that differ from `run_s`
     accepted: bool = False
     cancelled_at: float | None = None
-    asked_to_cancel: bool = False
+    cancel_requested: bool = False
     final: str | None = None
     done: set[int] = field(default_factory=set)
     starts: int = 0
     first_start: float | None = None
-    cancelled_response_at: float | None = None  # when its user first got `withdrawn`
+    cancelled_response_at: float | None = None  # time of the first response with `withdrawn`
 
     def needs(self) -> list[str]:
-        """The jobs that it depends on directly."""
+        """Return the jobs that this job depends on directly."""
         return self.spec.get("awaits") or []
 
 
 class RuleChecker:
-    """Checks the platform's rules against what is true; what breaks is added to the simulation's `broken`."""
+    """Checks the rules of the platform against the true state; adds violations to `broken` of the simulation."""
 
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
 
-    def check_start(self, worker: FakeWorker, task_id: str, job: JobFacts, now: float) -> None:
-        """A task is about to run on a machine: place, quota, dependencies, and no other machine has it."""
+    def check_start(self, worker: FakeWorker, task_id: str, job: JobState, now: float) -> None:
+        """Check a task that is about to run: placement, quota, dependencies, and that it runs on no other machine."""
         job_id = task_id.rpartition("/")[0]
         job.starts += 1
         job.first_start = now if job.first_start is None else job.first_start
-        there = [
+        occupying = [
             (w, p)
             for w in self.simulation.workers.values()
             for p, t in w.tasks.items()
             if t.occupies_machine() and self.may_still_run(w, now)
         ]
-        for other, p in there:
+        for other, p in occupying:
             if p == task_id and other is not worker:
                 self.simulation.broken.append(f"ran_twice: {task_id} on {other.name} and {worker.name} at {now:.1f}")
         spec = job.spec
-        zones = {w.zone for w, p in there if p.rpartition("/")[0] == job_id}
+        zones = {w.zone for w, p in occupying if p.rpartition("/")[0] == job_id}
         if (spec["samePlace"] and zones - {worker.zone}) or (spec["yard"] not in (None, worker.zone)):
             self.simulation.broken.append(f"wrong_place: {task_id} in {worker.zone}, others in {zones}")
         if worker.spot and not spec["loaners"]:
@@ -61,7 +61,7 @@
         team = next(t for t in self.simulation.params.teams if t.name == spec["owner"])
         used = spec["cards"] + sum(
             self.simulation.jobs[p.rpartition("/")[0]].spec["cards"]
-            for _, p in there if self.simulation.jobs[p.rpartition("/")[0]].spec["owner"] == team.name
+            for _, p in occupying if self.simulation.jobs[p.rpartition("/")[0]].spec["owner"] == team.name
         )  # fmt: skip
         if team.gpus_max and used > team.gpus_max + 1e-9:
             self.simulation.broken.append(f"quota: {team.name} uses {used}")
@@ -70,11 +70,14 @@
                 self.simulation.broken.append(f"too_early: {task_id} before {need}")
 
     def may_still_run(self, worker: FakeWorker, now: float) -> bool:
-        """Whether a worker may still run what it has: one that hangs ends its tasks first once its lease is over."""
+        """Whether a worker may still run its tasks.
+
+        After its lease has expired it may not: even a worker that has hung kills its tasks before anything else.
+        """
         return now <= worker.lease_from + self.simulation.params.workers.lease_s
 
     def check_cancelled(self, now: float) -> None:
-        """No task is on a machine for longer than `cancel_s` after its cancellation was confirmed."""
+        """Check that no task stays on a machine for more than `cancel_s` after its cancellation was confirmed."""
         for worker in self.simulation.workers.values():
             for task_id, task in worker.tasks.items():
                 at = self.simulation.jobs[task_id.rpartition("/")[0]].cancelled_at
@@ -83,30 +86,30 @@
                     self.simulation.jobs[task_id.rpartition("/")[0]].cancelled_at = None  # reported once
 
     def _ancestors(self, job_id: str) -> set[str]:
-        """The jobs that a job needs, directly or through others."""
-        found: set[str] = set()
+        """Return the jobs that a job depends on, directly or indirectly."""
+        ancestors: set[str] = set()
         stack = [job_id]
         while stack:
-            more = set(self.simulation.jobs[stack.pop()].needs()) - found
-            found |= more
-            stack.extend(more)
-        return found
+            added = set(self.simulation.jobs[stack.pop()].needs()) - ancestors
+            ancestors |= added
+            stack.extend(added)
+        return ancestors
 
     def _check_ancestors(self, job_id: str, phase: str) -> None:
-        """A response about a job agrees with the phases of the jobs that it depends on."""
+        """Check that the phase in a response agrees with the state of the jobs that the job depends on."""
         ancestors = [self.simulation.jobs[a] for a in self._ancestors(job_id)]
-        if phase == "withdrawn" and not any(j.asked_to_cancel for j in (self.simulation.jobs[job_id], *ancestors)):
-            self.simulation.broken.append(f"went_back: {job_id} cancelled by nobody")
-        answered_at = min(
+        if phase == "withdrawn" and not any(j.cancel_requested for j in (self.simulation.jobs[job_id], *ancestors)):
+            self.simulation.broken.append(f"went_back: {job_id} is cancelled without a request")
+        first_response_at = min(
             (j.cancelled_response_at for j in ancestors if j.cancelled_response_at is not None), default=None
         )
-        if phase in ("pending", "running") and answered_at is not None:
-            late = self.simulation.now() - answered_at - self.simulation.params.workers.cancel_s
+        if phase in ("pending", "running") and first_response_at is not None:
+            late = self.simulation.now() - first_response_at - self.simulation.params.workers.cancel_s
             if late > 0:
                 self.simulation.broken.append(f"orphaned: {job_id} {phase} {late:.1f} s too late")
 
     def check_response(self, job_id: str, status: int, raw: bytes) -> None:
-        """A response to a user agrees with what is true and with earlier ones."""
+        """Check that a response to a user agrees with the true state and with earlier responses."""
         job = self.simulation.jobs.get(job_id)
         if status == 404 and job is not None and job.accepted:
             self.simulation.broken.append(f"forgotten: {job_id} answered 404")
--- a/tests/harness/scripted_store.py
+++ b/tests/harness/scripted_store.py
@@ -1,4 +1,4 @@
-"""A key-value store client for tests of single parts: in memory, with failures chosen by hand."""
+"""A fake key-value store client in memory, for unit tests, with scripted failures."""
 
 import asyncio
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 class FakeState:
-    """The store's client with its keys in memory; `mode` chooses how requests fail, `requests` lists them."""
+    """The fake client: `mode` selects how requests fail, `requests` lists all requests in order."""
 
     def __init__(self, limits: StoreLimits) -> None:
         self.limits = limits
@@ -18,15 +18,15 @@
         self.max_value_bytes = usable_value_bytes(limits.lowest_value_kb())
         self.keys: dict[str, tuple[object, int]] = {}
         self.epoch = 0
-        self.mode = "ok"  # ok | down | lost (not executed, no answer) | ghost (executed, no answer)
+        self.mode = "ok"  # ok | down | lost (not executed, no response) | ghost (executed, no response)
         self.requests: list[str] = []
 
     def batch_size(self) -> int:
-        """Changes in one transaction."""
+        """Return the most changes that fit into one transaction."""
         return self.max_transaction_changes
 
     def max_plain_value_bytes(self) -> int:
-        """The longest value under the limits in force now."""
+        """Return the length in bytes of the longest value under the limits that are in force now."""
         return usable_value_bytes(self.limits.value_kb)
 
     def healthy(self) -> bool:
@@ -34,11 +34,11 @@
         return self.mode != "down"
 
     def has_recent_response(self) -> bool:
-        """Whether its last request was answered."""
+        """Whether the last request received a response."""
         return self.mode == "ok"
 
     async def revoke_session_lease(self, lease: int) -> None:
-        """End the session lease, and the leader key with it."""
+        """End the session lease and delete the leader key, which is attached to it."""
         self._begin_request("drop")
         self.keys.pop("hookwall/leader", None)
 
@@ -50,17 +50,17 @@
             raise OutcomeUnknownError("timeout")
 
     async def get(self, key: str) -> tuple[Any, int] | None:
-        """Value and version of a key; None where it is absent."""
+        """Return value and version of a key; None if it is absent."""
         self._begin_request(f"get {key}")
         return self.keys.get(key)
 
     async def read(self, key: str) -> VersionedValue:
-        """Value and version of a key, and the store's revision; version 0 where it is absent."""
+        """Return value and version of a key, and the store's revision; the version is 0 if the key is absent."""
         stored = await self.get(key)
         return VersionedValue(None, 0, self.epoch) if stored is None else VersionedValue(*stored, stored[1])
 
     async def scan(self, prefix: str) -> tuple[list[tuple[str, Any, int]], int]:
-        """Keys with a prefix, with values and versions, and the store's revision."""
+        """Return the keys with a prefix, with their values and versions, and the store's revision."""
         self._begin_request("scan")
         entries = [
             (key, value, version) for key, (value, version) in sorted(self.keys.items()) if key.startswith(prefix)
@@ -75,10 +75,10 @@
         timeout: float = 1.5,
         delete: Sequence[str] = (),
     ) -> int:
-        """Write and delete keys if all of `when` have these versions: the revision after it.
+        """Write and delete keys if all keys of `when` have the versions given there; return the new revision.
 
-        Raises PreconditionFailedError where they have others, and in mode `ghost`, after the write,
-        OutcomeUnknownError.
+        Raise PreconditionFailedError if one has another version. In mode `ghost`, raise OutcomeUnknownError after the
+        write.
         """
         self._begin_request("commit" if put or delete else "compare")
         await asyncio.sleep(0)
@@ -96,11 +96,11 @@
         return self.epoch
 
     async def grant_session_lease(self, ttl: float) -> int:
-        """The id of a new session lease."""
+        """Grant a session lease; return its id."""
         self._begin_request("hold")
         return 7
 
     async def renew_session_lease(self, lease: int) -> bool:
-        """Whether the session lease still exists."""
+        """Renew a session lease; return whether it still exists."""
         self._begin_request("extend")
         return True
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -1,7 +1,7 @@
-"""A simulated deployment on one fake clock: nodes, key-value store, cloud, workers and users, after PROTOCOL.
+"""A simulated deployment on virtual time: nodes, key-value store, cloud, workers and users, as PROTOCOL specifies.
 
-Scenarios bring about meetings of troubles and assert the platform's rules themselves: what is on which machine
-when, and what users were answered. Nothing here waits: the event loop's time is the fake clock.
+Scenarios inject faults that coincide and assert the rules of the platform directly: which task is on which machine at
+which time, and which responses users receive. No real time passes: the event loop runs on virtual time.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from harness.key_value_store import FakeKeyValueStore
 from harness.older_versions import OLD_NODES
 from harness.peer_link import PeerLink
-from harness.rules import JobFacts, RuleChecker
+from harness.rules import JobState, RuleChecker
 from harness.users import UserRequests
 from harness.worker import STEP_S, FakeWorker, Task
 from hookwall.config.operations import Operations
@@ -32,31 +32,31 @@
 )
 from hookwall.node.node import Node
 
-RUNS_IN: contextvars.ContextVar[str] = contextvars.ContextVar("the node that a task belongs to")
+CURRENT_NODE: contextvars.ContextVar[str] = contextvars.ContextVar("the node to which an asyncio task belongs")
 WORKERS = WorkerTimings(report_s=2.0, lease_s=12.0, gang_wait_s=40.0, gang_peer_s=8.0, cancel_s=37.0)
 
 
-def path(url: str) -> str:
-    """The path of `http://host:port/path`."""
+def url_path(url: str) -> str:
+    """Return the path of a URL of the form `http://host:port/path`."""
     return "/" + url.split("/", 3)[3]
 
 
 class Simulation(UserRequests):
-    """Everything together; `broken` lists the rules that did not hold."""
+    """The whole deployment; `broken` lists the violations of the rules."""
 
-    def __init__(self, nodes: int = 3, **limits: Any) -> None:
+    def __init__(self, nodes: int = 3, **options: Any) -> None:
         self.random = random.Random(7)
         random.seed(7)
         self.loop = asyncio.get_running_loop()
         self.params = PlatformParameters(
             size=nodes,
             zones=["east", "west"],
-            workers=limits.get("workers", WORKERS),
-            state=limits.get("state", StoreLimits(rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12)),
+            workers=options.get("workers", WORKERS),
+            state=options.get("state", StoreLimits(rps=150.0, write_rps=50.0, value_kb=16.0, txn_ops=12)),
             cloud=CloudLimits(rps=2.0, list_lag_s=5.0),
-            teams=limits.get("teams", [TeamQuota("red", gpus=8.0, gpus_max=8.0), TeamQuota("grey")]),
+            teams=options.get("teams", [TeamQuota("red", gpus=8.0, gpus_max=8.0), TeamQuota("grey")]),
         )
-        self.operations: Operations | None = limits.get("operations")
+        self.operations: Operations | None = options.get("operations")
         self.catalog = json.dumps(
             {"hulls": [{"label": "g4", "cores": 32, "cards": 4, "memGb": 256, "localGb": 40, "pullGbPerS": 5.0,
                         "price": 10.0, "spotPrice": 4.0, "startupS": 10, "yards": ["east", "west"]}]}
@@ -67,33 +67,32 @@
         self.service = FakeKeyValueStore(self)
         self.cloud = FakeCloud(self)
         self.workers: dict[str, FakeWorker] = {}
-        self.jobs: dict[str, JobFacts] = {}
+        self.jobs: dict[str, JobState] = {}
         self.broken: list[str] = []
         self.rules = RuleChecker(self)
-        self.partitions: set[frozenset[str]] = set()  # pairs of nodes that don't reach each other
-        self.serial = 0
+        self.partitions: set[frozenset[str]] = set()  # pairs of nodes that can't reach each other
+        self.last_machine_number = 0
         self.background_tasks: set[asyncio.Task] = set()
-        self.frozen: dict[str, asyncio.Event] = {}  # nodes that stand still, until their event is set
+        self.frozen: dict[str, asyncio.Event] = {}  # frozen nodes, each until its event is set
         self.on_step: list[Callable[[], None]] = []
-        self.on_launch: list[Callable[[FakeWorker, str, int], None]] = []  # a worker executes a launch
-        self.on_end: list[
-            Callable[[FakeWorker, str, Task, str], None]
-        ] = []  # a task that ran is over, or begins to save
-        self.loop.set_task_factory(self._task)
-        self.go(self._steps())
+        self.on_launch: list[Callable[[FakeWorker, str, int], None]] = []  # called when a worker executes a launch
+        # Called when a running task ends or begins to save its last checkpoint.
+        self.on_end: list[Callable[[FakeWorker, str, Task, str], None]] = []
+        self.loop.set_task_factory(self._create_task)
+        self.go(self._run_steps())
 
     def now(self) -> float:
-        """The fake clock, in seconds."""
+        """Return the virtual time in seconds."""
         return self.loop.time()
 
-    def go(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run something beside the scenario."""
-        task = self.loop.create_task(work)
+    def go(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
+        """Run a coroutine in the background of the scenario."""
+        task = self.loop.create_task(coroutine)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
         return task
 
-    async def _steps(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
             await asyncio.sleep(STEP_S)
             now = self.now()
@@ -107,7 +106,7 @@
     # -- nodes -----------------------------------------------------------------------------------
 
     def start(self, name: str, old: int = 0) -> Node:
-        """Start a node's process; `old`: the format that its program knows, 0 for the current program."""
+        """Start the process of a node; `old` is the storage format of its program, 0 for the current program."""
         seeds = [PeerSeed(n, f"127.0.0.1:{7000 + i}") for i, n in enumerate(self.names) if n != name]
         services = ExternalServices("127.0.0.1:1", "127.0.0.1:2")
         settings = Settings(name, "127.0.0.1:7100", "127.0.0.1:7200", services, self.params, seeds)
@@ -116,47 +115,52 @@
         else:
             node = Node(settings, self.now, self.now, self.operations)
         node.store.send_request = lambda _session, method, url, body, timeout: self.service.call(
-            name, method, path(url), body, timeout
+            name, method, url_path(url), body, timeout
         )
         node.cloud_client.call = lambda _session, method, url, body, timeout: self.cloud.call(
-            name, method, path(url), body, timeout
+            name, method, url_path(url), body, timeout
         )
         node.leadership.peers[:] = [PeerLink(self, name, n) for n in self.names if n != name]
         self.nodes[name] = node
-        self.running[name] = contextvars.Context().run(self._work, name, node)
+        self.running[name] = contextvars.Context().run(self._start_node_task, name, node)
         return node
 
-    def _work(self, name: str, node: Node) -> asyncio.Task:
-        RUNS_IN.set(name)
+    def _start_node_task(self, name: str, node: Node) -> asyncio.Task:
+        CURRENT_NODE.set(name)
         return self.go(node.run_loops())
 
-    def _task(self, loop: asyncio.AbstractEventLoop, work: Any, **options: Any) -> asyncio.Task:
-        """What a node does stands still with the node; tasks inherit the context of who made them."""
-        name = RUNS_IN.get(None)
-        task = asyncio.Task(work if name is None else self._with_node(name, work), loop=loop, **options)
-        task.add_done_callback(lambda _: work.close())  # also where it is cancelled before it has begun
+    def _create_task(self, loop: asyncio.AbstractEventLoop, coroutine: Any, **options: Any) -> asyncio.Task:
+        """Create an asyncio task that is suspended while its node is frozen.
+
+        A task belongs to the node of the task that creates it, since it inherits the context of that task.
+        """
+        name = CURRENT_NODE.get(None)
+        task = asyncio.Task(
+            coroutine if name is None else self._suspend_while_frozen(name, coroutine), loop=loop, **options
+        )
+        task.add_done_callback(lambda _: coroutine.close())  # also if it is cancelled before it has begun
         return task
 
-    async def _with_node(self, name: str, work: Any) -> Any:
-        return await run_while_not_frozen(work, lambda: self.frozen.get(name))
+    async def _suspend_while_frozen(self, name: str, coroutine: Any) -> Any:
+        return await run_while_not_frozen(coroutine, lambda: self.frozen.get(name))
 
     def freeze(self, name: str) -> None:
-        """A node's process stands still: it does nothing, and what is sent to it waits."""
+        """Freeze the process of a node: it does nothing, and requests and responses to it wait."""
         self.frozen.setdefault(name, asyncio.Event())
 
     def thaw(self, name: str) -> None:
-        """The process goes on, with whatever time it is by then."""
+        """Thaw the process of a node; it continues at the current time."""
         event = self.frozen.pop(name, None)
         if event is not None:
             event.set()
 
     async def wait_while_frozen(self, name: str) -> None:
-        """Wait while a node stands still."""
+        """Wait until a node is not frozen."""
         while name in self.frozen:
             await self.frozen[name].wait()
 
     async def upgrade(self, *names: str, down_s: float = 3.0) -> None:
-        """Replace the programs of these nodes, all at once."""
+        """Replace the programs of nodes by the current one, all at the same time."""
         for name in names:
             self.crash(name)
         await asyncio.sleep(down_s)
@@ -164,7 +168,7 @@
             self.start(name)
 
     def crash(self, name: str) -> None:
-        """End a node's process; what it was doing ends with it."""
+        """Kill the process of a node, with all its tasks."""
         self.thaw(name)
         self.running.pop(name).cancel()
         node = self.nodes.pop(name)
@@ -172,98 +176,108 @@
             task.cancel()
 
     def leader(self) -> Node | None:
-        """The node that is a valid leader."""
+        """Return the node that is a valid leader; None if no node is."""
         return next((n for n in self.nodes.values() if n.leadership.valid()), None)
 
     def leader_name(self) -> str | None:
-        """The name of the node that is a valid leader."""
+        """Return the name of the valid leader; None if no node is."""
         leader = self.leader()
         return None if leader is None else leader.settings.node_name
 
     def current_leader_name(self) -> str:
-        """The name of the valid leader; fails where nobody leads."""
+        """Return the name of the valid leader; fail if no node is."""
         name = self.leader_name()
-        assert name is not None, "nobody leads"
+        assert name is not None, "no node is a valid leader"
         return name
 
     def random_node(self) -> str:
-        """The name of a random node that is up."""
+        """Return the name of a random node that is up."""
         return self.random.choice(list(self.nodes))
 
     async def led_by(self, within_s: float = 20.0) -> str:
-        """Wait for a valid leader: its name."""
+        """Wait for a valid leader; return its name."""
         return (await self.led(within_s)).settings.node_name
 
     async def led(self, within_s: float = 20.0) -> Node:
-        """Wait for a valid leader."""
+        """Wait for a valid leader; return its node."""
         until = self.now() + within_s
         while self.leader() is None:
-            assert self.now() < until, "nobody leads"
+            assert self.now() < until, "no node is a valid leader"
             await asyncio.sleep(STEP_S)
         return self.leader()
 
     def links_of(self, name: str) -> set[frozenset[str]]:
-        """The pairs that a node makes with all others, for `apart`."""
+        """Return the pairs of a node with every other node, for `partitions`."""
         return {frozenset((name, other)) for other in self.names if other != name}
 
     def followers(self) -> list[str]:
-        """The names of the nodes that are up and not a valid leader."""
-        lead = self.leader()
-        return [n for n, node in self.nodes.items() if node is not lead]
+        """Return the names of the nodes that are up and not the valid leader."""
+        leader = self.leader()
+        return [n for n, node in self.nodes.items() if node is not leader]
 
     async def deliver_heartbeat(self, name: str, body: bytes) -> tuple[int, bytes] | None:
-        """A node's response to a heartbeat, once it is not frozen; None where it is down."""
+        """Return a node's response to a heartbeat, once the node is not frozen; None if it is down."""
         await self.wait_while_frozen(name)
         node = self.nodes.get(name)
-        answer = await node.respond_to_heartbeat(body) if node is not None else None
+        response = await node.respond_to_heartbeat(body) if node is not None else None
         await self.wait_while_frozen(name)
-        return answer
+        return response
 
     # -- machines --------------------------------------------------------------------------------
 
     def machine(self, zone: str = "east", spot: bool = False, boot_s: float = 0.0) -> FakeWorker:
-        """Add a machine, whose worker begins to send heartbeats once it has booted."""
-        self.serial += 1
-        worker = FakeWorker(self, f"vm-{self.serial:06d}", zone, spot, boot_s, node=self.serial % len(self.names))
+        """Add a machine; its worker begins to send heartbeats after it has booted."""
+        self.last_machine_number += 1
+        worker = FakeWorker(
+            self,
+            f"vm-{self.last_machine_number:06d}",
+            zone,
+            spot,
+            boot_s,
+            node=self.last_machine_number % len(self.names),
+        )
         worker.lease_from = self.now() + boot_s
         self.workers[worker.name] = worker
         self.go(worker.run())
         return worker
 
-    def progress(self, worker: FakeWorker, task_id: str, task: Task, now: float) -> None:
-        """Move a task on: its image is there, its gang is complete, it is done or has saved."""
+    def advance_task(self, worker: FakeWorker, task_id: str, task: Task, now: float) -> None:
+        """Advance a task when its image is pulled, its gang is complete, or it is done or has saved its checkpoint."""
         job_id, _, number = task_id.rpartition("/")
         job = self.jobs[job_id]
         gang = job.spec["shape"] == "ensemble"
-        if task.phase == "pulling" and now - task.since >= 1.0:
+        if task.phase == "pulling" and now - task.phase_since >= 1.0:
             self.rules.check_start(worker, task_id, job, now)
-            task.phase, task.since = ("waiting" if gang else "running"), now
-            worker.changed = True
-        if task.phase == "waiting" and self._mates(job_id, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
-            task.phase, task.since = "running", now
-            worker.changed = True
-        if task.phase == "waiting" and now - task.since > self.params.workers.gang_wait_s:
+            task.phase, task.phase_since = ("waiting" if gang else "running"), now
+            worker.heartbeat_due_soon = True
+        if (
+            task.phase == "waiting"
+            and self._gang_task_count(job_id, task.attempt, ("waiting", "running")) == job.spec["pieces"]
+        ):
+            task.phase, task.phase_since = "running", now
+            worker.heartbeat_due_soon = True
+        if task.phase == "waiting" and now - task.phase_since > self.params.workers.gang_wait_s:
             worker.exit(task_id, task, "alone")
-        elif task.phase == "running" and now - task.since >= job.ends.get(int(number), job.run_s):
+        elif task.phase == "running" and now - task.phase_since >= job.ends.get(int(number), job.run_s):
             job.done.update(range(job.spec["pieces"]) if gang else [int(number)])
             worker.exit(task_id, task, "done")
-        elif task.phase == "saving" and now - task.since >= job.save_s:
+        elif task.phase == "saving" and now - task.phase_since >= job.save_s:
             worker.exit(task_id, task, "halted")
         elif task.phase == "running" and gang and len(job.done) < job.spec["pieces"]:
-            if self._mates(job_id, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
-                task.stopped = None
-            elif task.stopped is None:
-                task.stopped = now
-            elif now - task.stopped > self.params.workers.gang_peer_s:
+            if self._gang_task_count(job_id, task.attempt, ("waiting", "running")) == job.spec["pieces"]:
+                task.gang_incomplete_since = None
+            elif task.gang_incomplete_since is None:
+                task.gang_incomplete_since = now
+            elif now - task.gang_incomplete_since > self.params.workers.gang_peer_s:
                 worker.exit(task_id, task, "mates_gone")
 
-    def ends(self, worker: FakeWorker, task_id: str, task: Task, cause: str) -> None:
-        """A task that ran is over, or begins to save."""
+    def notify_task_end(self, worker: FakeWorker, task_id: str, task: Task, cause: str) -> None:
+        """Call the `on_end` callbacks if a running task ends or begins to save a checkpoint."""
         if task.phase == "running":
             for check in self.on_end:
                 check(worker, task_id, task, cause)
 
-    def _mates(self, job_id: str, attempt: int, phases: tuple[str, ...]) -> int:
+    def _gang_task_count(self, job_id: str, attempt: int, phases: tuple[str, ...]) -> int:
         return sum(
             p.rpartition("/")[0] == job_id and t.attempt == attempt and t.phase in phases
             for w in self.workers.values() for p, t in w.tasks.items()
@@ -272,7 +286,7 @@
     # -- rules -----------------------------------------------------------------------------------
 
     def on_machines(self, job_id: str) -> int:
-        """How many tasks of a job are on machines and not over."""
+        """Return how many tasks of a job are on machines and have not ended."""
         return sum(
             p.rpartition("/")[0] == job_id and t.phase != "exited"
             for w in self.workers.values()
--- a/tests/harness/submissions.py
+++ b/tests/harness/submissions.py
@@ -1,10 +1,10 @@
-"""Submissions as users send them, in the platform's own JSON fields."""
+"""Submissions as users send them, in the JSON fields of the platform."""
 
 from typing import Any
 
 
 def description(number: int = 1, **changes: Any) -> dict[str, Any]:
-    """The fields of the submission of job `number`; `changes` replace or add some."""
+    """Return the fields of the submission of job `number`; `changes` replaces or adds fields."""
     fields = {
         "ref": f"run-{number:06d}", "hookset": "k", "owner": "grey", "shape": "batch", "rank": "standard", "pieces": 1,
         "cores": 4.0, "cards": 1.0, "memGb": 16.0, "bundle": "img-1", "sizeGb": 5.0, "hulls": None, "yard": None,
--- a/tests/harness/virtual_time.py
+++ b/tests/harness/virtual_time.py
@@ -1,30 +1,30 @@
-"""An event loop whose time is a fake clock: instead of waiting, time moves on."""
+"""An event loop on virtual time: instead of waiting, it advances its clock."""
 
 import asyncio
 import selectors
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Instead of waiting, time moves on."""
+    """A selector that advances its clock instead of waiting for events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """No event, after `timeout` seconds of the fake clock."""
-        assert timeout is not None, "everything waits for something that never comes"
+        """Advance the clock by `timeout` seconds; return no events."""
+        assert timeout is not None, "deadlock: no timer is scheduled"
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose `time()` is the fake clock."""
+    """An event loop whose `time()` is virtual."""
 
     def __init__(self) -> None:
-        self.virtual = VirtualSelector()
-        super().__init__(self.virtual)
+        self.selector = VirtualSelector()
+        super().__init__(self.selector)
 
     def time(self) -> float:
-        """The fake clock, in seconds."""
-        return self.virtual.now
+        """Return the virtual time in seconds."""
+        return self.selector.now
--- a/tests/harness/worker.py
+++ b/tests/harness/worker.py
@@ -1,4 +1,4 @@
-"""The stand-in for one machine's worker: heartbeats, leases, commands and tasks."""
+"""A fake worker of one machine: heartbeats, leases, commands and tasks."""
 
 import asyncio
 import json
@@ -10,31 +10,31 @@
     from harness.simulation import Simulation
 
 STEP_S = 0.1
-WIRE_S = 0.002
+NETWORK_DELAY_S = 0.002
 RESPONSE_TIMEOUT_S = 4.0
-SOON_S = 0.5  # from a change to the heartbeat that reports it
-RETRY_S = 1.0
+PROMPT_HEARTBEAT_S = 0.5  # interval to the next heartbeat if there is a change to report
+RETRY_DELAY_S = 1.0
 
 
 @dataclass
 class Task:
-    """A task on a machine: `phase` is the wire's, or `saving`, which the wire calls running."""
+    """A task on a machine. `phase` is the phase on the wire, or `saving`: a running task that saves a checkpoint."""
 
     attempt: int
     phase: str
-    since: float
+    phase_since: float
     cause: str | None = None
-    stopped: float | None = None
-    grace_s: float = 0.0  # the longest that a command to stop gave it
+    gang_incomplete_since: float | None = None  # time since which its gang is incomplete
+    grace_s: float = 0.0  # the longest grace period of its stop commands
 
     def occupies_machine(self) -> bool:
-        """Whether it is on its machine, as rules count it."""
+        """Whether the task is on its machine in the sense of the platform's rules."""
         return self.phase in ("waiting", "running", "saving")
 
 
 @dataclass
 class FakeWorker:
-    """One machine's worker."""
+    """The fake worker of one machine."""
 
     simulation: "Simulation"
     name: str
@@ -44,35 +44,35 @@
     epoch: int = 1
     sequence: int = 0
     fencing_token: int = 0
-    node: int = 0  # the index of the node that it sends to
+    node: int = 0  # index of the node to which it sends heartbeats
     tasks: dict[str, Task] = field(default_factory=dict)
     lease_from: float = 0.0
     hung: bool = False
-    mute: bool = False  # reaches no node
-    deaf: bool = False  # its heartbeats arrive, responses don't reach it
-    off: bool = False
-    changed: bool = False
-    sent_heartbeats: list[bytes] = field(default_factory=list)  # for late duplicates
+    mute: bool = False  # its heartbeats reach no node
+    deaf: bool = False  # its heartbeats reach nodes, but responses don't reach it
+    powered_off: bool = False
+    heartbeat_due_soon: bool = False
+    sent_heartbeats: list[bytes] = field(default_factory=list)  # to be delivered again later, as delayed duplicates
     reached: Callable[[str], bool] = lambda node: True
 
     def listed_phase(self) -> str:
-        """The machine's phase in the cloud's list."""
+        """Return the phase of the machine in the machine list of the cloud."""
         return "booting" if self.simulation.now() < self.lease_from else "running"
 
     def gone(self) -> None:
-        """The machine is off, and its tasks with it."""
-        self.off = True
+        """Turn the machine off, which kills its tasks."""
+        self.powered_off = True
         self._kill_tasks()
 
     def _kill_tasks(self) -> None:
-        """All tasks are over, and no heartbeat reports how."""
+        """Kill all tasks; no heartbeat reports their end."""
         for task_id, task in self.tasks.items():
-            self.simulation.ends(self, task_id, task, "killed")
+            self.simulation.notify_task_end(self, task_id, task, "killed")
             task.phase = "exited"
         self.tasks.clear()
 
     def next_heartbeat(self) -> bytes:
-        """The body of the next heartbeat, in the wire's fields."""
+        """Return the body of the next heartbeat as it is sent."""
         self.sequence += 1
         statuses = [
             {
@@ -89,25 +89,26 @@
         ).encode()  # fmt: skip
 
     async def run(self) -> None:
-        """Boot, then send heartbeats until the machine is off."""
+        """Boot, then send heartbeats until the machine is turned off."""
         simulation = self.simulation
         await asyncio.sleep(self.boot_s + simulation.random.random())
         self.lease_from = simulation.now()
         last: float | None = None
-        while not self.off:
+        while not self.powered_off:
             await asyncio.sleep(STEP_S)
             due_s = simulation.params.workers.report_s * simulation.random.uniform(0.75, 1.25)
-            interval_s = SOON_S if self.changed else due_s
+            interval_s = PROMPT_HEARTBEAT_S if self.heartbeat_due_soon else due_s
             if self.hung or (last is not None and simulation.now() - last < interval_s):
                 continue
             last = simulation.now()
-            self.changed = False
-            # One that hung ends its tasks first: it reported them in the old epoch, had a response, and ran on.
+            self.heartbeat_due_soon = False
+            # A worker that has hung must kill its tasks before this heartbeat. Otherwise it would report them in the
+            # old epoch, receive a response that renews its lease, and keep running them.
             self.end_lease(simulation.now())
             await self.send_heartbeat()
 
     async def send_heartbeat(self) -> None:
-        """Send one heartbeat and process its response."""
+        """Send one heartbeat and process the response."""
         simulation = self.simulation
         sent_at = simulation.now()
         epoch = self.epoch
@@ -117,7 +118,7 @@
         response = await self._exchange(name, body)
         while self.hung:
             await asyncio.sleep(STEP_S)
-        if self.off:
+        if self.powered_off:
             return
         if response is None or simulation.now() - sent_at >= RESPONSE_TIMEOUT_S:
             response = 0, b"{}"
@@ -128,38 +129,38 @@
                 self._renew_lease(sent_at, fields)
         elif status == 421 and fields.get("overseer") in simulation.names and fields["overseer"] != name:
             self.node = simulation.names.index(fields["overseer"])
-            self.changed = True
+            self.heartbeat_due_soon = True
         else:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             self.node = (self.node + 1) % len(simulation.names)
-            self.changed = True
+            self.heartbeat_due_soon = True
 
     async def _exchange(self, name: str, body: bytes) -> tuple[int, bytes] | None:
-        """The response of a node to a heartbeat; None where none reaches the worker in time."""
+        """Send a heartbeat to a node; return the response, or None if none reaches the worker in time."""
         if self.mute or not self.reached(name):
             await asyncio.sleep(RESPONSE_TIMEOUT_S)
             return None
-        await asyncio.sleep(WIRE_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         response = await self.simulation.deliver_heartbeat(name, body)
-        await asyncio.sleep(WIRE_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         if self.deaf:
             await asyncio.sleep(RESPONSE_TIMEOUT_S)
             return None
         return response
 
     def _renew_lease(self, sent_at: float, fields: dict[str, Any]) -> None:
-        """A leader answered: the lease counts from when the heartbeat was sent."""
+        """Renew the lease from the time at which the heartbeat was sent, and execute the commands of the response."""
         if fields["mandate"] > self.fencing_token:
             self.fencing_token = fields["mandate"]
-            self.changed = True
+            self.heartbeat_due_soon = True
         self.lease_from = sent_at
         self.execute_commands(fields["orders"])
 
     def execute_commands(self, commands: list[dict[str, Any]]) -> None:
-        """Carry out the commands of a response, in the wire's fields."""
+        """Execute the commands of a response, which are in wire format."""
         for command in commands:
             self._execute(command["verb"], command["piece"], command["try"], command)
-            self.changed = True
+            self.heartbeat_due_soon = True
 
     def _execute(self, action: str, task_id: str, attempt: int, command: dict[str, Any]) -> None:
         task = self.tasks.get(task_id)
@@ -180,36 +181,40 @@
             check(self, task_id, attempt)
 
     def stop(self, task_id: str, task: Task, grace_s: float) -> None:
-        """A task that has checkpoints, and time to save, saves first; a second stop without time ends it."""
+        """Stop a task.
+
+        A running task of a job that saves checkpoints saves one first if the grace period is long enough for that.
+        A further stop command without a grace period ends a task that is saving.
+        """
         job = self.simulation.jobs[task_id.rpartition("/")[0]]
         spec = job.spec
         task.grace_s = max(task.grace_s, grace_s)
         if grace_s and task.phase == "saving":
             return
         if task.phase == "running" and job.save_s and spec["pinEveryS"] > 0 and grace_s >= spec["pinCostS"]:
-            self.simulation.ends(self, task_id, task, "halted")
-            task.phase, task.since = "saving", self.simulation.now()
+            self.simulation.notify_task_end(self, task_id, task, "halted")
+            task.phase, task.phase_since = "saving", self.simulation.now()
         else:
             self.exit(task_id, task, "halted")
 
     def exit(self, task_id: str, task: Task, cause: str) -> None:
-        """A task is over; heartbeats report its cause until it is forgotten."""
-        self.simulation.ends(self, task_id, task, cause)
+        """End a task; heartbeats report the cause until a command to forget the task arrives."""
+        self.simulation.notify_task_end(self, task_id, task, cause)
         task.phase, task.cause = "exited", cause
-        self.changed = True
+        self.heartbeat_due_soon = True
 
     def end_lease(self, now: float) -> None:
-        """Begin the next epoch if the lease is over."""
+        """Kill all tasks and begin the next epoch if the lease has expired."""
         if now > self.lease_from + self.simulation.params.workers.lease_s:
             self._kill_tasks()
             self.epoch += 1
             self.lease_from = now
-            self.changed = True
+            self.heartbeat_due_soon = True
 
     def step(self, now: float) -> None:
-        """Progress of tasks, and the lease."""
+        """Check the lease, and advance the tasks."""
         if self.hung or self.lease_from == 0.0 or now < self.lease_from:
             return
         self.end_lease(now)
         for task_id, task in self.tasks.items():
-            self.simulation.progress(self, task_id, task, now)
+            self.simulation.advance_task(self, task_id, task, now)
--- a/tests/history_digests.py
+++ b/tests/history_digests.py
@@ -1,11 +1,12 @@
-"""Digests of what seeded histories do at the outside, to show that a change of the code changed no behaviour.
+"""Digests of the externally visible behaviour of seeded histories, to show that a refactoring has not changed it.
 
-For each kind of history and each seed, three digests: the writes at the key-value store, the commands at workers and
-the calls at the cloud, each with its time on the fake clock, in order. A refactoring leaves all of them as they were.
+There are three digests for each kind of history and each seed: of the writes to the key-value store, of the commands to
+workers and of the requests to the cloud. Each covers the events in order, with their virtual times. A refactoring must
+leave all digests unchanged.
 
     PYTHONHASHSEED=0 python tests/history_digests.py FIRST LAST > digests.txt
 
-The hash seed has to be fixed, since a few choices among equals follow the order of a set.
+The hash seed must be fixed, because a few choices between equal candidates depend on the iteration order of a set.
 """
 
 import hashlib
@@ -20,7 +21,7 @@
 TESTS = Path(__file__).parent
 sys.path[:0] = [str(TESTS), str(TESTS.parent)]
 
-import drain_histories  # noqa: E402  (the checkout's modules come first)
+import drain_histories  # noqa: E402  (the import path has to be set first)
 import histories  # noqa: E402
 import pipeline_histories  # noqa: E402
 from harness.cloud import FakeCloud  # noqa: E402
@@ -35,7 +36,7 @@
 
 
 class Recorder:
-    """Records what the nodes of one history ask of the key-value store, the workers and the cloud."""
+    """Records the writes, commands and cloud requests of the nodes in one history."""
 
     def __init__(self) -> None:
         self.digests = {name: hashlib.sha256() for name in ("writes", "commands", "cloud")}
@@ -47,7 +48,7 @@
         self.counts[name] += 1
 
     def attach(self) -> None:
-        """Record every later call of the stand-ins, in this process."""
+        """Record all further calls to the fakes in this process."""
         store_call = FakeKeyValueStore.call
         cloud_call = FakeCloud.call
         execute_commands = FakeWorker.execute_commands
@@ -72,9 +73,9 @@
 
 
 def digest(kind: str, seed: int) -> str:
-    """Play one history; a line with its digests and how many events each covers."""
+    """Run one history; return a line with its digests and the number of events in each."""
     serial = itertools.count()
-    random.SystemRandom = lambda: random.Random(f"{seed} {next(serial)}")  # process ids, which are stored
+    random.SystemRandom = lambda: random.Random(f"{seed} {next(serial)}")  # makes the stored process ids reproducible
     recorder = Recorder()
     recorder.attach()
     KINDS[kind](seed)
@@ -83,7 +84,7 @@
 
 
 def main() -> None:
-    """Print the digests of a range of seeds."""
+    """Print the digests for a range of seeds."""
     seeds = range(int(sys.argv[1]), int(sys.argv[2]))
     pairs = [(kind, seed) for kind in KINDS for seed in seeds]
     with ProcessPoolExecutor(max_workers=5, max_tasks_per_child=1) as pool:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,42 +1,43 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet. Just these may fail, and are printed.
+"""Support for KNOWN-RED.txt, the list of tests that are known to fail because of a bug that is not fixed yet.
 
-One line each, `test | cause | issue`; the test as pytest names it (`tests/test_x.py::test_y`). At most three. A
-name that no test has is an error, and so is a listed test that passes. No file, or an empty one, means none.
+Only the listed tests may fail, and each run prints them. The file has one line for each test, `test | cause | issue`,
+with the test's node id in pytest (`tests/test_x.py::test_y`), and at most three lines. It is an error if a listed test
+does not exist or passes. If the file is missing or empty, no test may fail.
 """
 
 from pathlib import Path
 
 import pytest
 
-MOST = 3
+MAX_LISTED_TESTS = 3
 
 
-def read(path: Path) -> dict[str, str]:
-    """Listed tests with their causes and issues."""
-    out: dict[str, str] = {}
+def read_known_red(path: Path) -> dict[str, str]:
+    """Return the listed tests with their causes and issues."""
+    causes: dict[str, str] = {}
     for line in path.read_text(encoding="utf-8").splitlines() if path.exists() else ():
         if not line.strip():
             continue
         parts = [p.strip() for p in line.split(" | ")]
-        if len(parts) != 3 or not all(parts) or parts[0] in out:
-            raise pytest.UsageError(f"KNOWN-RED.txt: not `test | cause | issue`, or twice: {line!r}")
-        out[parts[0]] = f"{parts[1]} ({parts[2]})"
-    if len(out) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(out)} tests, at most {MOST}")
-    return out
+        if len(parts) != 3 or not all(parts) or parts[0] in causes:
+            raise pytest.UsageError(f"KNOWN-RED.txt: line is not `test | cause | issue`, or repeats a test: {line!r}")
+        causes[parts[0]] = f"{parts[1]} ({parts[2]})"
+    if len(causes) > MAX_LISTED_TESTS:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(causes)} tests, at most {MAX_LISTED_TESTS}")
+    return causes
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    red = read(config.rootpath / "KNOWN-RED.txt")
+    known_red = read_known_red(config.rootpath / "KNOWN-RED.txt")
     collected = {item.nodeid.partition("::")[0] for item in items}
     names = {item.nodeid for item in items}
-    for name in red:
-        # A run of some files says nothing about tests in others.
+    for name in known_red:
+        # A run of selected files cannot tell whether tests in other files exist.
         if name not in names and (name.partition("::")[0] in collected or not config.args_given):
             raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {name}")
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid], strict=True))
+        if item.nodeid in known_red:
+            item.add_marker(pytest.mark.xfail(reason=known_red[item.nodeid], strict=True))
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -44,5 +45,5 @@
 
 
 def pytest_terminal_summary(terminalreporter, config: pytest.Config) -> None:
-    for name, cause in read(config.rootpath / "KNOWN-RED.txt").items():
+    for name, cause in read_known_red(config.rootpath / "KNOWN-RED.txt").items():
         terminalreporter.write_line(f"KNOWN RED {name}: {cause}")
--- a/tests/pipeline_histories.py
+++ b/tests/pipeline_histories.py
@@ -1,12 +1,13 @@
-"""Random histories of dependent jobs, rolling upgrades and lowered limits, with overlapping troubles.
+"""Random histories of dependent jobs, rolling upgrades and lowered store limits, with overlapping faults.
 
-A history is drawn from a seed: whether the nodes begin with the current program or with an older format, when each is
-replaced, when the state service lowers its limits, graphs of dependent jobs that are submitted and cancelled at any
-node, and troubles of `histories.py`. Users ask about random jobs at random nodes all the time, and each answer is
-checked by the simulation (`too_early`, `orphaned`, `went_back`, `forgotten`), as are the invariants of `histories.py`.
-At the end every accepted job has to be over at every node, and as its needs say.
+A history is generated from a seed: whether the nodes start with the current program or with an older storage format,
+when each node is upgraded, when the key-value store lowers its limits, graphs of dependent jobs that users submit and
+cancel at any node, and the faults of `histories.py`. Users poll random jobs at random nodes all the time. The
+simulation checks each response (rules `too_early`, `orphaned`, `went_back`, `forgotten`) and the invariants of
+`histories.py`. At the end every node must report every accepted job as ended, in the phase that follows from its
+dependencies.
 
-`python tests/pipeline_histories.py FIRST LAST` plays the seeds of a range on all cores.
+`python tests/pipeline_histories.py FIRST LAST` runs the seeds from FIRST up to, but not including, LAST on all cores.
 """
 
 import asyncio
@@ -25,97 +26,99 @@
 from hookwall.storage.storage_version import StorageVersion
 
 MACHINES = 8
-FORMATS = [0, 0, 1, 2, 2]  # that the nodes begin with; 0: the current program
-SMALL_STATE = StoreLimits(
+INITIAL_FORMATS = [0, 0, 1, 2, 2]  # storage formats of the programs at the start; 0: the current program
+STORE_LIMITS = StoreLimits(
     rps=150.0,
     write_rps=30.0,
     value_kb=16.0,
     txn_ops=12,
     next=UpcomingStoreLimits(write_rps=21.0, value_kb=1.0, txn_ops=4),
 )
-TRAFFIC_S = 45.0
-QUIET_S = 20.0  # after the last trouble
-ENDS_WITHIN_S = 240.0
+FAULT_WINDOW_S = 45.0  # all faults begin within this time
+QUIET_PERIOD_S = 20.0  # after the last fault
+ALL_ENDED_TIMEOUT_S = 240.0
 
 
-def drawn_format(seed: int) -> int:
-    """The format that the nodes begin with."""
-    return FORMATS[seed % len(FORMATS)]
+def initial_format(seed: int) -> int:
+    """Return the storage format of the programs that the nodes start with; 0 is the current program."""
+    return INITIAL_FORMATS[seed % len(INITIAL_FORMATS)]
 
 
 class PipelineHistory(History):
-    """Troubles, an upgrade and pipelines drawn from one seed."""
+    """Faults, an upgrade and pipelines that are generated from one seed."""
 
     def __init__(self, simulation: Simulation, seed: int) -> None:
         super().__init__(simulation, seed)
-        self.old = drawn_format(seed)
-        self.current: set[str] = set() if self.old else set(simulation.names)
+        self.initial_format = initial_format(seed)
+        self.upgraded_nodes: set[str] = set() if self.initial_format else set(simulation.names)
         self.job_ids: list[str] = []
 
     # -- nodes that may run an older program -----------------------------------------------------------
 
     def restart(self, name: str) -> None:
-        """A process that ended comes back with the program that its node had."""
+        """Start a node's process again, with the program that the node has, if it is not running."""
         if name not in self.simulation.nodes:
-            self.simulation.start(name, 0 if name in self.current else self.old)
+            self.simulation.start(name, 0 if name in self.upgraded_nodes else self.initial_format)
 
     async def upgrade(self) -> None:
-        """Replace the programs, one or two at a time in any order."""
+        """Upgrade the nodes, one or two at a time, in random order."""
         order = self.random.sample(self.simulation.names, len(self.simulation.names))
         while order:
             some = [order.pop() for _ in range(min(len(order), self.random.choice([1, 1, 2])))]
             await asyncio.sleep(self.span(0.5, 9.0))
-            self.note(f"{some} are replaced")
+            self.note(f"{some} are upgraded")
             for name in some:
-                self.current.add(name)
+                self.upgraded_nodes.add(name)
                 if name in self.simulation.nodes:
                     self.simulation.crash(name)
             await asyncio.sleep(self.span(0.1, 4.0))
             for name in some:
                 self.restart(name)
 
-    async def lower(self) -> None:
-        """The state service lowers its limits, at some moment after the upgrade."""
-        while len(self.current) < len(self.simulation.names):
+    async def lower_limits(self) -> None:
+        """Let the key-value store lower its limits at a random time after the upgrade."""
+        while len(self.upgraded_nodes) < len(self.simulation.names):
             await asyncio.sleep(0.5)
         await asyncio.sleep(self.span(0.0, 30.0))
-        self.note("limits are lowered")
+        self.note("key-value store limits lowered")
         self.simulation.service.lower_limits()
 
-    async def watch_stands_long(self) -> None:
-        """For longer than a cancellation has."""
-        await self._member(self.simulation.service.watch_blocked, self.node(), "its watch is not answered", 38.0, 70.0)
+    async def block_watch_long(self) -> None:
+        """Block the watch of one node for longer than a cancellation may take (`cancel_s`)."""
+        await self._add_temporarily(
+            self.simulation.service.watch_blocked, self.random_node(), "watch blocked", 38.0, 70.0
+        )
 
     def kinds(self) -> list[Callable[[], Any]]:
-        return [*super().kinds(), self.watch_stands_long, self.watch_stands_long, self.watch_stands_long]
+        return [*super().kinds(), self.block_watch_long, self.block_watch_long, self.block_watch_long]
 
     # -- users -------------------------------------------------------------------------------------------
 
-    def any_node(self) -> str | None:
-        """A random node that is up."""
+    def random_running_node(self) -> str | None:
+        """Return the name of a random node that is up; None if no node is."""
         return self.random.choice(list(self.simulation.nodes)) if self.simulation.nodes else None
 
     async def submit(self, job_id: str) -> None:
-        """A user tries again, at any node, until one accepts."""
+        """Submit a job as a user does: at random nodes until one accepts it."""
         while not self.simulation.jobs[job_id].accepted:
-            node = self.any_node()
+            node = self.random_running_node()
             if node is not None:
                 await self.simulation.submit(node, job_id)
             await asyncio.sleep(self.span(0.1, 1.5))
 
     async def cancel(self, job_id: str) -> None:
-        """A user cancels a job, at any node, until its end is confirmed."""
+        """Cancel a job as a user does: at random nodes until a response confirms that the job has ended."""
         self.note(f"{job_id} is cancelled")
         while self.simulation.jobs[job_id].final is None:
-            node = self.any_node()
+            node = self.random_running_node()
             if node is not None:
                 await self.simulation.cancel(node, job_id)
             await asyncio.sleep(self.span(0.1, 1.5))
 
     async def pipeline(self, first: int) -> None:
-        """Jobs that need some of those before them, submitted one after the other; some are cancelled."""
-        while not all(name in self.current for name in self.simulation.names):
-            await asyncio.sleep(0.5)  # nothing new is asked before all nodes are new
+        """Submit jobs one after the other, each with some of the previous ones as dependencies; cancel some."""
+        while not all(name in self.upgraded_nodes for name in self.simulation.names):
+            await asyncio.sleep(0.5)  # users use new features only after all nodes are upgraded
         await asyncio.sleep(self.random.choice([0.0, self.span(0.0, 60.0)]))
         job_ids: list[str] = []
         for n in range(first, first + self.random.randint(2, 6)):
@@ -137,7 +140,7 @@
                 await asyncio.sleep(self.random.choice([self.span(0.0, 15.0), self.span(30.0, 50.0)]))
 
     async def plain_jobs(self, first: int) -> None:
-        """Jobs that need no others, also while older programs serve."""
+        """Submit jobs without dependencies, also while nodes with older programs are up."""
         for n in range(first, first + 6):
             job_id = self.simulation.job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
             self.job_ids.append(job_id)
@@ -147,19 +150,19 @@
             await asyncio.sleep(self.span(0.0, 8.0))
 
     async def poll_at_random(self) -> None:
-        """Users ask about random jobs at random nodes; the simulation checks each answer."""
+        """Poll random jobs at random nodes; the simulation checks each response."""
         while True:
             await asyncio.sleep(0.4)
-            node = self.any_node()
+            node = self.random_running_node()
             if node is not None and self.job_ids:
                 self.simulation.go(self.simulation.poll(node, self.random.choice(self.job_ids)))
 
     async def late_dependents(self) -> None:
-        """Jobs that name others that were accepted at any time and may be in any state."""
+        """Submit jobs that depend on jobs accepted at any earlier time, which may be in any state."""
         for n in range(5000, 5040):
             await asyncio.sleep(self.span(1.0, 3.0))
             accepted = [job_id for job_id in self.job_ids if self.simulation.jobs[job_id].accepted]
-            if len(self.current) < len(self.simulation.names) or not accepted:
+            if len(self.upgraded_nodes) < len(self.simulation.names) or not accepted:
                 continue
             job_id = self.simulation.job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
             self.job_ids.append(job_id)
@@ -168,51 +171,56 @@
     # -- one history -------------------------------------------------------------------------------------
 
     async def play(self, simulation: Simulation) -> None:
-        simulation.cloud.room = 200  # machines are returned when nothing needs them for long
-        asking = simulation.go(self.poll_at_random())
+        """Run the history: users, faults, an upgrade and lowered limits, then check that all jobs end."""
+        simulation.cloud.room = 200  # replaces machines that are deleted after a long idle time
+        polling = simulation.go(self.poll_at_random())
         users = [simulation.go(self.plain_jobs(1)), *(simulation.go(self.pipeline(100 * k)) for k in range(1, 4))]
         users.append(simulation.go(self.late_dependents()))
-        under_way = [simulation.go(self.lower())]
-        if self.old:
-            under_way.append(simulation.go(self.upgrade()))
-        troubles = [
+        maintenance = [simulation.go(self.lower_limits())]
+        if self.initial_format:
+            maintenance.append(simulation.go(self.upgrade()))
+        faults = [
             simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(2, 5))
         ]
-        await asyncio.gather(*troubles, *under_way)
-        await asyncio.sleep(QUIET_S)
+        await asyncio.gather(*faults, *maintenance)
+        await asyncio.sleep(QUIET_PERIOD_S)
         await asyncio.gather(*users)
-        asking.cancel()
-        await self._all_end(simulation)
+        polling.cancel()
+        await self._check_all_end(simulation)
         for node in simulation.nodes.values():
             if not node.storage_version.supported_by_all(StorageVersion.NUMBERED_MACHINES):
-                simulation.broken.append("a node does not know that all are new")
-
-    async def _begin(self, trouble: Callable[[], Any]) -> None:
-        await asyncio.sleep(self.span(0.0, TRAFFIC_S))
-        await trouble()
-
-    async def _all_end(self, simulation: Simulation) -> None:
-        """Every accepted job is over at every node: cancelled exactly if it or a need was, and not done before."""
-        end = simulation.now() + ENDS_WITHIN_S
-        left = {(node, job_id) for node in simulation.names for job_id in self.job_ids}
-        while left and simulation.now() < end:
-            for node, job_id in sorted(left):
+                simulation.broken.append("a node does not know that all nodes are upgraded")
+
+    async def _begin(self, fault: Callable[[], Any]) -> None:
+        """Inject a fault at a random time of the fault window."""
+        await asyncio.sleep(self.span(0.0, FAULT_WINDOW_S))
+        await fault()
+
+    async def _check_all_end(self, simulation: Simulation) -> None:
+        """Wait until every node reports all jobs as ended, and check their final phases.
+
+        A job must be cancelled exactly if a user has cancelled it or one of its dependencies before it was done.
+        """
+        end = simulation.now() + ALL_ENDED_TIMEOUT_S
+        remaining = {(node, job_id) for node in simulation.names for job_id in self.job_ids}
+        while remaining and simulation.now() < end:
+            for node, job_id in sorted(remaining):
                 if (await simulation.poll(node, job_id))[1] in ("done", "withdrawn"):
-                    left.discard((node, job_id))
+                    remaining.discard((node, job_id))
             await asyncio.sleep(1.0)
-        simulation.broken.extend(f"forgotten: {job_id} is not over at {node}" for node, job_id in sorted(left))
+        simulation.broken.extend(f"forgotten: {job_id} has not ended at {node}" for node, job_id in sorted(remaining))
         for job_id in self.job_ids:
             needs = [simulation.jobs[need].final for need in simulation.jobs[job_id].needs()]
             if simulation.jobs[job_id].final == "done" and any(final != "done" for final in needs):
-                simulation.broken.append(f"too_early: {job_id} is done, its needs are {needs}")
+                simulation.broken.append(f"too_early: {job_id} is done, its dependencies are {needs}")
             if simulation.jobs[job_id].final != "withdrawn" and "withdrawn" in needs:
                 simulation.broken.append(f"orphaned: {job_id} is {simulation.jobs[job_id].final}")
 
 
 def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
-    """Play the history of a seed: what it broke, and its troubles."""
-    old = drawn_format(seed)
-    return broken_in(PipelineHistory, Invariants, seed, quiet, machines=MACHINES, old=old, state=SMALL_STATE)
+    """Run the history of a seed; return the seed, the violations and the log of the faults."""
+    old = initial_format(seed)
+    return broken_in(PipelineHistory, Invariants, seed, quiet, machines=MACHINES, old=old, state=STORE_LIMITS)
 
 
 if __name__ == "__main__":
--- a/tests/sample_records.py
+++ b/tests/sample_records.py
@@ -1,4 +1,4 @@
-"""A job record that takes chunks, as several tests need it."""
+"""A job record that is stored in chunks, for several tests."""
 
 import msgspec
 from conftest import description
@@ -11,7 +11,7 @@
 
 
 def chunked_record() -> tuple[str, EncodedRecord]:
-    """The key and the encoding of an accepted job whose description takes chunks: it has 300 dependencies."""
+    """Return the key and the encoded record of an accepted job that is stored in chunks: it has 300 dependencies."""
     spec = msgspec.convert(description(1, awaits=[f"run-{n * 7919:018d}" for n in range(300)]), JobSpec)
     record = JobRecord(task_count=1, spec=spec, submitted_at=1.0, done_tasks="")
     return keys.JOB_PREFIX + spec.job_id, encode_record(spec.job_id, record, MAX_VALUE_BYTES)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: just these, seen and counted."""
+"""Tests of KNOWN-RED.txt: only the listed tests may fail, they are printed, and their number is limited."""
 
 import os
 import subprocess
@@ -8,17 +8,17 @@
 import pytest
 
 
-def pytest_in(folder: Path, tests: str, listed: list[str]) -> tuple[int, str]:
-    """Exit status and output of a run over one file of tests."""
+def run_pytest(folder: Path, tests: str, listed: list[str]) -> tuple[int, str]:
+    """Return exit status and output of a pytest run over one file of tests."""
     (folder / "tests").mkdir()
     (folder / "tests" / "test_a.py").write_text(tests)
     (folder / "tests" / "conftest.py").write_text("from known_red import *\n")
     (folder / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (folder / "KNOWN-RED.txt").write_text("\n".join(listed) + "\n")
     env = {**os.environ, "PYTHONPATH": str(Path(__file__).parent)}
-    run = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    ended = subprocess.run(run, cwd=folder, env=env, capture_output=True, text=True)
-    return ended.returncode, ended.stdout + ended.stderr
+    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
+    completed = subprocess.run(command, cwd=folder, env=env, capture_output=True, text=True)
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 TESTS = """
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "status", "said"),
+    ("listed", "status", "message"),
     [
         ([], 1, "4 failed"),
         (["tests/test_a.py::test_red[1] | leaks | #9"], 1, "3 failed"),
@@ -45,11 +45,11 @@
         (["tests/test_a.py::test_red[1] | #9"], 4, "not `test | cause | issue`"),
     ],
 )  # fmt: skip
-def test_just_what_is_listed_may_fail(tmp_path: Path, listed, status, said):
-    code, out = pytest_in(tmp_path, TESTS, listed)
-    assert (code, said in out) == (status, True), out
+def test_only_listed_tests_may_fail(tmp_path: Path, listed, status, message):
+    code, out = run_pytest(tmp_path, TESTS, listed)
+    assert (code, message in out) == (status, True), out
 
 
-def test_listed_ones_that_fail_make_no_failure(tmp_path: Path):
-    code, out = pytest_in(tmp_path, "def test_red(): assert 0\n", ["tests/test_a.py::test_red | leaks | #9"])
+def test_failures_of_listed_tests_do_not_fail_the_run(tmp_path: Path):
+    code, out = run_pytest(tmp_path, "def test_red(): assert 0\n", ["tests/test_a.py::test_red | leaks | #9"])
     assert code == 0 and "KNOWN RED tests/test_a.py::test_red: leaks (#9)" in out
