--- a/tests/leadership/test_replaced_leader_key.py
+++ b/tests/leadership/test_replaced_leader_key.py
@@ -43,7 +43,7 @@
     clock.tick(VOTE_GRANT_S + 0.01)
     assert leadership.role is Role.FOLLOWER and abandoned_elections(leadership) == []
     assert not leadership.vote_grant.renew_lease("n1", 7)
-    assert "drop" in state.requests, "once its session lease has ended the write can't happen any more"
+    assert "drop" in state.requests, "once its session lease has ended, the write can't be executed any more"
     # The next election certainly fails, but the first write may still be in flight.
     state.commit, state.mode = reject, "ok"
     leadership.next_election_at = 0.0
@@ -111,7 +111,7 @@
 
 
 def test_a_late_write_of_the_own_key_does_not_prove_that_no_node_leads(state: FakeState, clock: Clock):
-    """The former leader may have regained its quorum leases, yet a node cut off from its peers led at once."""
+    """A node that reached no peer led immediately, although the former leader may have regained its quorum leases."""
     leadership = make_leadership(state, clock, [silent, silent])
     state.epoch = 9
     state.keys[keys.LEADER_KEY] = ({"node": "n0", "incarnation": leadership.incarnation}, 9)
