--- a/hookwall/api/submission_check.py
+++ b/hookwall/api/submission_check.py
@@ -29,7 +29,7 @@
         self.teams = {team.name: team for team in teams}
 
     async def refusal(self, spec: JobSpec, catalog: Catalog, dependencies_enabled: bool) -> HttpResponse | None:
-        """Return the response that refuses a new job, for ever or for now; None if the job can be accepted.
+        """Return the response that refuses a new job permanently or temporarily, or None if the job can be accepted.
 
         `dependencies_enabled` is whether all nodes support jobs with dependencies. Raises RequestRejectedError,
         OutcomeUnknownError or TimeoutError if the store does not confirm which dependencies were accepted.
--- a/hookwall/jobs/job_writer.py
+++ b/hookwall/jobs/job_writer.py
@@ -39,7 +39,7 @@
 CHUNK_WRITES_S = 2.0  # how long one job's write may use up the store's rate of changes; each chunk is one change
 MIN_STATE_CHUNKS = 2  # allowed even if the limits permit fewer
 RECORD_BYTES_PER_CHUNK_NAME = 60  # so that the names of chunks take at most half of a record
-PACKED_SIZE_RATIO = 0.5  # upper bound of the ratio of packed to plain size; 0.3 to 0.45 was measured
+PACKED_SIZE_RATIO = 0.5  # upper bound of the ratio of packed to plain size; packed records typically have 0.3 to 0.45
 
 
 class DelegationPreconditions(Protocol):
--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -1,12 +1,11 @@
 """Renewal of worker leases by a follower, on behalf of a leader that the workers can't reach.
 
-In a zone that is partitioned from the leader, workers may still reach a follower. The follower may answer their
-heartbeats, so that they keep their tasks, provided that the leader can learn of it: before its first response to a
-worker, the follower writes the machine's name into a key of its own. The write is conditional on an unchanged leader
-key, and the key is attached to a short session lease. Each write of the leader has the keys of all lease delegates, in
-the versions known to the leader, as preconditions. So if a write succeeds, a lease that the leader believes to have
-expired can't have been renewed meanwhile, and decisions based on outdated knowledge are never stored. The follower
-sends no commands except to stop cancelled tasks.
+In a zone partitioned from the leader, workers may still reach a follower. It may answer their heartbeats, so that they
+keep their tasks, if the leader can learn of it: before its first response to a worker, the follower writes the
+machine's name into a key of its own. The write is conditional on an unchanged leader key, and the key is attached to a
+short session lease. Each write of the leader has the keys of all lease delegates, in versions known to the leader, as
+preconditions. So if a write succeeds, a lease that the leader considers expired can't have been renewed meanwhile, and
+decisions based on outdated knowledge are never stored. The follower sends only commands to stop cancelled tasks.
 
 Invariant: a worker is answered only while the stored key names its machine and the session lease can't have ended.
 """
@@ -34,9 +33,7 @@
 SESSION_LEASE_S = 6.0
 RENEWAL_PERIOD_S = 1.5
 LEADER_CONTACT_TIMEOUT_S = 3.0  # leases are renewed here after this time without a message from the leader
-# A worker's lease is renewed here for at most this time, so that the worker does not stay with a node that can't place
-# work on it.
-MAX_DELEGATION_S = 60.0
+MAX_DELEGATION_S = 60.0  # longest time for a worker, so that it does not stay with a node that can't place work on it
 
 
 class StoredDelegation(NamedTuple):
@@ -63,16 +60,12 @@
         leadership: Leadership,
         store: KeyValueClient,
         table: JobTable,
-        cancellations_current: Callable[[], bool],
+        cancellations_current: Callable[[], bool],  # whether knowledge of cancellations is recent enough for renewals
         clock: Callable[[], float],
-        packed_names: Callable[[], bool] = _not_supported,
-        numbered_names: Callable[[], bool] = _not_supported,
+        packed_names: Callable[[], bool] = _not_supported,  # whether all nodes can read names in packed form
+        numbered_names: Callable[[], bool] = _not_supported,  # whether all nodes can read names in numbered form
     ) -> None:
-        """Start without any delegation.
-
-        `cancellations_current` returns whether this node's knowledge of cancellations is recent enough to renew leases.
-        `packed_names` and `numbered_names` return whether all nodes can read machine names in these forms.
-        """
+        """Start without any delegation."""
         self.key = keys.LEASE_DELEGATE_PREFIX + node_name
         self.leadership = leadership
         self.store = store
@@ -131,10 +124,9 @@
     def redirect_target(self, heartbeat: Heartbeat) -> str | None:
         """Return the leader to which a worker with a freshly renewed lease is redirected now, or None.
 
-        If only connections between nodes are blocked, a leader that leads by session lease has no contact with this
-        node, but workers can reach it. Without redirects, workers that had come here before this leader took over
-        stayed here for as long as the connections were blocked, which left the leader with 85 of 419 machines. A worker
-        that finds no leader at the redirect target comes back.
+        If only connections between nodes are blocked, workers can reach a leader that leads by session lease, but this
+        node can't. Without redirects, workers that had come here before that leader took over stayed until connections
+        were restored, leaving the leader with 85 of 419 machines. A worker that finds no leader there comes back.
         """
         leader_key = self.leadership.leader_key
         machine = heartbeat.machine
@@ -173,11 +165,9 @@
     # -- this node's key -----------------------------------------------------------------------
 
     async def store_delegation(self, shrink: bool = False) -> None:
-        """Store the names of the machines whose leases are renewed here, on condition of an unchanged leader key.
-
-        With `shrink`, the key is written even if no further machines are requested.
-        """
+        """Store the names of the machines whose leases are renewed here, on condition of an unchanged leader key."""
         async with self.lock:
+            # With `shrink`, the key is written even if no further machines are requested.
             if self.requested <= self.delegated and self._is_current() and not shrink:
                 return
             token = self.leadership.leader_key.version
@@ -187,16 +177,14 @@
             try:
                 stored = await self._commit(token, machines)
             except RequestRejectedError as error:
-                # The write was not executed, so the stored delegation is unchanged and stays valid. When it was
-                # dropped on a rejection, a whole fleet that arrived at once used up the changes that this node may
-                # write, and each rejection ended the renewals for machines that were already stored.
+                # Nothing was written, so the stored delegation stays valid. When it was dropped here, a fleet arriving
+                # at once used up this node's share of changes, and each rejection ended renewals for stored machines.
                 log.debug("lease delegation rejected: machines=%d reason=%s", len(machines), error)
                 return
             except (PreconditionFailedError, OutcomeUnknownError) as error:
                 log.debug("lease delegation not stored: machines=%d reason=%s", len(machines), type(error).__name__)
-                # The write may still be executed and attach the key to a session lease that is never renewed, so
-                # earlier delegations can't be relied on either. The leader may count too many machines as delegated,
-                # which is safe.
+                # The write may still attach the key to a session lease that is never renewed, so earlier delegations
+                # can't be relied on either. The leader may count too many machines as delegated, which is safe.
                 self._invalidate()
                 return
             self._apply_stored(stored)
@@ -247,8 +235,7 @@
     async def run(self) -> None:
         """Renew the session lease periodically, and end the delegation when the leader is in contact again.
 
-        The delegation also ends if the leader changes, if the session lease is lost, or if no delegated machines are
-        left.
+        The delegation also ends if the leader changes, the session lease is lost, or no delegated machines are left.
         """
         while True:
             await asyncio.sleep(RENEWAL_PERIOD_S)
