--- a/hookwall/autoscaling/provisioning_plan.py
+++ b/hookwall/autoscaling/provisioning_plan.py
@@ -17,8 +17,8 @@
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import (
-    EPSILON,
-    ROUNDING,
+    CAPACITY_TOLERANCE,
+    ROUNDING_TOLERANCE,
     FreeCapacity,
     ResourceRequest,
     placeable_task_count,
@@ -99,7 +99,7 @@
                 if not on_demand_only and too_expensive:
                     continue
                 shortfall = (targets.on_demand - on_demand) if on_demand_only else (target_total - total)
-                count = min(int(shortfall + ROUNDING), MAX_MACHINES_PER_REQUEST)
+                count = min(int(shortfall + ROUNDING_TOLERANCE), MAX_MACHINES_PER_REQUEST)
                 if count <= 0:
                     continue
                 plan[pool] = plan.get(pool, 0) + count
@@ -125,7 +125,7 @@
         self.counts = capacity.machine_count_by_pool()
         self.incoming = incoming
         # Excludes machines whose GPUs earlier requests have used up, so that they are not checked again.
-        self.incoming_with_gpus = [machine for machine in incoming if machine.gpus > EPSILON]
+        self.incoming_with_gpus = [machine for machine in incoming if machine.gpus > CAPACITY_TOLERANCE]
         self.planned: Counter[MachinePool] = Counter()
 
     def add(self, request: ResourceRequest) -> None:
@@ -152,7 +152,7 @@
         remaining = request.count
         machines = self.incoming
         if request.gpus > 0:
-            machines = [machine for machine in self.incoming_with_gpus if machine.gpus > EPSILON]
+            machines = [machine for machine in self.incoming_with_gpus if machine.gpus > CAPACITY_TOLERANCE]
             self.incoming_with_gpus = machines
         for machine in machines:
             if remaining <= 0:
--- a/hookwall/drains/cluster_snapshot.py
+++ b/hookwall/drains/cluster_snapshot.py
@@ -96,7 +96,7 @@
             if entry.phase == RUNNING:
                 machine.phase = MachinePhase.UP
                 machine.epoch = ASSUMED_EPOCH
-                machine.acknowledges = True
+                machine.receives_responses = True
 
     def selectable_machines(self) -> list[SelectableMachine]:
         """The machines that the cloud lists."""
--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -98,7 +98,7 @@
         fleet.in_maintenance = self.table.in_maintenance
         fleet.on_stop_requested = self.disruptions.record_stop_request
         fleet.on_allocation_released = self.disruptions.record_lost_allocation
-        scheduler.relocated = self.disruptions.relocating
+        scheduler.relocated_jobs = self.disruptions.relocating
 
     def load_for_leadership(self, entries: Sequence[KeyValueEntry]) -> None:
         """Load the stored state at the beginning of a leadership."""
--- a/hookwall/drains/drain_transitions.py
+++ b/hookwall/drains/drain_transitions.py
@@ -16,7 +16,7 @@
 from hookwall.drains.drain_writer import DrainWriter
 from hookwall.drains.records import DrainPhase, MachineOutcome, StepPhase, StepRecord
 from hookwall.workers.fleet import Fleet
-from hookwall.workers.orderly_stop import stop_grace_s
+from hookwall.workers.graceful_stop import stop_grace_s
 
 log = logging.getLogger(__name__)
 
--- a/hookwall/jobs/allocation.py
+++ b/hookwall/jobs/allocation.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-NEVER = -1e9  # seconds on the node's clock; earlier than any event
+DISTANT_PAST = -1e9  # seconds on the node's clock; earlier than any event
 NOT_RUNNING = -1.0  # value of `Allocation.running_since` until the worker reports that the task runs
 
 
@@ -46,5 +46,5 @@
         self.created_at = now
         self.running_since = NOT_RUNNING
         self.stop_grace_s: float | None = None  # None: the task is not to be stopped
-        self.stop_sent_at = NEVER
+        self.stop_sent_at = DISTANT_PAST
         self.finished = False
--- a/hookwall/jobs/cancellations.py
+++ b/hookwall/jobs/cancellations.py
@@ -27,7 +27,7 @@
 
 from hookwall.config.clock_bounds import MAX_CLOCK_DRIFT
 from hookwall.config.platform import WorkerTimings
-from hookwall.jobs.allocation import NEVER
+from hookwall.jobs.allocation import DISTANT_PAST
 from hookwall.jobs.leadership_view import PeerLeadershipView
 from hookwall.leadership.roles import LeaseMode
 from hookwall.protocol.peer_messages import KnownCancellations, MessageKind, PeerMessage
@@ -75,7 +75,7 @@
         self.max_staleness_s = max(timings.report_s, timings.cancel_s - longest_lease_s - SAFETY_MARGIN_S)
         # Up to this time all changes of the records are known here. It is the time at which the latest request was sent
         # whose response showed these changes.
-        self.records_current_at = NEVER
+        self.records_current_at = DISTANT_PAST
         self.all_records_read = False  # until all records are read, cancellations known before a restart may be missing
         # By peer: when the last heartbeat was sent that the peer answered with all cancellations that it knows.
         self.peer_reports_sent_at: dict[str, float] = {}
@@ -149,7 +149,7 @@
         """
         self.apply_cancellations(known.cancellations)
         if known.complete:
-            self.peer_reports_sent_at[peer] = max(sent_at, self.peer_reports_sent_at.get(peer, NEVER))
+            self.peer_reports_sent_at[peer] = max(sent_at, self.peer_reports_sent_at.get(peer, DISTANT_PAST))
 
     def apply_cancellations(self, cancellations: object) -> None:
         """Apply cancellations from a peer, which are pairs of job id and version; ignore anything else."""
--- a/hookwall/jobs/job.py
+++ b/hookwall/jobs/job.py
@@ -11,13 +11,13 @@
 
 from collections.abc import Iterable
 
-from hookwall.jobs.allocation import NEVER, Allocation, StoredStart
+from hookwall.jobs.allocation import DISTANT_PAST, Allocation, StoredStart
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.storage.entries import StoredValue
 from hookwall.storage.job_records import JobRecord, StoredAllocation
 from hookwall.storage.task_ranges import decode_ranges, encode_ranges
 
-__all__ = ["CANCELLED", "DONE", "NEVER", "OPEN", "Allocation", "Job", "StoredStart", "jobs_to_write"]
+__all__ = ["CANCELLED", "DISTANT_PAST", "DONE", "OPEN", "Allocation", "Job", "StoredStart", "jobs_to_write"]
 
 OPEN = "open"
 DONE = "done"
@@ -42,7 +42,7 @@
         "finished_at", "has_unsaved_changes", "has_unsaved_starts", "image_index", "job_id", "last_failure_at",
         "machine_type_fit", "needs_reload", "next_attempt", "pending_cursor", "phase", "queued_at", "rank",
         "record_unreadable", "retry_not_before", "revert_if_write_fails", "spec", "stored_done_count", "stored_phase",
-        "stored_starts", "stored_value", "submitted_at", "task_count", "team_index", "unrecorded_sightings",
+        "stored_starts", "stored_value", "submitted_at", "task_count", "team_index", "unrecorded_reports",
         "unsaved_since", "version", "write_in_flight", "zone_index",
     )  # fmt: skip
 
@@ -75,9 +75,9 @@
         self.needs_reload = False  # the record must be applied again even if its version is already known
         self.record_unreadable = False  # a newer record can't be read, so the state known here may be outdated
         # Reports of workers.
-        self.unrecorded_sightings: dict[int, set[str]] = {}  # task -> machines that report it without a known start
+        self.unrecorded_reports: dict[int, set[str]] = {}  # task -> machines that report it without a known start
         self.failures_by_machine: dict[str, int] = {}
-        self.last_failure_at = self.retry_not_before = NEVER
+        self.last_failure_at = self.retry_not_before = DISTANT_PAST
         # Derived state, used for scheduling.
         self.queued_at = 0.0  # time of day of its submission, or of the end of the last job that it depends on
         self.rank = UNASSIGNED  # the highest of its own rank and those of its dependents; 0 is the highest
@@ -98,9 +98,9 @@
             return []
         found: list[int] = []
         task = self.pending_cursor
-        done_flags, allocations, sightings = self.done_flags, self.allocations, self.unrecorded_sightings
+        done_flags, allocations, unrecorded = self.done_flags, self.allocations, self.unrecorded_reports
         while task < self.task_count and len(found) < limit:
-            if not done_flags[task] and task not in allocations and task not in sightings:
+            if not done_flags[task] and task not in allocations and task not in unrecorded:
                 if not found:
                     self.pending_cursor = task
                 found.append(task)
@@ -114,7 +114,7 @@
         if self.phase != OPEN or self.done_flags is None:
             return 0
         sighted = sum(
-            1 for task in self.unrecorded_sightings if task not in self.allocations and not self.done_flags[task]
+            1 for task in self.unrecorded_reports if task not in self.allocations and not self.done_flags[task]
         )
         allocated = sum(1 for allocation in self.allocations.values() if not allocation.finished)
         return self.task_count - self.done_count - allocated - sighted
@@ -127,23 +127,23 @@
         """
         if self.record_unreadable:
             return False
-        return not self.unrecorded_sightings.get(allocation.task, set()) - {allocation.machine}
+        return not self.unrecorded_reports.get(allocation.task, set()) - {allocation.machine}
 
     # -- reports of workers ----------------------------------------------------------------------
 
-    def add_unrecorded_sighting(self, task: int, machine: str) -> None:
+    def add_unrecorded_report(self, task: int, machine: str) -> None:
         """Record that a worker reports a task although no start of the task on its machine is known.
 
         The task must not be started on any other machine.
         """
         if 0 <= task < self.task_count:
-            self.unrecorded_sightings.setdefault(task, set()).add(machine)
+            self.unrecorded_reports.setdefault(task, set()).add(machine)
 
-    def remove_unrecorded_sighting(self, task: int, machine: str) -> None:
+    def remove_unrecorded_report(self, task: int, machine: str) -> None:
         """Record that a task reported without a known start is no longer on that machine."""
-        machines = self.unrecorded_sightings.get(task, set())
+        machines = self.unrecorded_reports.get(task, set())
         machines.discard(machine)
-        if not machines and self.unrecorded_sightings.pop(task, None) is not None:
+        if not machines and self.unrecorded_reports.pop(task, None) is not None:
             self.pending_cursor = min(self.pending_cursor, task)
 
     # -- decisions of the leader -----------------------------------------------------------------
--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -272,7 +272,7 @@
         start the tasks of a machine elsewhere because its lease seemed to have expired, although the machine still runs
         them.
         """
-        if self.leadership.role is Role.LEADER and self.fleet.lease_expiry.retract_expiry(machines):
+        if self.leadership.role is Role.LEADER and self.fleet.lease_expiry.retract_expired_machines(machines):
             log.info("expired lease was renewed by a follower; unsaved decisions are void")
             self.job_table.revert_unsaved()
 
--- a/hookwall/scheduling/feasibility.py
+++ b/hookwall/scheduling/feasibility.py
@@ -8,7 +8,7 @@
 from hookwall.config.platform import TeamQuota
 from hookwall.protocol.cloud_messages import Catalog, MachineType
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.workers.resources import ROUNDING
+from hookwall.workers.resources import ROUNDING_TOLERANCE
 
 
 def infeasibility_reason(spec: JobSpec, catalog: Catalog, teams: Mapping[str, TeamQuota]) -> str | None:
@@ -17,9 +17,9 @@
     if team is None:
         return "unknown team"
     simultaneous_tasks = spec.task_count if spec.gang else 1
-    if team.gpus_max and spec.gpus * simultaneous_tasks > team.gpus_max + ROUNDING:
+    if team.gpus_max and spec.gpus * simultaneous_tasks > team.gpus_max + ROUNDING_TOLERANCE:
         return "more GPUs than the team's limit"
-    if team.cpus_max and spec.cpus * simultaneous_tasks > team.cpus_max + ROUNDING:
+    if team.cpus_max and spec.cpus * simultaneous_tasks > team.cpus_max + ROUNDING_TOLERANCE:
         return "more CPUs than the team's limit"
     if any(_admits_task(spec, machine_type) for machine_type in catalog.types):
         return None
@@ -33,7 +33,7 @@
     if spec.zone is not None and spec.zone not in machine_type.zones:
         return False
     return (
-        spec.cpus <= machine_type.cpus + ROUNDING
-        and spec.gpus <= machine_type.gpus + ROUNDING
-        and spec.memory_gb <= machine_type.memory_gb + ROUNDING
+        spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
+        and spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+        and spec.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE
     )
--- a/hookwall/scheduling/fit.py
+++ b/hookwall/scheduling/fit.py
@@ -9,7 +9,7 @@
 from hookwall.protocol.cloud_messages import Catalog, MachineType
 from hookwall.protocol.job_messages import JobSpec
 from hookwall.workers.fleet import Fleet
-from hookwall.workers.resources import ROUNDING
+from hookwall.workers.resources import ROUNDING_TOLERANCE
 
 # A task that takes a larger share of a machine counts as taking all of it, because a second such task does not fit.
 EXCLUSIVE_SHARE = 0.5
@@ -64,7 +64,7 @@
         (spec.cpus, machine_type.cpus),
         (spec.memory_gb, machine_type.memory_gb),
     )
-    if any(need > available + ROUNDING for need, available in needs):
+    if any(need > available + ROUNDING_TOLERANCE for need, available in needs):
         return 0.0
     share = max(need / available for need, available in needs if available > 0)
     return 1.0 if share > EXCLUSIVE_SHARE else share
--- a/hookwall/scheduling/image_affinity.py
+++ b/hookwall/scheduling/image_affinity.py
@@ -16,7 +16,7 @@
 from hookwall.scheduling.round_state import AffinityGroup, QueuedJob, RoundState
 from hookwall.workers.fleet import Fleet
 from hookwall.workers.resources import (
-    EPSILON,
+    CAPACITY_TOLERANCE,
     FreeCapacity,
     ResourceRequest,
     placeable_task_count,
@@ -131,7 +131,7 @@
         contested: set[int] = set()
         fetch_s = 0.0
         for machine in machines:
-            if machine.gpus + EPSILON < spec.gpus or job.image_index in machine.cached_images:
+            if machine.gpus + CAPACITY_TOLERANCE < spec.gpus or job.image_index in machine.cached_images:
                 continue  # while jobs are queued, nearly all machines are full, so the cheapest check comes first
             if not competing & machine.cached_images:
                 continue
--- a/hookwall/scheduling/placement.py
+++ b/hookwall/scheduling/placement.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from hookwall.workers.resources import (
-    EPSILON,
+    CAPACITY_TOLERANCE,
     UNKNOWN_ZONE,
     FreeCapacity,
     ResourceRequest,
@@ -24,7 +24,7 @@
 
 # Includes names from `workers.resources` that other packages import together with `place`.
 __all__ = [
-    "EPSILON",
+    "CAPACITY_TOLERANCE",
     "UNKNOWN_ZONE",
     "FreeCapacity",
     "Placement",
@@ -194,9 +194,9 @@
     Most jobs fit on a single machine. Finding it like this is far faster than counting how many tasks each machine can
     hold.
     """
-    gpus = request.count * request.gpus - EPSILON
-    cpus = request.count * request.cpus - EPSILON
-    memory = request.count * request.memory - EPSILON
+    gpus = request.count * request.gpus - CAPACITY_TOLERANCE
+    cpus = request.count * request.cpus - CAPACITY_TOLERANCE
+    memory = request.count * request.memory - CAPACITY_TOLERANCE
     return [m for m in machines if m.gpus >= gpus and m.cpus >= cpus and m.memory >= memory]
 
 
--- a/hookwall/scheduling/preemption.py
+++ b/hookwall/scheduling/preemption.py
@@ -15,9 +15,9 @@
 from hookwall.scheduling.preemption_options import find_options, preemption_key
 from hookwall.scheduling.round_state import PreemptionOption, ResourceUsage, RoundState, Victim
 from hookwall.workers.fleet import Fleet
-from hookwall.workers.orderly_stop import stop_grace_s
+from hookwall.workers.graceful_stop import stop_grace_s
 from hookwall.workers.resources import (
-    EPSILON,
+    CAPACITY_TOLERANCE,
     FreeCapacity,
     ResourceRequest,
     placeable_task_count,
@@ -242,7 +242,7 @@
 
 def _is_zero(usage: ResourceUsage) -> bool:
     """Return whether a usage beyond a guarantee is zero."""
-    return usage.gpus <= EPSILON and usage.cpus <= EPSILON
+    return usage.gpus <= CAPACITY_TOLERANCE and usage.cpus <= CAPACITY_TOLERANCE
 
 
 def _is_usable(option: PreemptionOption, state: RoundState, zones: set[int], image: int | None) -> bool:
@@ -270,7 +270,9 @@
         available = borrowed.get(team)
         if available is None:
             continue
-        if usage.gpus > available.gpus + EPSILON or (usage.gpus == 0 and usage.cpus > available.cpus + EPSILON):
+        if usage.gpus > available.gpus + CAPACITY_TOLERANCE or (
+            usage.gpus == 0 and usage.cpus > available.cpus + CAPACITY_TOLERANCE
+        ):
             return False
     for team, usage in reclaimed.items():
         if team in borrowed:
--- a/hookwall/scheduling/quotas.py
+++ b/hookwall/scheduling/quotas.py
@@ -7,7 +7,7 @@
 from hookwall.jobs.job import OPEN, Job
 from hookwall.jobs.job_table import JobTable
 from hookwall.scheduling.round_state import ResourceUsage, RoundState
-from hookwall.workers.resources import EPSILON, ROUNDING
+from hookwall.workers.resources import CAPACITY_TOLERANCE, ROUNDING_TOLERANCE
 
 
 class Quotas:
@@ -45,14 +45,14 @@
         assert spec is not None
         count = job.task_count
         if team.gpus_max and spec.gpus > 0:
-            count = min(count, int((team.gpus_max - usage.gpus + EPSILON) / spec.gpus))
+            count = min(count, int((team.gpus_max - usage.gpus + CAPACITY_TOLERANCE) / spec.gpus))
         if team.cpus_max and spec.cpus > 0:
-            count = min(count, int((team.cpus_max - usage.cpus + EPSILON) / spec.cpus))
+            count = min(count, int((team.cpus_max - usage.cpus + CAPACITY_TOLERANCE) / spec.cpus))
         return max(0, count)
 
 
 def _covers(team: TeamQuota, usage: ResourceUsage) -> bool:
     """Return whether the team's guarantee covers this usage; a resource without a configured guarantee is covered."""
-    if team.gpus and usage.gpus > team.gpus + ROUNDING:
+    if team.gpus and usage.gpus > team.gpus + ROUNDING_TOLERANCE:
         return False
-    return not team.cpus or usage.cpus <= team.cpus + ROUNDING
+    return not team.cpus or usage.cpus <= team.cpus + ROUNDING_TOLERANCE
--- a/hookwall/scheduling/round_state.py
+++ b/hookwall/scheduling/round_state.py
@@ -12,7 +12,7 @@
 from hookwall.jobs.allocation import Allocation
 from hookwall.jobs.job import Job
 from hookwall.protocol.job_messages import JobSpec
-from hookwall.workers.resources import EPSILON, FreeCapacity, ResourceRequest, satisfies_constraints
+from hookwall.workers.resources import CAPACITY_TOLERANCE, FreeCapacity, ResourceRequest, satisfies_constraints
 
 Victim = tuple[Job, Allocation]  # the pairs that the fleet keeps for each machine
 
@@ -128,15 +128,15 @@
         machine.gpus -= spec.gpus * task_count
         machine.memory -= spec.memory_gb * task_count
         machine.cached_images = {*machine.cached_images, job.image_index}
-        if machine.gpus <= EPSILON:
+        if machine.gpus <= CAPACITY_TOLERANCE:
             self.machines_with_gpus.pop(machine_index, None)
 
     def count_usage(self, jobs: Iterable[Job]) -> None:
         """Add up what each team's tasks may be using, including tasks that only workers report."""
         for job in jobs:
-            if job.spec is None or not (job.allocations or job.unrecorded_sightings):
+            if job.spec is None or not (job.allocations or job.unrecorded_reports):
                 continue
-            task_count = len(job.allocations) + len(job.unrecorded_sightings)
+            task_count = len(job.allocations) + len(job.unrecorded_reports)
             usage = self.usage.get(job.team_index)
             if usage is None:
                 usage = self.usage[job.team_index] = ResourceUsage()
--- a/hookwall/scheduling/scheduler.py
+++ b/hookwall/scheduling/scheduler.py
@@ -33,7 +33,7 @@
 )
 from hookwall.storage.job_records import plain_allocations_bytes
 from hookwall.workers.fleet import Fleet
-from hookwall.workers.resources import EPSILON, ResourceRequest
+from hookwall.workers.resources import CAPACITY_TOLERANCE, ResourceRequest
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
         self.resume_key: QueueKey | None = None
         self.waiting: dict[str, QueuedJob] = {}
         # Jobs that a drain has stopped (drains/). Capacity was found for them, which they yield to no other job.
-        self.relocated: Container[str] = ()
+        self.relocated_jobs: Container[str] = ()
         self.latest_start_s = _latest_starts_s(params.objectives)
         team_settings = list(params.teams)
         self.quotas = Quotas(team_settings, table)
@@ -98,7 +98,7 @@
                 continue
             free = self.fleet.free_capacity(machine)
             state.machines[machine.index] = free
-            if free.gpus > EPSILON:
+            if free.gpus > CAPACITY_TOLERANCE:
                 state.machines_with_gpus[machine.index] = free
             if machine.reserved_for:
                 state.reserved_for[machine.index] = machine.reserved_for
@@ -116,7 +116,7 @@
         tasks_by_zone: dict[int, int] = {}
         if spec.one_zone or spec.spread or spec.service:
             machines = [allocation.machine for allocation in job.allocations.values()]
-            machines.extend(name for names in job.unrecorded_sightings.values() for name in names)
+            machines.extend(name for names in job.unrecorded_reports.values() for name in names)
             for machine in machines:
                 zone = self.fleet.zone_of(machine)
                 tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
@@ -177,7 +177,7 @@
             return
         count = min(count, admitted)
         request = self.resource_request(job, count)
-        is_starving = self._starves(job, now)
+        is_starving = self._is_starving(job, now)
         machines = self.machine_selection.available_machines(job, request, state, is_starving, now)
         placements = self.machine_selection.place_job(job, request, state, machines, is_starving, within_guarantee)
         if placements and self.cached_image_wait.should_wait(job, placements, state, within_guarantee, now):
@@ -186,7 +186,7 @@
         if placed:
             self._allocate(job, state, placements, now)
         if placed < count:
-            self._wait_for_room(job, request, state, count - placed, placed > 0, within_guarantee, now)
+            self._queue_remainder(job, request, state, count - placed, placed > 0, within_guarantee, now)
         else:
             self.waiting.pop(job.job_id, None)
 
@@ -216,7 +216,7 @@
                 "tasks placed: job=%s attempt=%d tasks=%d machines=%s", job.job_id, attempt, placed, machine_counts
             )
 
-    def _wait_for_room(
+    def _queue_remainder(
         self,
         job: Job,
         request: ResourceRequest,
@@ -229,7 +229,7 @@
         """Queue the remaining tasks of a job, preempt tasks for them where allowed, and reserve machines for a gang."""
         queued = self.waiting.get(job.job_id)
         if queued is None:
-            last_served_at = -math.inf if job.job_id in self.relocated else now
+            last_served_at = -math.inf if job.job_id in self.relocated_jobs else now
             queued = self.waiting[job.job_id] = QueuedJob(job, remaining, now, last_served_at=last_served_at)
         elif served:
             queued.last_served_at = now
@@ -242,13 +242,13 @@
         if request.gang and missing > 0 and now - queued.waiting_since > RESERVE_AFTER_S:
             self.reservations.reserve_for_gang(job, request, state, now)
 
-    def _starves(self, job: Job, now: float) -> bool:
+    def _is_starving(self, job: Job, now: float) -> bool:
         """Return whether a job was not served for so long that it no longer has to yield machines to gangs.
 
         A job that a drain has stopped always counts as starving.
         """
         queued = self.waiting.get(job.job_id)
-        return job.job_id in self.relocated or (queued is not None and now - queued.last_served_at > STARVATION_S)
+        return job.job_id in self.relocated_jobs or (queued is not None and now - queued.last_served_at > STARVATION_S)
 
 
 def _latest_starts_s(objectives: list[ServiceObjective]) -> dict[str, float]:
--- a/hookwall/scheduling/serving_order.py
+++ b/hookwall/scheduling/serving_order.py
@@ -43,7 +43,7 @@
     for job in table.open_jobs.values():
         if job.phase != OPEN or job.spec is None or now < job.retry_not_before:
             continue
-        is_partly_placed_gang = job.spec.gang and (job.allocations or job.unrecorded_sightings)
+        is_partly_placed_gang = job.spec.gang and (job.allocations or job.unrecorded_reports)
         if not job.pending_tasks(1) or is_partly_placed_gang:
             waiting.pop(job.job_id, None)
             continue
--- a/hookwall/workers/delegated_leases.py
+++ b/hookwall/workers/delegated_leases.py
@@ -9,7 +9,7 @@
 
 from hookwall.storage.entries import Precondition
 from hookwall.workers.delegation_record import decode_machines
-from hookwall.workers.machine import NEVER
+from hookwall.workers.machine import DISTANT_PAST
 
 
 class Delegation(NamedTuple):
@@ -40,7 +40,7 @@
         self.on_machines_delegated = on_machines_delegated
         self.delegations: dict[str, Delegation] = {}
         self.released_at: dict[str, float] = {}  # machine -> when the end of its delegation was observed
-        self.all_released_at = NEVER
+        self.all_released_at = DISTANT_PAST
 
     def apply_key(self, key: str, value: object, version: int) -> None:
         """Apply a lease delegate's key as read or watched; version 0 means that the key is deleted.
@@ -82,7 +82,7 @@
 
     def last_possible_renewal(self, machine: str) -> float:
         """Return the latest time at which a follower may have renewed the lease under a delegation that has ended."""
-        return max(self.all_released_at, self.released_at.get(machine, NEVER))
+        return max(self.all_released_at, self.released_at.get(machine, DISTANT_PAST))
 
     def preconditions(self, keys: list[str]) -> list[Precondition]:
         """Return the key versions on which each write of the leader is conditional; 0 means that the key is absent."""
--- a/hookwall/workers/fleet_state.py
+++ b/hookwall/workers/fleet_state.py
@@ -115,7 +115,7 @@
         return (
             machine.phase in SCHEDULABLE_PHASES
             and machine.name not in self.cordoned
-            and machine.acknowledges
+            and machine.receives_responses
             and not machine.unresponsive
             and machine.epoch > 0
             and not machine.unrecorded_tasks
--- a/hookwall/workers/fleet_transitions.py
+++ b/hookwall/workers/fleet_transitions.py
@@ -136,10 +136,10 @@
         """
         for job_id, task in machine.unrecorded_tasks - tasks:
             if job_id in self.table.jobs:
-                self.table.jobs[job_id].remove_unrecorded_sighting(task, machine.name)
+                self.table.jobs[job_id].remove_unrecorded_report(task, machine.name)
         for job_id, task in tasks:
             if job_id in self.table.jobs:
-                self.table.jobs[job_id].add_unrecorded_sighting(task, machine.name)
+                self.table.jobs[job_id].add_unrecorded_report(task, machine.name)
         machine.unrecorded_tasks = tasks
 
     def request_stop(self, job: Job, allocation: Allocation, grace_s: float, reason: str) -> None:
--- a/hookwall/workers/heartbeat_handler.py
+++ b/hookwall/workers/heartbeat_handler.py
@@ -8,8 +8,8 @@
 
 from hookwall.protocol.heartbeat_messages import Command, Heartbeat
 from hookwall.workers.fleet_transitions import FleetTransitions
+from hookwall.workers.graceful_stop import stop_grace_s
 from hookwall.workers.machine import Machine, MachinePhase
-from hookwall.workers.orderly_stop import stop_grace_s
 from hookwall.workers.successor_hints import SuccessorHints
 from hookwall.workers.task_reconciliation import TaskReconciliation
 
@@ -77,12 +77,12 @@
         for a response until the time-out.
         """
         if heartbeat.fencing_token != self.fleet.fencing_token or heartbeat.epoch != machine.epoch:
-            if machine.acknowledges:
+            if machine.receives_responses:
                 log.info("heartbeat shows no response received: machine=%s", machine.name)
             # A worker can't have received a response before its first heartbeat. A worker that has just started has no
             # fencing token yet (0). It is assumed to receive this response, so that the next one can launch its first
             # tasks: half a second later instead of three seconds later. Urgent work is to begin within 60 s.
-            machine.acknowledges = machine.epoch == 0 and heartbeat.epoch == 1 and heartbeat.fencing_token == 0
+            machine.receives_responses = machine.epoch == 0 and heartbeat.epoch == 1 and heartbeat.fencing_token == 0
             if machine.epoch == 0:
                 machine.acknowledged_at = now
         elif now - machine.last_response_at < ACKNOWLEDGEMENT_TIMEOUT_S:
@@ -90,8 +90,8 @@
             if machine.unresponsive:
                 log.info("machine responsive again: machine=%s", machine.name)
                 machine.unresponsive = False
-            if not machine.acknowledges:
-                machine.acknowledges = True
+            if not machine.receives_responses:
+                machine.receives_responses = True
                 self.fleet.on_change()
 
     def _apply_preemption_notice(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
--- a/hookwall/workers/lease_expiry.py
+++ b/hookwall/workers/lease_expiry.py
@@ -43,13 +43,13 @@
                 continue
             if not machine.unresponsive and self._is_unresponsive(machine, valid_since, now):
                 machine.unresponsive = True
-                machine.acknowledges = False
+                machine.receives_responses = False
                 log.info("machine unresponsive: machine=%s", machine.name)
                 self.fleet.on_change()
             if self._has_expired(machine, valid_since, now):
                 self._expire(machine)
 
-    def retract_expiry(self, delegated: frozenset[str] | None) -> bool:
+    def retract_expired_machines(self, delegated: frozenset[str] | None) -> bool:
         """Stop counting the delegated machines as expired; return whether any of them was treated as expired.
 
         `delegated` is None if any machine may be delegated.
--- a/hookwall/workers/machine.py
+++ b/hookwall/workers/machine.py
@@ -13,7 +13,7 @@
 from hookwall.workers.resources import FreeCapacity
 
 # Earlier than any time of the clock. Stands for an event that has not happened, in fields that hot paths compare.
-NEVER = -1e9
+DISTANT_PAST = -1e9
 
 
 class NameIndex:
@@ -70,7 +70,6 @@
 
     __slots__ = (
         "acknowledged_at",
-        "acknowledges",
         "allocations",
         "cached_images",
         "consecutive_errors",
@@ -92,6 +91,7 @@
         "preemption_at",
         "provisioned_at",
         "provisioning_failed",
+        "receives_responses",
         "rejects_tasks_until",
         "reserved_for",
         "sequence",
@@ -120,7 +120,7 @@
         """Initialize the state that the cloud reports."""
         self.first_known_at = now
         self.provisioned_at = now
-        self.last_listed_at = NEVER  # when the cloud last listed it; stays NEVER if only job records name it
+        self.last_listed_at = DISTANT_PAST  # when the cloud last listed it; stays so if only job records name it
         self.listed_running_at = -1.0  # when it was first listed as running; negative: not yet
         self.preemption_at: float | None = None  # announced time of the preemption
         self.provisioning_failed = False
@@ -131,9 +131,9 @@
         self.epoch = 0
         self.sequence = -1
         self.fencing_token = 0
-        self.last_response_at = NEVER  # when this leader last answered a heartbeat
-        self.acknowledges = False  # whether its heartbeats show that this leader's responses reach it
-        self.acknowledged_at = NEVER  # when a heartbeat last showed that
+        self.last_response_at = DISTANT_PAST  # when this leader last answered a heartbeat
+        self.receives_responses = False  # whether its heartbeats show that this leader's responses reach it
+        self.acknowledged_at = DISTANT_PAST  # when a heartbeat last showed that
         self.unresponsive = False
 
     def _init_tasks(self) -> None:
@@ -146,6 +146,6 @@
         self.cached_images: OrderedDict[int, float] = OrderedDict()  # image -> GB, most recently used last
         self.consecutive_errors = 0
         self.jobs_with_errors: set[str] = set()
-        self.rejects_tasks_until = NEVER
+        self.rejects_tasks_until = DISTANT_PAST
         self.free_capacity: FreeCapacity | None = None  # None: has to be computed again
-        self.last_on_demand_work_at = NEVER  # when it last had tasks that can't run on spot instances
+        self.last_on_demand_work_at = DISTANT_PAST  # when it last had tasks that can't run on spot instances
--- a/hookwall/workers/resources.py
+++ b/hookwall/workers/resources.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass, field
 
-EPSILON = 1e-6  # tolerance for free capacity, in which rounding errors accumulate
-ROUNDING = 1e-9  # tolerance for values that are compared as configured
+CAPACITY_TOLERANCE = 1e-6  # tolerance for free capacity, in which rounding errors accumulate
+ROUNDING_TOLERANCE = 1e-9  # tolerance for values that are compared as configured
 UNKNOWN_ZONE = -1  # the zone of a machine that only job records name
 
 
@@ -66,11 +66,11 @@
     """Return how many of the requested tasks fit into the machine's free capacity."""
     count = request.count
     if request.gpus > 0:
-        count = min(count, int((machine.gpus + EPSILON) / request.gpus))
+        count = min(count, int((machine.gpus + CAPACITY_TOLERANCE) / request.gpus))
     if request.cpus > 0:
-        count = min(count, int((machine.cpus + EPSILON) / request.cpus))
+        count = min(count, int((machine.cpus + CAPACITY_TOLERANCE) / request.cpus))
     if request.memory > 0:
-        count = min(count, int((machine.memory + EPSILON) / request.memory))
+        count = min(count, int((machine.memory + CAPACITY_TOLERANCE) / request.memory))
     return max(count, 0)
 
 
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -303,13 +303,13 @@
     for _ in range(2):
         leader.tick()
     job = leader.node.job_table.jobs["run-000000"]
-    assert job.job_id in scheduler.relocated and scheduler._starves(job, leader.clock())
-    scheduler._wait_for_room(
+    assert job.job_id in scheduler.relocated_jobs and scheduler._is_starving(job, leader.clock())
+    scheduler._queue_remainder(
         job, scheduler.resource_request(job, 1), scheduler.round_state(leader.clock()), 1, False, False, leader.clock()
     )
     assert scheduler.waiting[job.job_id].last_served_at < leader.clock() - STARVATION_S
     other = leader.node.job_table.jobs["run-000001"]
-    assert not scheduler._starves(other, leader.clock())
+    assert not scheduler._is_starving(other, leader.clock())
 
 
 def test_a_machine_with_tasks_is_neither_marked_empty_nor_deleted(leader: Leader):
--- a/tests/workers/test_lease_expiry.py
+++ b/tests/workers/test_lease_expiry.py
@@ -47,6 +47,6 @@
     assert cluster.fleet.lease_expiry.expired_machines == {"vm-1"}
     cluster.fleet.confirm_deletion(machine, "deleted")
     assert (
-        not cluster.fleet.lease_expiry.retract_expiry(frozenset({"vm-1"}))
+        not cluster.fleet.lease_expiry.retract_expired_machines(frozenset({"vm-1"}))
         and not cluster.fleet.lease_expiry.expired_machines
     )
--- a/tests/workers/test_unrecorded_tasks.py
+++ b/tests/workers/test_unrecorded_tasks.py
@@ -45,7 +45,7 @@
     assert not job.allocations and job.pending_count() == 0
     end_reported_task(cluster, how)
     cluster.scheduler.run_round()
-    assert job.allocations and job.unrecorded_sightings == {}
+    assert job.allocations and job.unrecorded_reports == {}
 
 
 def test_other_tasks_of_the_reported_job_start(cluster: Cluster):
@@ -56,7 +56,7 @@
     cluster.scheduler.run_round()
     assert sorted(job.allocations) == [1, 2]
     cluster.fleet.reset(6)
-    assert job.unrecorded_sightings == {}, "a new leadership relies only on reports that it receives itself"
+    assert job.unrecorded_reports == {}, "a new leadership relies only on reports that it receives itself"
 
 
 def test_delayed_report_of_done_tasks_does_not_block_other_tasks(cluster: Cluster):
