--- a/hookwall/api/record_writer.py
+++ b/hookwall/api/record_writer.py
@@ -70,7 +70,7 @@
         RequestRejectedError if writing the chunks takes too long (the next attempt continues from there), and the
         errors that the store's client raises.
         """
-        stored_chunks: Any = self.table.chunks.texts
+        stored_chunks: Any = self.table.chunks.contents
         if version:
             stored_chunks = job_records.chunk_keys(key[len(keys.JOB_PREFIX) :], current)
         max_changes = self.store.batch_size()
--- a/hookwall/autoscaling/cloud_client.py
+++ b/hookwall/autoscaling/cloud_client.py
@@ -48,7 +48,7 @@
         """`rps` is the number of requests per second that the cloud allows."""
         self.base_url = f"http://{address}"
         self.session: aiohttp.ClientSession | None = None
-        self.call = request_json  # tests replace this
+        self.send_request = request_json  # tests replace this
         self.bucket = TokenBucket(rps * RATE_SHARE, max(1.0, rps * BURST_S), clock)
 
     async def open(self) -> None:
@@ -106,7 +106,7 @@
         if delay_s:
             await asyncio.sleep(delay_s)
         try:
-            status, raw = await self.call(self.session, method, self.base_url + path, body, REQUEST_TIMEOUT_S)
+            status, raw = await self.send_request(self.session, method, self.base_url + path, body, REQUEST_TIMEOUT_S)
             return status, msgspec.json.decode(raw) if raw else {}
         except (NoResponseError, msgspec.DecodeError) as error:
             raise CloudUnavailableError(str(error)) from error
--- a/hookwall/autoscaling/demand.py
+++ b/hookwall/autoscaling/demand.py
@@ -60,18 +60,18 @@
         fleet: Fleet,
         scheduler: Scheduler,
         clock: Callable[[], float],
-        intake_blocked: Callable[[], bool] = lambda: False,
+        submissions_blocked: Callable[[], bool] = lambda: False,
     ) -> None:
         """Start without any need.
 
-        `intake_blocked` tells whether jobs currently can't be accepted or stored. The need then only seems to fall, and
-        comes back later.
+        `submissions_blocked` tells whether jobs currently can't be accepted or stored. The need then only seems to
+        fall, and comes back later.
         """
         self.params = params
         self.fleet = fleet
         self.scheduler = scheduler
         self.clock = clock
-        self.intake_blocked = intake_blocked
+        self.submissions_blocked = submissions_blocked
         self.targets = Targets()
         self.on_demand_rate = 0.0  # rate of arrivals, in machines per second
         self.spot_rate = 0.0
@@ -113,7 +113,7 @@
             self.targets = Targets()
             return
         targets = self._compute_targets(need)
-        if self.intake_blocked():
+        if self.submissions_blocked():
             # The need comes back, since users retry until they get an answer. During an outage of 25 s, the measured
             # need fell by a fifth, spot instances that were preempted in the meantime were not replaced, and too few
             # spot instances were left for the jobs that were queued afterwards.
--- a/hookwall/autoscaling/scale_out.py
+++ b/hookwall/autoscaling/scale_out.py
@@ -58,14 +58,14 @@
         clock: Callable[[], float],
         *,
         is_first_leadership: Callable[[], bool] = lambda: False,
-        intake_blocked: Callable[[], bool] = lambda: False,
+        submissions_blocked: Callable[[], bool] = lambda: False,
         relocation_requests: Callable[[], Iterable[ResourceRequest]] = tuple,
         on_catalog: Callable[[Catalog], Awaitable[None]] = _ignore_catalog,
     ) -> None:
         """Build the parts of autoscaling.
 
         `is_first_leadership` tells whether no node can have led recently, so that there are no requests and heartbeats
-        to wait for. For `intake_blocked` see `Demand`, for `relocation_requests` see `ProvisioningPlanner`.
+        to wait for. For `submissions_blocked` see `Demand`, for `relocation_requests` see `ProvisioningPlanner`.
         `on_catalog` is called with the machine types each time they have been fetched.
         """
         self.fleet = fleet
@@ -76,7 +76,7 @@
         self.on_catalog = on_catalog
         self.inventory = Inventory(fleet, client, params.cloud, clock)
         self.capacity = Capacity(fleet, self.inventory)
-        self.demand = Demand(params, fleet, scheduler, clock, intake_blocked)
+        self.demand = Demand(params, fleet, scheduler, clock, submissions_blocked)
         self.scale_in = ScaleIn(params, fleet, scheduler, self.capacity, self.demand)
         self.backoff = PoolBackoff(clock)
         self.planner = ProvisioningPlanner(
@@ -94,7 +94,7 @@
         self.demand.reset(jobs_precede_leadership=not self.is_first_leadership())
         self.request_serial = 0
 
-    def is_gone(self, machine: str) -> bool:
+    def is_confirmed_deleted(self, machine: str) -> bool:
         """Whether a machine that is named in records is known to no longer exist."""
         if machine in self.fleet.deleted_names:
             return True
--- a/hookwall/cli.py
+++ b/hookwall/cli.py
@@ -16,7 +16,7 @@
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def parser(with_operator_commands: bool = True) -> argparse.ArgumentParser:
+def build_parser(with_operator_commands: bool = True) -> argparse.ArgumentParser:
     """Build the parser of all commands.
 
     Without `with_operator_commands` the operators' commands are left out, so that the daemon starts to listen sooner.
@@ -81,7 +81,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run a command and return its exit status."""
     command_line = sys.argv[1:] if argv is None else argv
-    args = parser(with_operator_commands=command_line[:1] != ["serve"]).parse_args(command_line)
+    args = build_parser(with_operator_commands=command_line[:1] != ["serve"]).parse_args(command_line)
     try:
         return int(args.run(args))
     except InvalidSettingsError as e:
--- a/hookwall/drains/controller.py
+++ b/hookwall/drains/controller.py
@@ -29,7 +29,7 @@
     StepPhase,
 )
 from hookwall.drains.wait_reasons import Wait, WaitKind, summarize_waits
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.scheduling.placement import ResourceRequest
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.storage.client import KeyValueClient
--- a/hookwall/drains/drain_writer.py
+++ b/hookwall/drains/drain_writer.py
@@ -10,7 +10,7 @@
 from hookwall.drains.disruption_ledger import DisruptionLedger
 from hookwall.drains.drain_table import DrainTable
 from hookwall.drains.records import DisruptionPage, DrainRecord, StepRecord
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.storage import keys
 from hookwall.storage.client import KeyValueClient
 from hookwall.storage.entries import Precondition, Put
--- a/hookwall/jobs/job_table.py
+++ b/hookwall/jobs/job_table.py
@@ -92,7 +92,7 @@
             job.load_record(record, value, version, self.clock())
         except MissingChunksError:
             job.record_unreadable = True
-            self.chunks.await_chunks(job.job_id, value, version)
+            self.chunks.keep_unreadable_record(job.job_id, value, version)
             self._apply_cancellation_from_value(job.job_id, value, version)
             return False
         except (ValueError, IndexError, MalformedRecordError) as error:
--- a/hookwall/leadership/election.py
+++ b/hookwall/leadership/election.py
@@ -221,7 +221,7 @@
         preconditions = [Precondition(keys.LEADER_KEY, replaced_version), *self._voter_preconditions]
         try:
             fencing_token = await self._store.commit(
-                preconditions, [Put(keys.LEADER_KEY, record.encode())], hold=session_lease
+                preconditions, [Put(keys.LEADER_KEY, record.encode())], session_lease=session_lease
             )
         except OutcomeUnknownError:
             self._unresolved_version = max(replaced_version, self._unresolved_version)
--- a/hookwall/leadership/state_machine.py
+++ b/hookwall/leadership/leadership.py
@@ -76,7 +76,7 @@
         """Send a message to all peers; return one task for each, whose result is the response or None."""
         return self.peer_group.call_all(message, timeout_s)
 
-    def record_peer_answer(self, peer: Peer, response: PeerResponse) -> None:
+    def record_peer_response(self, peer: Peer, response: PeerResponse) -> None:
         """Record what every response of a peer reports."""
         self.peer_observations.record_response(peer.name, response)
 
--- a/hookwall/leadership/leadership_state.py
+++ b/hookwall/leadership/leadership_state.py
@@ -84,7 +84,7 @@
         self.quorum_acks: dict[str, float] = {}  # by peer: when the last request that it granted was sent
         self.quorum_since: float | None = None  # in session lease mode: since when a majority grants leases again
 
-        self.worker_heartbeats_seen = 0  # worker heartbeats that have reached this node, whichever node leads
+        self.worker_heartbeat_count = 0  # worker heartbeats that have reached this node, whichever node leads
         self.last_worker_heartbeat_at = DISTANT_PAST
 
     # -- validity ----------------------------------------------------------------------------
--- a/hookwall/leadership/peer_handler.py
+++ b/hookwall/leadership/peer_handler.py
@@ -61,7 +61,7 @@
         workers_reach_this_node = state.clock() - state.last_worker_heartbeat_at < RECENT_WORKER_HEARTBEAT_S
         response.store_reachable = self._store.has_recent_response()
         response.highest_token = state.vote_grant.fencing_token
-        response.heartbeat_count = state.worker_heartbeats_seen if workers_reach_this_node else 0
+        response.heartbeat_count = state.worker_heartbeat_count if workers_reach_this_node else 0
         response.wanted_rates = self._exchange.rate_demand()
         status = self._exchange.local_status()
         response.storage_version = status.storage_version
--- a/hookwall/node/composition.py
+++ b/hookwall/node/composition.py
@@ -23,9 +23,9 @@
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.job_writer import JobWriter
 from hookwall.jobs.record_reader import JobRecordReader
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.peer_transport import PeerConnection
 from hookwall.leadership.roles import Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.node.key_dispatch import KeyDispatcher
 from hookwall.node.peer_exchange import NodePeerExchange
 from hookwall.node.round_loop import RoundLoop
@@ -120,7 +120,7 @@
             self.cloud_client,
             self.clock,
             is_first_leadership=lambda: self.leadership.key_was_absent and self.key_dispatcher.catalog_was_absent,
-            intake_blocked=lambda: not self.store.healthy(),
+            submissions_blocked=lambda: not self.store.healthy(),
             relocation_requests=lambda: self.drains.relocation_requests(),
             on_catalog=lambda catalog: self.key_dispatcher.publish_catalog(catalog),
         )
@@ -253,7 +253,7 @@
             self.clock,
             self.time_of_day,
             drains_allowed=self.storage_version.allows_drains,
-            is_confirmed_deleted=self.scale_out.is_gone,
+            is_confirmed_deleted=self.scale_out.is_confirmed_deleted,
         )
 
     # -- events --------------------------------------------------------------------------------
--- a/hookwall/node/key_dispatch.py
+++ b/hookwall/node/key_dispatch.py
@@ -15,8 +15,8 @@
 from hookwall.jobs.cancellations import CancellationLedger
 from hookwall.jobs.job_table import JobTable
 from hookwall.jobs.record_reader import JobRecordReader
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.roles import Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import json_messages
 from hookwall.protocol.cloud_messages import Catalog
 from hookwall.protocol.errors import MalformedMessageError
--- a/hookwall/node/round_loop.py
+++ b/hookwall/node/round_loop.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 from hookwall.jobs.job_writer import JobWriter
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.scheduling.scheduler import Scheduler
 from hookwall.workers.fleet import Fleet
 
--- a/hookwall/storage/chunk_table.py
+++ b/hookwall/storage/chunk_table.py
@@ -19,7 +19,7 @@
     """Chunks of records, and the records that can't be read because some of their chunks are missing.
 
     Attributes:
-        texts: the content of each chunk by the chunk's key.
+        contents: the content of each chunk by the chunk's key.
         versions: the newest known version of each chunk's key.
         keys_by_job: the keys of each job's chunks.
         unreadable_records: each job's newest record that can't be read yet.
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         """Create a table without chunks."""
-        self.texts: dict[str, str] = {}
+        self.contents: dict[str, str] = {}
         self.versions: dict[str, int] = {}
         self.keys_by_job: dict[str, set[str]] = {}
         self.unreadable_records: dict[str, UnreadableRecord] = {}
@@ -36,13 +36,13 @@
 
     def get(self, key: str) -> str | None:
         """Return a chunk's text, or None if the chunk is not in the table."""
-        return self.texts.get(key)
+        return self.contents.get(key)
 
     def add(self, key: str, text: object, version: int) -> str:
         """Add a chunk that was read, watched or written, and return the id of its job."""
         job_id = _job_id_of_chunk(key)
         if isinstance(text, str):
-            self.texts[key] = text
+            self.contents[key] = text
             self.versions[key] = max(version, self.versions.get(key, 0))
             self.keys_by_job.setdefault(job_id, set()).add(key)
             self.jobs_to_collect.add(job_id)
@@ -53,14 +53,14 @@
         if revision < self.versions.get(key, 0):
             return
         self.versions.pop(key, None)
-        self.texts.pop(key, None)
+        self.contents.pop(key, None)
         job_id = _job_id_of_chunk(key)
         job_chunk_keys = self.keys_by_job.get(job_id, set())
         job_chunk_keys.discard(key)
         if not job_chunk_keys:
             self.keys_by_job.pop(job_id, None)
 
-    def await_chunks(self, job_id: str, value: object, version: int) -> None:
+    def keep_unreadable_record(self, job_id: str, value: object, version: int) -> None:
         """Keep a record that names missing chunks, unless the same or a newer record of the job is already kept."""
         kept_record = self.unreadable_records.get(job_id)
         if kept_record is None or version > kept_record.version:
--- a/hookwall/storage/client.py
+++ b/hookwall/storage/client.py
@@ -168,7 +168,7 @@
         self,
         preconditions: Sequence[Precondition | tuple[str, int]],
         put: Sequence[Put | tuple[str, object]] = (),
-        hold: int | None = None,
+        session_lease: int | None = None,
         timeout: float = REQUEST_TIMEOUT_S,
         delete: Sequence[str] = (),
     ) -> int:
@@ -177,7 +177,7 @@
         Args:
             preconditions: the keys to compare and the versions that they must have.
             put: keys and values to write.
-            hold: the session lease whose end deletes the written keys; None: the keys stay.
+            session_lease: the session lease whose end deletes the written keys; None: the keys stay.
             timeout: seconds to wait for the response.
             delete: keys to delete.
 
@@ -187,7 +187,7 @@
             RequestRejectedError: the transaction was not executed.
             OutcomeUnknownError: the transaction may have been executed, or may still be executed.
         """
-        request = wire_format.transaction(preconditions, put, delete, hold)
+        request = wire_format.transaction(preconditions, put, delete, session_lease)
         status, body = await self._send("POST", "/commit", request, timeout, changes=len(put) + len(delete))
         error = body.get(wire_format.ERROR)
         if status == HTTPStatus.CONFLICT:
--- a/hookwall/storage/storage_version.py
+++ b/hookwall/storage/storage_version.py
@@ -103,10 +103,14 @@
         if not was_complete and self.supported_by_all(self.current_version):
             log.info("storage version supported by all nodes: version=%d", self.current_version)
 
-    def record_reported_version(self, node: str, reported: object) -> None:
+    def record_reported_version(self, node: str, reported_version: object) -> None:
         """Record the storage version that a node reports in a message; programs of version 1 report none."""
-        if isinstance(reported, int) and node in self.nodes and reported > self.reported_versions.get(node, 0):
-            self.reported_versions[node] = reported
+        if (
+            isinstance(reported_version, int)
+            and node in self.nodes
+            and reported_version > self.reported_versions.get(node, 0)
+        ):
+            self.reported_versions[node] = reported_version
             self._marker_missing.set()
 
     async def run(self) -> None:
@@ -123,10 +127,10 @@
                 pass  # markers of other nodes may still be missing
             self._marker_missing.clear()
 
-    async def _store_marker(self, node: str, reported: int) -> None:
+    async def _store_marker(self, node: str, reported_version: int) -> None:
         """Store a marker, on the precondition that no other node has written the marker in the meantime."""
         key = keys.STORAGE_VERSION_PREFIX + node
-        value = {MARKER_FIELD: reported}
+        value = {MARKER_FIELD: reported_version}
         stored_version = self.markers.get(node, NO_MARKER).version
         try:
             version = await self.store.commit([Precondition(key, stored_version)], [Put(key, value)])
--- a/hookwall/workers/heartbeat_router.py
+++ b/hookwall/workers/heartbeat_router.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from hookwall.jobs.cancellations import CancellationLedger
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.errors import MalformedMessageError
 from hookwall.protocol.heartbeat_messages import Heartbeat, HeartbeatResponse
@@ -68,7 +68,7 @@
             log.info("malformed heartbeat: reason=%s", error)
             return MALFORMED
         leadership = self.leadership
-        leadership.worker_heartbeats_seen += 1
+        leadership.worker_heartbeat_count += 1
         leadership.last_worker_heartbeat_at = self.clock()
         if leadership.valid():
             return self._respond_as_leader(heartbeat)
--- a/hookwall/workers/lease_delegate.py
+++ b/hookwall/workers/lease_delegate.py
@@ -18,8 +18,8 @@
 
 from hookwall.config.clock_bounds import MAX_CLOCK_DRIFT, TIMER_SLACK_S
 from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.roles import LeaseMode, Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.heartbeat_messages import Command, Heartbeat
 from hookwall.storage import keys
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -36,11 +36,11 @@
     before = scale_out.demand.targets
     assert before.on_demand >= 3.0
     job.phase = "done"
-    scale_out.demand.intake_blocked = lambda: True
+    scale_out.demand.submissions_blocked = lambda: True
     cluster.clock.tick(10.0)
     cluster.scheduler.run_round()
     scale_out.demand.measure(cluster.clock())
     assert scale_out.demand.targets == before
-    scale_out.demand.intake_blocked = lambda: False
+    scale_out.demand.submissions_blocked = lambda: False
     scale_out.demand.measure(cluster.clock())
     assert scale_out.demand.targets.on_demand < 3.0
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -36,12 +36,12 @@
         self.before_write: dict[str, object] = {}  # by key, a function that is called just before the key is written
         commit = state.commit
 
-        async def recording_commit(when, put=(), hold=None, timeout=1.5, delete=()):
+        async def recording_commit(when, put=(), session_lease=None, timeout=1.5, delete=()):
             for key, _ in put:
                 change = self.before_write.pop(key, None)
                 if change is not None:
                     change()
-            result = await commit(when, put, hold, timeout, delete)
+            result = await commit(when, put, session_lease, timeout, delete)
             self.written.extend(key for key, _ in put)
             return result
 
@@ -65,7 +65,8 @@
         operations_settings = operations(grey=1)
         node.drains.controller = DrainController(
             operations_settings.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
-            self.clock, self.clock, drains_allowed=lambda: True, is_confirmed_deleted=node.scale_out.is_gone,
+            self.clock, self.clock, drains_allowed=lambda: True,
+            is_confirmed_deleted=node.scale_out.is_confirmed_deleted,
         )  # fmt: skip
         node.fleet.set_catalog(_catalog())
 
--- a/tests/harness/drain_simulation.py
+++ b/tests/harness/drain_simulation.py
@@ -161,7 +161,7 @@
         store.send_request = lambda _session, method, url, body, timeout: simulation.service.call(
             "operator", method, url_path(url), body, timeout
         )
-        client.call = lambda _session, method, url, body, timeout: simulation.cloud.call(
+        client.send_request = lambda _session, method, url, body, timeout: simulation.cloud.call(
             "operator", method, url_path(url), body, timeout
         )
         printed: list[str] = []
@@ -169,7 +169,7 @@
             self.settings, simulation.operations or Operations(), store, client, printed.append, simulation.now,
             simulation.now, json=True
         )  # fmt: skip
-        parsed = cli.parser().parse_args(["drain", *arguments, "--config", "-", "--json"])
+        parsed = cli.build_parser().parse_args(["drain", *arguments, "--config", "-", "--json"])
         code = await execute(command, parsed)
         return code, json.loads(printed[0]) if printed else None
 
--- a/tests/harness/older_versions.py
+++ b/tests/harness/older_versions.py
@@ -88,15 +88,17 @@
 class Format2Gate(StorageVersionGate):
     """The storage version gate of format 2, which never replaces an existing marker, whatever its value is."""
 
-    def record_reported_version(self, node: str, known: object) -> None:
+    def record_reported_version(self, node: str, reported_version: object) -> None:
         super().record_reported_version(
             node,
-            StorageVersion.DEPENDENCIES if isinstance(known, int) and known >= StorageVersion.DEPENDENCIES else None,
+            StorageVersion.DEPENDENCIES
+            if isinstance(reported_version, int) and reported_version >= StorageVersion.DEPENDENCIES
+            else None,
         )
 
-    async def _store_marker(self, node: str, known: int) -> None:
+    async def _store_marker(self, node: str, reported_version: int) -> None:
         if node not in self.markers:
-            await super()._store_marker(node, known)
+            await super()._store_marker(node, reported_version)
 
 
 class Format2Node(Node):
--- a/tests/harness/scripted_store.py
+++ b/tests/harness/scripted_store.py
@@ -71,7 +71,7 @@
         self,
         when: Sequence[tuple[str, int]],
         put: Sequence[tuple[str, Any]] = (),
-        hold: int | None = None,
+        session_lease: int | None = None,
         timeout: float = 1.5,
         delete: Sequence[str] = (),
     ) -> int:
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -117,7 +117,7 @@
         node.store.send_request = lambda _session, method, url, body, timeout: self.service.call(
             name, method, url_path(url), body, timeout
         )
-        node.cloud_client.call = lambda _session, method, url, body, timeout: self.cloud.call(
+        node.cloud_client.send_request = lambda _session, method, url, body, timeout: self.cloud.call(
             name, method, url_path(url), body, timeout
         )
         node.leadership.peers[:] = [PeerLink(self, name, n) for n in self.names if n != name]
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -11,8 +11,8 @@
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs import cancellations
 from hookwall.jobs.cancellations import CancellationLedger
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.roles import LeaseMode, Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 from hookwall.protocol.peer_messages import KnownCancellations
 from hookwall.storage import keys
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -230,7 +230,7 @@
 
     leading_writer.reload_record = refresh
     leading_writer.table.jobs["run-000002"].has_unsaved_changes = False
-    leading_writer.table.chunks.await_chunks("run-000002", {}, 12)
+    leading_writer.table.chunks.keep_unreadable_record("run-000002", {}, 12)
     asyncio.run(run())
     assert read == [keys.JOB_PREFIX + "run-000002"]
 
@@ -245,7 +245,7 @@
 
     writer.reload_record = refresh
     for n in (1, 2, 3):
-        writer.table.chunks.await_chunks(f"run-{n:06d}", {"packed": {"fixed": ["gone"], "state": "x"}}, 20)
+        writer.table.chunks.keep_unreadable_record(f"run-{n:06d}", {"packed": {"fixed": ["gone"], "state": "x"}}, 20)
 
     async def reload_four_times():
         for _ in range(4):
--- a/tests/leadership/scripted_leadership.py
+++ b/tests/leadership/scripted_leadership.py
@@ -5,7 +5,7 @@
 
 from conftest import Clock, FakeState
 
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 
 Message = dict[str, Any]
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -7,10 +7,10 @@
 from scripted_leadership import ScriptedPeer, grants, make_leadership, refuses, silent
 
 from hookwall.leadership.election import LEAD_WITHOUT_QUORUM_AFTER_S
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.leadership_transfer import NO_QUORUM_STEP_DOWN_S
 from hookwall.leadership.roles import LeaseMode, Role
 from hookwall.leadership.session_lease import SHORT_SESSION_LEASE_S
-from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 from hookwall.storage import keys
 from hookwall.storage.entries import VersionedValue
--- a/tests/leadership/test_replaced_leader_key.py
+++ b/tests/leadership/test_replaced_leader_key.py
@@ -6,8 +6,8 @@
 from conftest import Clock, FakeState
 from scripted_leadership import grants, make_leadership, refuses, silent
 
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.roles import LeaseMode, Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S, VOTE_GRANT_S
 from hookwall.storage import keys
 from hookwall.storage.errors import RequestRejectedError
--- a/tests/leadership/test_vote_fence.py
+++ b/tests/leadership/test_vote_fence.py
@@ -5,8 +5,8 @@
 import pytest
 from conftest import Clock, FakeState
 
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.roles import Role
-from hookwall.leadership.state_machine import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
 from hookwall.storage import keys
 from hookwall.storage.errors import OutcomeUnknownError
--- a/tests/protocol/test_peer_messages.py
+++ b/tests/protocol/test_peer_messages.py
@@ -3,7 +3,7 @@
 import pytest
 from conftest import Clock, FakeState
 
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.protocol.peer_messages import (
     MessageKind,
     PeerMessage,
--- a/tests/storage/test_client.py
+++ b/tests/storage/test_client.py
@@ -56,7 +56,7 @@
     responses = ((400, b'{"error":"no such lease"}'), (400, b'{"error":"size"}'))
     store = store_with(LOWER_LIMITS, clock, *responses)
     with pytest.raises(OutcomeUnknownError):
-        asyncio.run(store.commit([], [("k", 1)], hold=7))
+        asyncio.run(store.commit([], [("k", 1)], session_lease=7))
     assert not store.rate_shares.limits_lowered
     with pytest.raises(RequestTooLargeError):
         asyncio.run(store.commit([], [("k", 1)]))
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -12,8 +12,8 @@
 from production import misread
 
 from hookwall.jobs.job_table import JobTable
+from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.roles import LeaseMode
-from hookwall.leadership.state_machine import Leadership
 from hookwall.protocol import cloud_messages, job_messages, json_messages
 from hookwall.protocol.peer_messages import KnownCancellations, PeerStatus, decode_response
 from hookwall.storage import job_records, keys
@@ -128,7 +128,7 @@
         name = "n1"
 
     for answer in GOLDEN_1["answers"].values():
-        leadership.record_peer_answer(Peer, decode_response(answer))
+        leadership.record_peer_response(Peer, decode_response(answer))
     assert (
         leadership.peer_rate_demand["n1"][1] == [2.0, 0.5]
         and reported_statuses
--- a/tests/workers/test_lease_delegate.py
+++ b/tests/workers/test_lease_delegate.py
@@ -7,7 +7,7 @@
 from conftest import Clock, Cluster, FakeState
 
 from hookwall.jobs.job_table import JobTable
-from hookwall.leadership.state_machine import Leadership
+from hookwall.leadership.leadership import Leadership
 from hookwall.protocol import heartbeat_messages
 from hookwall.protocol.heartbeat_messages import Heartbeat
 from hookwall.storage import keys
