--- a/tests/api/test_job_service.py
+++ b/tests/api/test_job_service.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from conftest import CATALOG, Clock, FakeState, description
+from conftest import CATALOG, FakeClock, ScriptedStore, description
 from sample_records import chunked_record
 
 from hookwall.api.job_service import JobService
@@ -19,12 +19,12 @@
 class Nodes:
     """Two nodes that share one key-value store. Neither sees the other's changes by itself."""
 
-    def __init__(self, params, state: FakeState, clock: Clock) -> None:
+    def __init__(self, params, store: ScriptedStore, clock: FakeClock) -> None:
         self.services = []
         for _ in range(2):
             table = JobTable(clock)
-            reader = JobRecordReader(table, state)
-            service = JobService(params, table, state, reader, ReadConfirmation(state, reader.reload))
+            reader = JobRecordReader(table, store)
+            service = JobService(params, table, store, reader, ReadConfirmation(store, reader.reload))
             service.catalog = CATALOG
             self.services.append(service)
 
@@ -42,19 +42,19 @@
 
 
 @pytest.fixture
-def nodes(params: PlatformParameters, state: FakeState, clock: Clock) -> Nodes:
-    return Nodes(params, state, clock)
+def nodes(params: PlatformParameters, store: ScriptedStore, clock: FakeClock) -> Nodes:
+    return Nodes(params, store, clock)
 
 
 def body(n=1, **changes):
     return json.dumps(description(n, **changes)).encode()
 
 
-def test_a_job_is_accepted_only_once_it_is_stored(nodes: Nodes, state: FakeState):
+def test_a_job_is_accepted_only_once_it_is_stored(nodes: Nodes, store: ScriptedStore):
     async def script(service: JobService, other: JobService):
-        state.mode = "lost"
+        store.mode = "request_lost"
         first = await service.submit(body())
-        state.mode = "ok"
+        store.mode = "ok"
         poll = await service.get("run-000001")
         second = await service.submit(body())
         return first[0], first[2], poll[0], second[0], (await other.submit(body()))[0]
@@ -62,11 +62,11 @@
     assert run_script(nodes, script) == (503, {"Retry-After": "1"}, 404, 201, 200)
 
 
-def test_a_write_whose_outcome_was_unknown_is_found_on_the_retry(nodes: Nodes, state: FakeState):
+def test_a_write_whose_outcome_was_unknown_is_found_on_the_retry(nodes: Nodes, store: ScriptedStore):
     async def script(service: JobService, other: JobService):
-        state.mode = "ghost"
+        store.mode = "response_lost"
         first = await service.submit(body())
-        state.mode = "ok"
+        store.mode = "ok"
         return first[0], (await service.submit(body()))[0], (await other.get("run-000001"))[0]
 
     assert run_script(nodes, script) == (503, 200, 200)
@@ -93,7 +93,7 @@
     assert run_script(nodes, script) == 200
 
 
-def test_a_new_leader_applies_the_records_again_even_if_it_knows_their_versions(nodes: Nodes, clock: Clock):
+def test_a_new_leader_applies_the_records_again_even_if_it_knows_their_versions(nodes: Nodes, clock: FakeClock):
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
         job = service.table.jobs["run-000001"]
@@ -114,55 +114,55 @@
     assert run_script(nodes, script) == (404, 200)
 
 
-def test_an_unconfirmed_status_is_refused_with_503_but_a_final_one_is_served(nodes: Nodes, state: FakeState):
+def test_an_unconfirmed_status_is_refused_with_503_but_a_final_one_is_served(nodes: Nodes, store: ScriptedStore):
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
         await service.submit(body(2))
         await service.cancel("run-000002")
-        state.mode = "down"
+        store.mode = "down"
         return [(await service.get(f"run-00000{n}"))[0] for n in (1, 2, 3)]
 
     assert run_script(nodes, script) == [503, 200, 503]
 
 
-def test_concurrent_polls_are_confirmed_by_one_comparison(nodes: Nodes, state: FakeState):
+def test_concurrent_polls_are_confirmed_by_one_comparison(nodes: Nodes, store: ScriptedStore):
     async def script(service: JobService, other: JobService):
         for n in range(1, 9):
             await service.submit(body(n))
-        state.requests.clear()
+        store.requests.clear()
         await asyncio.gather(*(service.get(f"run-{n:06d}") for n in range(1, 9)))
-        return list(state.requests)
+        return list(store.requests)
 
     assert run_script(nodes, script) == ["compare"]
 
 
-def test_the_cancellation_of_a_done_job_returns_done(nodes: Nodes, state: FakeState):
+def test_the_cancellation_of_a_done_job_returns_done(nodes: Nodes, store: ScriptedStore):
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
         key = "hookwall/job/run-000001"
-        state.epoch += 1
-        state.keys[key] = ({"phase": "done", "n": 1, "next": 2, "on": []}, state.epoch)
+        store.revision += 1
+        store.keys[key] = ({"phase": "done", "n": 1, "next": 2, "on": []}, store.revision)
         first = json.loads((await other.cancel("run-000001"))[1])["phase"]
         return first, json.loads((await service.get("run-000001"))[1])["phase"]
 
     assert run_script(nodes, script) == ("done", "done")
 
 
-def test_a_cancellation_that_races_with_the_end_of_the_job_returns_done(nodes: Nodes, state: FakeState):
+def test_a_cancellation_that_races_with_the_end_of_the_job_returns_done(nodes: Nodes, store: ScriptedStore):
     """The leader stores the job as done between the read and the write of the cancellation."""
 
     async def script(service: JobService, other: JobService):
         await service.submit(body(1))
-        key, read = "hookwall/job/run-000001", state.get
+        key, read = "hookwall/job/run-000001", store.get
 
         async def get(k):
             got = await read(k)
-            if state.keys[key][0]["phase"] == "open":
-                state.epoch += 1
-                state.keys[key] = ({"phase": "done", "n": 1, "next": 2, "on": []}, state.epoch)
+            if store.keys[key][0]["phase"] == "open":
+                store.revision += 1
+                store.keys[key] = ({"phase": "done", "n": 1, "next": 2, "on": []}, store.revision)
             return got
 
-        state.get = get
+        store.get = get
         cancelled = json.loads((await other.cancel("run-000001"))[1])["phase"]
         polled = json.loads((await service.get("run-000001"))[1])["phase"]
         return cancelled, polled
@@ -216,60 +216,64 @@
     assert run_script(nodes, script) == 503
 
 
-def test_a_job_with_missing_chunks_is_answered_with_503_not_404(nodes: Nodes, state: FakeState, clock: Clock):
+def test_a_job_with_missing_chunks_is_answered_with_503_not_404(nodes: Nodes, store: ScriptedStore, clock: FakeClock):
     key, encoded = chunked_record()
-    state.keys[key] = (encoded.value, 9)
-    state.epoch = 9
+    store.keys[key] = (encoded.value, 9)
+    store.revision = 9
 
     async def script(service: JobService, other: JobService):
         first = (await service.get("run-000001"))[0]
         for chunk_key, text in encoded.chunks.items():
-            state.keys[chunk_key] = (text, 8)
+            store.keys[chunk_key] = (text, 8)
         return first, (await service.get("run-000001"))[0]
 
     assert run_script(nodes, script) == (503, 200)
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_a_record_is_not_stored_if_one_of_its_chunks_was_removed(nodes: Nodes, state: FakeState, clock: Clock, gone):
+def test_a_record_is_not_stored_if_one_of_its_chunks_was_removed(
+    nodes: Nodes, store: ScriptedStore, clock: FakeClock, gone
+):
     """A leader may remove chunks that no record names, so the write of the record has its chunks as preconditions."""
     key, encoded = chunked_record()
-    state.keys[key], state.epoch = ({"phase": "open", "n": 1, "next": 1, "on": []}, 9), 9
-    state.max_transaction_changes = 2
+    store.keys[key], store.revision = ({"phase": "open", "n": 1, "next": 1, "on": []}, 9), 9
+    store.max_transaction_changes = 2
     writes: list[list[str]] = []
-    write = state.commit
+    write = store.commit
 
     async def commit(when, put=(), **more):
         if len(writes) == 1 and gone:
-            state.keys.pop(writes[0][0])
+            store.keys.pop(writes[0][0])
         writes.append([name for name, _ in put])
         return await write(when, put, **more)
 
     async def script(service: JobService, other: JobService):
-        state.commit = commit
+        store.commit = commit
         try:
-            return await service.record_writer.write(key, 9, encoded, state.keys[key][0])
+            return await service.record_writer.write(key, 9, encoded, store.keys[key][0])
         except PreconditionFailedError:
             return None
 
     stored = run_script(nodes, script)
     assert len(writes) > 1 and (stored is None) == gone
-    assert (state.keys[key][0] == encoded.value) != gone
+    assert (store.keys[key][0] == encoded.value) != gone
 
 
-def test_a_large_description_is_not_stored_in_chunks_while_an_older_program_may_read_it(nodes: Nodes, state: FakeState):
+def test_a_large_description_is_not_stored_in_chunks_while_an_older_program_may_read_it(
+    nodes: Nodes, store: ScriptedStore
+):
     async def script(service: JobService, other: JobService):
         service.packing_enabled = lambda: False
         types = [f"type-{n * 7919**4:030d}" * 3 for n in range(60)]
         first = await service.submit(json.dumps(description(1, hulls=["g4", *types], pieces=2)).encode())
-        stored = {key for key in state.keys if key.startswith((keys.CHUNK_PREFIX, keys.JOB_PREFIX))}
-        plain_form = [state.keys[key][0] for key in stored]
+        stored = {key for key in store.keys if key.startswith((keys.CHUNK_PREFIX, keys.JOB_PREFIX))}
+        plain_form = [store.keys[key][0] for key in stored]
         return (
             first[0],
             [key for key in stored if key.startswith(keys.CHUNK_PREFIX)],
             ["packed" in v for v in plain_form],
         )
 
-    state.max_value_bytes = 1700  # what the upcoming limits allow
+    store.max_value_bytes = 1700  # what the upcoming limits allow
     status, chunks, packed = run_script(nodes, script)
     assert status == 201 and not chunks and packed == [False]
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 from aiohttp import ClientSession
-from conftest import CATALOG, Clock, FakeState, description
+from conftest import CATALOG, FakeClock, ScriptedStore, description
 
 from hookwall.api.job_service import JobService
 from hookwall.api.server import MAX_USER_REQUESTS, HttpServer, listen
@@ -16,12 +16,12 @@
 from hookwall.storage.read_confirmation import ReadConfirmation
 
 
-def run_with_server(params, state: FakeState, clock: Clock, script):
+def run_with_server(params, store: ScriptedStore, clock: FakeClock, script):
     async def main():
         table = JobTable(clock)
-        reader = JobRecordReader(table, state)
-        read_confirmation = ReadConfirmation(state, reader.reload)
-        service = JobService(params, table, state, reader, read_confirmation)
+        reader = JobRecordReader(table, store)
+        read_confirmation = ReadConfirmation(store, reader.reload)
+        service = JobService(params, table, store, reader, read_confirmation)
         service.catalog = CATALOG
 
         async def heartbeat(body):
@@ -57,17 +57,17 @@
     ],
 )
 def test_each_route_answers_with_its_status(
-    params: PlatformParameters, state: FakeState, clock: Clock, method, path, body, status
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock, method, path, body, status
 ):
     async def script(session: ClientSession, base, http_server: HttpServer):
         async with session.request(method, base + path, data=body) as response:
             return response.status
 
-    assert run_with_server(params, state, clock, script) == status
+    assert run_with_server(params, store, clock, script) == status
 
 
 def test_a_body_without_a_content_length_is_refused_above_the_size_limit(
-    params: PlatformParameters, state: FakeState, clock: Clock
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
 ):
     async def oversized_body():
         for _ in range(40):
@@ -77,10 +77,12 @@
         async with session.post(base + "/v1/jobs", data=oversized_body()) as response:
             return response.status
 
-    assert run_with_server(params, state, clock, script) == 413
+    assert run_with_server(params, store, clock, script) == 413
 
 
-def test_a_job_is_submitted_polled_and_cancelled_over_http(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_a_job_is_submitted_polled_and_cancelled_over_http(
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
+):
     async def script(session: ClientSession, base, http_server: HttpServer):
         seen = []
         for method, path, body in (
@@ -94,22 +96,24 @@
                 seen.append((response.status, (await response.json())["phase"]))
         return seen
 
-    assert run_with_server(params, state, clock, script) == [
+    assert run_with_server(params, store, clock, script) == [
         (201, "pending"), (200, "pending"), (200, "pending"), (200, "withdrawn"), (200, "withdrawn"),
     ]  # fmt: skip
 
 
-def test_overload_is_refused_with_429_and_retry_after(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_overload_is_refused_with_429_and_retry_after(
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
+):
     async def script(session: ClientSession, base, http_server: HttpServer):
         http_server.user_requests_in_flight = MAX_USER_REQUESTS
         async with session.get(base + "/v1/jobs/run-000001") as response:
             return response.status, response.headers.get("Retry-After")
 
-    assert run_with_server(params, state, clock, script) == (429, "1")
+    assert run_with_server(params, store, clock, script) == (429, "1")
 
 
 def test_an_unexpected_error_in_a_handler_does_not_end_the_node(
-    params: PlatformParameters, state: FakeState, clock: Clock
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
 ):
     async def script(session: ClientSession, base, http_server: HttpServer):
         async def broken(ref):
@@ -121,31 +125,31 @@
         async with session.get(base + "/up") as response:
             return first, response.status
 
-    assert run_with_server(params, state, clock, script) == (503, 200)
+    assert run_with_server(params, store, clock, script) == (503, 200)
 
 
-def test_an_idle_connection_is_closed(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_an_idle_connection_is_closed(params: PlatformParameters, store: ScriptedStore, clock: FakeClock):
     # Deleted machines send nothing more. Their connections used to stay open, and the number of sockets is limited.
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         first = await reader.readuntil(b"{}")
-        clock.tick(http_server.idle_timeout_s - 1.0)
+        clock.advance(http_server.idle_timeout_s - 1.0)
         closed_early = http_server.close_idle_connections()
         closing = asyncio.create_task(http_server.run())
-        clock.tick(2.0)
+        clock.advance(2.0)
         async with asyncio.timeout(3.0):
             rest = await reader.read()
         closing.cancel()
         writer.close()
         return first.split()[1], closed_early, rest
 
-    assert run_with_server(params, state, clock, script) == (b"200", 0, b"")
+    assert run_with_server(params, store, clock, script) == (b"200", 0, b"")
 
 
 def test_above_the_connection_limit_the_longest_idle_connections_are_closed(
-    params: PlatformParameters, state: FakeState, clock: Clock
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
 ):
     # Workers abandon connections. The node must still have sockets for its own connections and for new ones.
     async def script(session: ClientSession, base, http_server: HttpServer):
@@ -157,7 +161,7 @@
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             await reader.readuntil(b"{}")
             opened.append((reader, writer))
-            clock.tick(3.0)
+            clock.advance(3.0)
         closed = http_server.close_idle_connections()
         async with asyncio.timeout(3.0):
             ends = [await opened[i][0].read() for i in range(closed)]
@@ -168,13 +172,13 @@
 
     # The two most recently used connections stay open. The limit leaves room for the backlog and for the node's own
     # connections.
-    assert run_with_server(params, state, clock, script) == (2, [b"", b""], [2, 0])
+    assert run_with_server(params, store, clock, script) == (2, [b"", b""], [2, 0])
     http_server = HttpServer(None, None, None, 1563)
     assert http_server.max_connections + http_server.backlog + 72 + 4 < 1563 and http_server.max_connections > 860
 
 
 def test_a_request_with_an_incomplete_body_is_not_counted_as_in_flight(
-    params: PlatformParameters, state: FakeState, clock: Clock
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
 ):
     # After a network partition the rest of a request never arrives. If such requests counted as in flight, 200 of them
     # would lock out all users. So a request counts only once it has been received completely.
@@ -190,10 +194,12 @@
         writer.close()
         return in_flight, status, http_server.user_requests_in_flight
 
-    assert run_with_server(params, state, clock, script) == (0, b"408", 0)
+    assert run_with_server(params, store, clock, script) == (0, b"408", 0)
 
 
-def test_requests_on_one_connection_are_answered_in_order(params: PlatformParameters, state: FakeState, clock: Clock):
+def test_requests_on_one_connection_are_answered_in_order(
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
+):
     # Clients should not send a second request before the first is answered. A client that does must not get the
     # response to one request in place of the other.
     async def script(session: ClientSession, base, http_server: HttpServer):
@@ -206,14 +212,14 @@
         writer.close()
         return re.findall(rb"HTTP/1.1 (\d+) ", answers)
 
-    assert run_with_server(params, state, clock, script) == [b"404", b"200"]
+    assert run_with_server(params, store, clock, script) == [b"404", b"200"]
 
 
 @pytest.mark.parametrize(
     "raw", [b"nonsense\r\n\r\n", b"GET / HTTP/1.1\r\nbad header\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"]
 )
 def test_malformed_http_is_refused_and_other_connections_still_work(
-    params: PlatformParameters, state: FakeState, clock: Clock, raw
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock, raw
 ):
     async def script(session: ClientSession, base, http_server: HttpServer):
         host, port = base.removeprefix("http://").split(":")
@@ -225,11 +231,11 @@
         async with session.get(base + "/up") as up:
             return response.split()[1], up.status
 
-    assert run_with_server(params, state, clock, script) == (b"400", 200)
+    assert run_with_server(params, store, clock, script) == (b"400", 200)
 
 
 def test_a_heartbeat_with_an_immediate_response_needs_no_task(
-    params: PlatformParameters, state: FakeState, clock: Clock
+    params: PlatformParameters, store: ScriptedStore, clock: FakeClock
 ):
     async def script(session: ClientSession, base, http_server: HttpServer):
         task_counts: list[object] = []
@@ -239,4 +245,4 @@
         async with session.post(base + "/agent/beat", data=b"{}") as response:
             return response.status, task_counts[0] - before
 
-    assert run_with_server(params, state, clock, script) == (200, 0)
+    assert run_with_server(params, store, clock, script) == (200, 0)
--- a/tests/autoscaling/scripted_cloud.py
+++ b/tests/autoscaling/scripted_cloud.py
@@ -1,6 +1,6 @@
 """A cloud whose responses a test defines, and a `ScaleOut` that uses it."""
 
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 
 from hookwall.autoscaling.scale_out import ScaleOut
 from hookwall.config.platform import PlatformParameters
@@ -18,7 +18,7 @@
         return self.respond(count)
 
 
-def new_scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+def new_scale_out(cluster: Cluster, params: PlatformParameters, clock: FakeClock) -> ScaleOut:
     """Return a `ScaleOut` whose leadership begins now."""
     scale_out = ScaleOut(params, cluster.fleet, cluster.scheduler, ScriptedCloud(), clock)
     scale_out.reset()
--- a/tests/autoscaling/test_capacity.py
+++ b/tests/autoscaling/test_capacity.py
@@ -1,7 +1,7 @@
 """Which machines count as ready or expected."""
 
 import pytest
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 from scripted_cloud import new_scale_out
 
 from hookwall.autoscaling.scale_out import ScaleOut
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+def scale_out(cluster: Cluster, params: PlatformParameters, clock: FakeClock) -> ScaleOut:
     return new_scale_out(cluster, params, clock)
 
 
@@ -29,7 +29,7 @@
     assert scale_out.capacity.machine_counts(cluster.clock()) == (0, 0)
     # The machine is deleted only once the newest list would have to include it; its task can then run elsewhere.
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
-    cluster.clock.tick(12.0)
+    cluster.clock.advance(12.0)
     scale_out.inventory.apply_listing([], cluster.clock())
     assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-1"]
 
@@ -41,11 +41,11 @@
     cluster.fleet.begin_validity(cluster.clock())
     scale_out.inventory.apply_listing(listed, cluster.clock())
     assert scale_out.capacity.machine_counts(cluster.clock()) == (4, 4)
-    cluster.clock.tick(13.0)
+    cluster.clock.advance(13.0)
     scale_out.inventory.apply_listing(listed, cluster.clock())
     cluster.fleet.expire_leases(cluster.clock())
     assert scale_out.capacity.machine_counts(cluster.clock()) == (0, 0)
     # All machines of the zone are unresponsive, which indicates a network partition, so none is deleted.
-    cluster.clock.tick(60.0)
+    cluster.clock.advance(60.0)
     scale_out.inventory.apply_listing(listed, cluster.clock())
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
--- a/tests/autoscaling/test_inventory.py
+++ b/tests/autoscaling/test_inventory.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 from harness.virtual_time import VirtualLoop
 from scripted_cloud import new_scale_out
 
@@ -56,7 +56,7 @@
 
 
 @pytest.fixture
-def scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+def scale_out(cluster: Cluster, params: PlatformParameters, clock: FakeClock) -> ScaleOut:
     return new_scale_out(cluster, params, clock)
 
 
--- a/tests/autoscaling/test_provisioning_plan.py
+++ b/tests/autoscaling/test_provisioning_plan.py
@@ -1,7 +1,7 @@
 """What is provisioned for waiting jobs and ahead of need."""
 
 import pytest
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 from scripted_cloud import new_scale_out
 
 from hookwall.autoscaling.scale_out import ScaleOut
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+def scale_out(cluster: Cluster, params: PlatformParameters, clock: FakeClock) -> ScaleOut:
     return new_scale_out(cluster, params, clock)
 
 
@@ -33,7 +33,7 @@
     cluster.scheduler.run_round()
     cluster.fleet.ensure_machine("vm-5", "g4", "east", False)
     assert scale_out.planner.plan_for_waiting_jobs(cluster.clock()) == {}
-    cluster.clock.tick(25.0 * 2.5 + 1)
+    cluster.clock.advance(25.0 * 2.5 + 1)
     assert sum(scale_out.planner.plan_for_waiting_jobs(cluster.clock()).values()) == 1, "an overdue machine is replaced"
 
 
--- a/tests/autoscaling/test_scale_in.py
+++ b/tests/autoscaling/test_scale_in.py
@@ -1,7 +1,7 @@
 """Which machines are drained and deleted, and which are not."""
 
 import pytest
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 from scripted_cloud import new_scale_out
 
 from hookwall.autoscaling.capacity import MachinePool
@@ -12,14 +12,14 @@
 
 
 @pytest.fixture
-def scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+def scale_out(cluster: Cluster, params: PlatformParameters, clock: FakeClock) -> ScaleOut:
     return new_scale_out(cluster, params, clock)
 
 
 def drain_idle_machine(cluster: Cluster, scale_out):
     """Let scale-in drain a machine that has been idle for long enough."""
     cluster.beat("vm-1")
-    cluster.clock.tick(100.0)
+    cluster.clock.advance(100.0)
     cluster.beat("vm-1")
     scale_out.demand.measure(cluster.clock())
     scale_out.scale_in.drain_excess_machines(cluster.clock())
@@ -49,7 +49,7 @@
     # instances stayed up idle.
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
-    cluster.clock.tick(100.0)
+    cluster.clock.advance(100.0)
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
     cluster.submit(1, shape="ensemble", cards=4.0, pieces=4)
@@ -68,13 +68,13 @@
 
 
 def test_an_unresponsive_spot_instance_is_deleted_before_its_lease_expires(cluster: Cluster, scale_out: ScaleOut):
-    cluster.clock.tick(60.0)
+    cluster.clock.advance(60.0)
     for n in range(1, 4):
         cluster.beat(f"vm-{n}", spot=True)
     job = cluster.submit(1, loaners=True, pieces=12)
     cluster.scheduler.run_round()
     for _ in range(4):
-        cluster.clock.tick(2.0)
+        cluster.clock.advance(2.0)
         cluster.beat("vm-2", spot=True)
         cluster.beat("vm-3", spot=True)
         cluster.fleet.expire_leases(cluster.clock())
@@ -89,11 +89,11 @@
         cluster.beat(f"vm-{n}", zone="west")
     cluster.beat("vm-9", zone="east")
     for _ in range(50):
-        cluster.clock.tick(1.0)
+        cluster.clock.advance(1.0)
         cluster.beat("vm-8", zone="east")
         cluster.fleet.expire_leases(cluster.clock())
     assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-9"]
-    cluster.clock.tick(80.0)
+    cluster.clock.advance(80.0)
     assert len(scale_out.scale_in.machines_to_delete(cluster.clock())) == 5
 
 
@@ -101,25 +101,25 @@
     cluster.beat("vm-1")
     cluster.submit(1)
     cluster.scheduler.run_round()
-    cluster.clock.tick(200.0)
+    cluster.clock.advance(200.0)
     cluster.beat("vm-1")
     assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
 
 
 def test_a_machine_that_does_not_boot_in_time_is_deleted(cluster: Cluster, scale_out: ScaleOut):
     cluster.fleet.ensure_machine("vm-5", "g4", "east", False)
-    cluster.clock.tick(25.0 * 5 + 1)
+    cluster.clock.advance(25.0 * 5 + 1)
     assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == ["vm-5"]
 
 
 def test_the_first_unresponsive_machines_of_a_partitioned_zone_are_not_deleted(cluster: Cluster, scale_out: ScaleOut):
     """The heartbeats of a zone are spread over two seconds, and spot instances are deleted after about six seconds."""
-    cluster.clock.tick(60.0)
+    cluster.clock.advance(60.0)
     for n in range(8):
-        cluster.clock.tick(0.25)
+        cluster.clock.advance(0.25)
         cluster.beat(f"vm-{n}", zone="west", spot=True)
     for _ in range(26):
-        cluster.clock.tick(0.25)
+        cluster.clock.advance(0.25)
         cluster.beat("vm-9", zone="east")
         cluster.fleet.expire_leases(cluster.clock())
         assert scale_out.scale_in.machines_to_delete(cluster.clock()) == []
@@ -138,7 +138,7 @@
     machine_of = {job.job_id: job.allocations[0].machine for job in (cancelled, other)}
     cluster.table.apply_cancellation(cancelled.job_id, cluster.stamp + 1)
     assert cancelled.phase == CANCELLED
-    cluster.clock.tick(13.0)
+    cluster.clock.advance(13.0)
     cluster.fleet.expire_leases(cluster.clock())
     assert [machine.name for machine in scale_out.scale_in.machines_to_delete(cluster.clock())] == [
         machine_of[cancelled.job_id]
--- a/tests/autoscaling/test_scale_out.py
+++ b/tests/autoscaling/test_scale_out.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 from harness.virtual_time import VirtualLoop
 from scripted_cloud import new_scale_out
 
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-def scale_out(cluster: Cluster, params: PlatformParameters, clock: Clock) -> ScaleOut:
+def scale_out(cluster: Cluster, params: PlatformParameters, clock: FakeClock) -> ScaleOut:
     return new_scale_out(cluster, params, clock)
 
 
@@ -28,7 +28,7 @@
     asyncio.run(scale_out._provision(request))
     assert MachinePool(0, 0, False) not in scale_out.planner.available_pools(cluster.clock())
     assert not scale_out.capacity.pending_requests
-    cluster.clock.tick(31.0)
+    cluster.clock.advance(31.0)
     assert MachinePool(0, 0, False) in scale_out.planner.available_pools(cluster.clock())
 
 
--- a/tests/cluster/test_histories.py
+++ b/tests/cluster/test_histories.py
@@ -6,24 +6,24 @@
 import drain_histories
 import pipeline_histories
 import pytest
-from histories import broken_by
+from histories import violations_of_seed
 
 SEEDS = range(48)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_history_breaks_an_invariant(seed):
-    _, broken, log = broken_by(seed, quiet=False)
-    assert not broken, log
+    _, violations, log = violations_of_seed(seed, quiet=False)
+    assert not violations, log
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_history_of_pipelines_and_upgrades_breaks_a_rule(seed):
-    _, broken, log = pipeline_histories.broken_by(seed, quiet=False)
-    assert not broken, log
+    _, violations, log = pipeline_histories.violations_of_seed(seed, quiet=False)
+    assert not violations, log
 
 
 @pytest.mark.parametrize("seed", [*range(40), 1000, 1081])
 def test_no_history_of_drains_breaks_a_rule_or_a_budget(seed):
-    _, broken, log = drain_histories.broken_by(seed, quiet=False)
-    assert not broken, log
+    _, violations, log = drain_histories.violations_of_seed(seed, quiet=False)
+    assert not violations, log
--- a/tests/cluster/test_pipeline_meetings.py
+++ b/tests/cluster/test_pipeline_meetings.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from harness.pipelines import all_become_cancelled, all_become_done, submit_chain
+from harness.pipelines import submit_chain, wait_until_all_cancelled, wait_until_all_done
 from harness.play import play
 from harness.simulation import Simulation
 
@@ -20,13 +20,13 @@
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.upgrade("n0")
-        await simulation.led()
-        first = simulation.job(1, run_s=30.0)
-        await simulation.accepted(first, "n1")
+        await simulation.wait_for_leader()
+        first = simulation.define_job(1, run_s=30.0)
+        await simulation.submit_until_accepted(first, "n1")
         await simulation.upgrade("n1", "n2", down_s=1.0)
-        second = simulation.job(2, run_s=3.0, awaits=[first])
-        await simulation.accepted(second, "n0", within_s=30.0)
-        await all_become_done(simulation, [first, second], 90.0)
+        second = simulation.define_job(2, run_s=3.0, awaits=[first])
+        await simulation.submit_until_accepted(second, "n0", within_s=30.0)
+        await wait_until_all_done(simulation, [first, second], 90.0)
 
     play(scenario, old=old)
 
@@ -38,11 +38,11 @@
     async def scenario(simulation: Simulation) -> None:
         first_follower, second_follower = simulation.followers()
         for n in range(1, 12, 2):
-            first = simulation.job(n, run_s=2.0)
+            first = simulation.define_job(n, run_s=2.0)
             assert await simulation.submit(first_follower, first) == 201
-            second = simulation.job(n + 1, run_s=2.0, awaits=[first])
+            second = simulation.define_job(n + 1, run_s=2.0, awaits=[first])
             assert await simulation.submit(first_follower if node == "the same" else second_follower, second) == 201
-        await all_become_done(simulation, [simulation.job_id(n) for n in range(1, 13)], 60.0)
+        await wait_until_all_done(simulation, [simulation.job_id(n) for n in range(1, 13)], 60.0)
 
     play(scenario)
 
@@ -51,19 +51,22 @@
     """During an outage nodes answer 503 to all dependent jobs; they answer 422 only once they can read the store."""
 
     async def scenario(simulation: Simulation) -> None:
-        first = simulation.job(1, run_s=30.0)
-        await simulation.accepted(first)
+        first = simulation.define_job(1, run_s=30.0)
+        await simulation.submit_until_accepted(first)
         await asyncio.sleep(1.0)
-        simulation.service.outage(True)
+        simulation.store.set_outage(True)
         await asyncio.sleep(2.0)
-        known, unknown = simulation.job(2, run_s=3.0, awaits=[first]), simulation.description(3, awaits=["run-999999"])
+        known, unknown = (
+            simulation.define_job(2, run_s=3.0, awaits=[first]),
+            simulation.description(3, awaits=["run-999999"]),
+        )
         for node in simulation.nodes:
             assert await simulation.submit(node, known) == 503
             assert await simulation.submit_spec(node, unknown) == 503
-        simulation.service.outage(False)
-        await simulation.accepted(known)
+        simulation.store.set_outage(False)
+        await simulation.submit_until_accepted(known)
         assert await simulation.submit_spec("n0", unknown) == 422
-        await all_become_done(simulation, [first, known], 60.0)
+        await wait_until_all_done(simulation, [first, known], 60.0)
 
     play(scenario)
 
@@ -76,17 +79,19 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        needed = simulation.job(1, run_s=200.0)
-        await simulation.accepted(needed)
+        needed = simulation.define_job(1, run_s=200.0)
+        await simulation.submit_until_accepted(needed)
         first_follower, second_follower = simulation.followers()
-        dependent = simulation.job(2, awaits=[needed])
-        simulation.service.late = lambda node, body: delay_s if node == first_follower and body.get("apply") else None
+        dependent = simulation.define_job(2, awaits=[needed])
+        simulation.store.write_delay_s = (
+            lambda node, body: delay_s if node == first_follower and body.get("apply") else None
+        )
         assert await simulation.submit(first_follower, dependent) == 503
-        simulation.service.write_at_once()
+        simulation.store.stop_delaying_writes()
         assert await simulation.cancel(second_follower, needed) == (200, "withdrawn")
-        await simulation.accepted(dependent, second_follower)
+        await simulation.submit_until_accepted(dependent, second_follower)
         await asyncio.sleep(6.0)
-        await all_become_cancelled(simulation, [needed, dependent], 10.0)
+        await wait_until_all_cancelled(simulation, [needed, dependent], 10.0)
         assert simulation.jobs[dependent].starts == 0
 
     play(scenario)
@@ -102,16 +107,16 @@
 
     async def scenario(simulation: Simulation) -> None:
         first, second = await submit_chain(simulation, 1, 2, run_s=3.0)
-        await simulation.until(lambda: simulation.jobs[first].starts > 0, 20.0, "the first job does not start")
+        await simulation.wait_until(lambda: simulation.jobs[first].starts > 0, 20.0, "the first job does not start")
         await asyncio.sleep(1.5 + after_s)
         answer = await simulation.cancel(simulation.random.choice(simulation.followers()), first)
         while answer[0] != 200:
             await asyncio.sleep(0.2)
             answer = await simulation.cancel(simulation.random.choice(simulation.followers()), first)
         if answer[1] == "done":
-            await all_become_done(simulation, [second], 20.0)
+            await wait_until_all_done(simulation, [second], 20.0)
         else:
-            await all_become_cancelled(simulation, [first, second], 10.0)
+            await wait_until_all_cancelled(simulation, [first, second], 10.0)
             assert simulation.jobs[second].starts == 0
 
     play(scenario)
@@ -126,7 +131,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         first, second, third = await submit_chain(simulation, 1, 3, run_s=3.0, pieces=2)
-        await simulation.until(lambda: len(simulation.jobs[first].done) == 2, 30.0, "the first job does not end")
+        await simulation.wait_until(lambda: len(simulation.jobs[first].done) == 2, 30.0, "the first job does not end")
         await asyncio.sleep(after_s)
         leader = simulation.current_leader_name()
         answer = await simulation.cancel(simulation.followers()[0], second)
@@ -135,8 +140,10 @@
         while answer[0] != 200:
             await asyncio.sleep(0.3)
             answer = await simulation.cancel(simulation.random_node(), second)
-        await simulation.led()
-        await (all_become_done if answer[1] == "done" else all_become_cancelled)(simulation, [second, third], 30.0)
+        await simulation.wait_for_leader()
+        await (wait_until_all_done if answer[1] == "done" else wait_until_all_cancelled)(
+            simulation, [second, third], 30.0
+        )
         assert answer[1] == "done" or not simulation.jobs[third].starts
 
     play(scenario)
@@ -151,7 +158,7 @@
         await asyncio.sleep(1.0)
         for name in simulation.names:
             simulation.start(name)
-        await all_become_cancelled(simulation, job_ids, simulation.params.workers.cancel_s)
+        await wait_until_all_cancelled(simulation, job_ids, simulation.params.workers.cancel_s)
         assert not any(simulation.jobs[job_id].starts for job_id in job_ids[1:])
 
     play(scenario)
@@ -159,19 +166,19 @@
 
 def test_every_leader_counts_queue_time_from_readiness_and_the_deadline_from_submission():
     async def scenario(simulation: Simulation) -> None:
-        first = simulation.job(1, run_s=20.0)
-        await simulation.accepted(first)
-        dependents = [simulation.job(n, run_s=200.0, awaits=[first], dueS=500.0) for n in (2, 3)]
+        first = simulation.define_job(1, run_s=20.0)
+        await simulation.submit_until_accepted(first)
+        dependents = [simulation.define_job(n, run_s=200.0, awaits=[first], dueS=500.0) for n in (2, 3)]
         submitted_at = simulation.now()
         for job_id in dependents:
-            await simulation.accepted(job_id)
-        await all_become_done(simulation, [first], 40.0)
+            await simulation.submit_until_accepted(job_id)
+        await wait_until_all_done(simulation, [first], 40.0)
         ended_at = simulation.now()
         for _ in range(3):
-            leader = await simulation.led_by()
+            leader = await simulation.wait_for_leader_name()
             simulation.crash(leader)
             simulation.start(leader)
-            job_table = (await simulation.led()).job_table
+            job_table = (await simulation.wait_for_leader()).job_table
             await asyncio.sleep(3.0)
             for job_id in dependents:
                 # Both dependents get the same times, whatever the order in which the records were read.
@@ -194,26 +201,26 @@
     async def scenario(simulation: Simulation) -> None:
         names = []
         for n in range(1, 400):
-            names.append(simulation.job(n * 10**14 + n * n * 7919))
+            names.append(simulation.define_job(n * 10**14 + n * n * 7919))
             simulation.put_record(names[-1], {"phase": "done", "n": 1, "next": 2, "on": []})
             simulation.jobs[names[-1]].done.add(0)
         await asyncio.sleep(3.0)
         write_sizes: list[int] = []
-        commit = simulation.service.commit
+        commit = simulation.store.commit
 
         def counting_commit(body: dict):
             if any(change.get("set", "").startswith(keys.CHUNK_PREFIX) for change in body.get("apply", ())):
                 if len(write_sizes) == lowered_after:
-                    simulation.service.lower_limits()
+                    simulation.store.lower_limits()
                 write_sizes.append(len(body["apply"]))
             return commit(body)
 
-        simulation.service.commit = counting_commit
-        dependent = simulation.job(5000, run_s=3.0, awaits=names)
-        await simulation.accepted(dependent, simulation.followers()[0], within_s=60.0)
+        simulation.store.commit = counting_commit
+        dependent = simulation.define_job(5000, run_s=3.0, awaits=names)
+        await simulation.submit_until_accepted(dependent, simulation.followers()[0], within_s=60.0)
         assert len(write_sizes) > lowered_after
-        await all_become_done(simulation, [dependent], 60.0)
-        assert simulation.service.refusals[400] == 0
+        await wait_until_all_done(simulation, [dependent], 60.0)
+        assert simulation.store.refusals[400] == 0
 
     play(scenario, state=limits)
 
@@ -224,18 +231,22 @@
     )
 
     async def scenario(simulation: Simulation) -> None:
-        first = simulation.job(1, run_s=8.0)
-        await simulation.accepted(first)
-        fan_out = [simulation.job(n, run_s=2.0, cards=0.0, cores=1.0, memGb=1.0, awaits=[first]) for n in range(2, 102)]
+        first = simulation.define_job(1, run_s=8.0)
+        await simulation.submit_until_accepted(first)
+        fan_out = [
+            simulation.define_job(n, run_s=2.0, cards=0.0, cores=1.0, memGb=1.0, awaits=[first]) for n in range(2, 102)
+        ]
         for job_id in fan_out:
             simulation.put_record(job_id)
         chain = []
         for n in range(200, 215):
-            chain.append(simulation.job(n, run_s=1.0, cards=0.0, cores=1.0, memGb=1.0, awaits=chain[-1:] or fan_out))
+            chain.append(
+                simulation.define_job(n, run_s=1.0, cards=0.0, cores=1.0, memGb=1.0, awaits=chain[-1:] or fan_out)
+            )
             simulation.put_record(chain[-1])
         await asyncio.sleep(2.0)
-        simulation.service.lower_limits()
-        await all_become_done(simulation, chain[-1:], 240.0)
-        await all_become_done(simulation, [first, *fan_out, *chain], 30.0)
+        simulation.store.lower_limits()
+        await wait_until_all_done(simulation, chain[-1:], 240.0)
+        await wait_until_all_done(simulation, [first, *fan_out, *chain], 30.0)
 
     play(scenario, state=limits)
--- a/tests/cluster/test_pipelines.py
+++ b/tests/cluster/test_pipelines.py
@@ -8,7 +8,7 @@
 import asyncio
 
 import pytest
-from harness.pipelines import all_become_cancelled, all_become_done, submit_chain
+from harness.pipelines import submit_chain, wait_until_all_cancelled, wait_until_all_done
 from harness.play import play
 from harness.simulation import Simulation
 
@@ -28,28 +28,31 @@
         job_ids = await submit_chain(simulation, 1, 5, run_s=4.0, pieces=2)
         for _ in range(3):
             await asyncio.sleep(6.0)
-            leader = await simulation.led_by()
+            leader = await simulation.wait_for_leader_name()
             simulation.crash(leader)
             simulation.start(leader)
-        await simulation.led()
-        await all_become_done(simulation, job_ids, 60.0)
+        await simulation.wait_for_leader()
+        await wait_until_all_done(simulation, job_ids, 60.0)
 
     play(scenario)
 
 
 def test_a_job_waits_until_lost_tasks_of_its_dependencies_have_run_again():
     async def scenario(simulation: Simulation) -> None:
-        array, gang = simulation.job(1, run_s=10.0, pieces=2), simulation.job(2, run_s=3.0, shape="ensemble", pieces=2)
+        array, gang = (
+            simulation.define_job(1, run_s=10.0, pieces=2),
+            simulation.define_job(2, run_s=3.0, shape="ensemble", pieces=2),
+        )
         for job_id in (array, gang):
-            await simulation.accepted(job_id)
-        dependent = simulation.job(3, run_s=3.0, awaits=[array, gang, array])
-        await simulation.accepted(dependent)
-        await simulation.runs(array)
+            await simulation.submit_until_accepted(job_id)
+        dependent = simulation.define_job(3, run_s=3.0, awaits=[array, gang, array])
+        await simulation.submit_until_accepted(dependent)
+        await simulation.wait_until_running(array)
         machine = next(
             worker for worker in simulation.workers.values() if any(p.startswith(array) for p in worker.tasks)
         )
         machine.hung = True
-        await all_become_done(simulation, [array, gang, dependent], 80.0)
+        await wait_until_all_done(simulation, [array, gang, dependent], 80.0)
 
     play(scenario)
 
@@ -61,44 +64,44 @@
         duplicates = [body for worker in simulation.workers.values() for body in worker.sent_heartbeats[-6:]]
         leader = simulation.current_leader_name()
         simulation.crash(leader)
-        await simulation.led()
+        await simulation.wait_for_leader()
         for body in duplicates:
             await simulation.deliver_heartbeat(simulation.current_leader_name(), body)
         simulation.start(leader)
-        await all_become_done(simulation, job_ids, 60.0)
+        await wait_until_all_done(simulation, job_ids, 60.0)
 
     play(scenario)
 
 
 def test_a_job_that_waits_for_dependencies_uses_no_quota_and_provisions_no_machine():
     async def scenario(simulation: Simulation) -> None:
-        simulation.cloud.room = 20
-        first = simulation.job(1, run_s=15.0, owner="red", cards=4.0)
-        await simulation.accepted(first)
-        gang = simulation.job(2, run_s=3.0, owner="red", cards=4.0, pieces=2, shape="ensemble", awaits=[first])
-        await simulation.accepted(gang)
+        simulation.cloud.available_machines = 20
+        first = simulation.define_job(1, run_s=15.0, owner="red", cards=4.0)
+        await simulation.submit_until_accepted(first)
+        gang = simulation.define_job(2, run_s=3.0, owner="red", cards=4.0, pieces=2, shape="ensemble", awaits=[first])
+        await simulation.submit_until_accepted(gang)
         workers_before = len(simulation.workers)
         # The team's quota is 8 GPUs; a job that waits for its dependencies uses none of it.
-        other = simulation.job(3, run_s=5.0, owner="red", cards=4.0)
-        await simulation.accepted(other)
-        await simulation.runs(other)
+        other = simulation.define_job(3, run_s=5.0, owner="red", cards=4.0)
+        await simulation.submit_until_accepted(other)
+        await simulation.wait_until_running(other)
         assert gang not in simulation.leader().scheduler.waiting and len(simulation.workers) == workers_before
-        await all_become_done(simulation, [first, other, gang], 60.0)
+        await wait_until_all_done(simulation, [first, other, gang], 60.0)
 
     play(scenario, teams=[TeamQuota("red", gpus=8.0, gpus_max=8.0), TeamQuota("grey")])
 
 
 def test_dependencies_inherit_the_rank_of_a_more_urgent_dependent():
     async def scenario(simulation: Simulation) -> None:
-        filler = simulation.job(1, run_s=40.0, pieces=16, rank="low")
-        await simulation.accepted(filler)
-        await simulation.runs(filler)
-        dependency = simulation.job(2, run_s=3.0, rank="low")
-        await simulation.accepted(dependency)
-        dependent = simulation.job(3, run_s=3.0, rank="urgent", awaits=[dependency])
-        await simulation.accepted(dependent)
+        filler = simulation.define_job(1, run_s=40.0, pieces=16, rank="low")
+        await simulation.submit_until_accepted(filler)
+        await simulation.wait_until_running(filler)
+        dependency = simulation.define_job(2, run_s=3.0, rank="low")
+        await simulation.submit_until_accepted(dependency)
+        dependent = simulation.define_job(3, run_s=3.0, rank="urgent", awaits=[dependency])
+        await simulation.submit_until_accepted(dependent)
         # Running tasks are preempted for the dependency, although it would have to wait by its own rank.
-        await all_become_done(simulation, [dependency, dependent], 20.0)
+        await wait_until_all_done(simulation, [dependency, dependent], 20.0)
 
     play(scenario)
 
@@ -109,38 +112,36 @@
 def test_a_cancellation_reaches_all_dependents_and_no_other_job():
     async def scenario(simulation: Simulation) -> None:
         # b depends on a, c on a and x, d on b and c, `late` on x and d, and `other` on x only; a is cancelled.
-        a, x = simulation.job(1, run_s=60.0), simulation.job(2, run_s=3.0)
+        a, x = simulation.define_job(1, run_s=60.0), simulation.define_job(2, run_s=3.0)
         for job_id in (a, x):
-            await simulation.accepted(job_id)
-        b, c = simulation.job(3, awaits=[a]), simulation.job(4, awaits=[a, x])
+            await simulation.submit_until_accepted(job_id)
+        b, c = simulation.define_job(3, awaits=[a]), simulation.define_job(4, awaits=[a, x])
         for job_id in (b, c):
-            await simulation.accepted(job_id)
-        d, other = simulation.job(5, awaits=[b, c]), simulation.job(6, run_s=3.0, awaits=[x])
+            await simulation.submit_until_accepted(job_id)
+        d, other = simulation.define_job(5, awaits=[b, c]), simulation.define_job(6, run_s=3.0, awaits=[x])
         for job_id in (d, other):
-            await simulation.accepted(job_id)
+            await simulation.submit_until_accepted(job_id)
         assert await simulation.cancel(simulation.followers()[0], a) == (200, "withdrawn")
-        late = simulation.job(7, awaits=[x, d])
+        late = simulation.define_job(7, awaits=[x, d])
         assert await simulation.submit(simulation.followers()[1], late) == 201
-        await all_become_cancelled(simulation, [a, b, c, d, late], 10.0)
-        await all_become_done(simulation, [x, other], 20.0)
+        await wait_until_all_cancelled(simulation, [a, b, c, d, late], 10.0)
+        await wait_until_all_done(simulation, [x, other], 20.0)
 
     play(scenario)
 
 
 def test_a_job_with_a_dependency_cancelled_long_ago_is_accepted_as_cancelled():
     async def scenario(simulation: Simulation) -> None:
-        needed = simulation.job(1, run_s=60.0)
-        await simulation.accepted(needed)
+        needed = simulation.define_job(1, run_s=60.0)
+        await simulation.submit_until_accepted(needed)
         await simulation.cancel("n0", needed)
         await asyncio.sleep(simulation.params.workers.cancel_s + 10.0)
-        dependent = simulation.job(2, awaits=[needed])
-        revision_before = simulation.service.revision
+        dependent = simulation.define_job(2, awaits=[needed])
+        revision_before = simulation.store.revision
         for node in simulation.nodes:
             assert await simulation.submit(node, dependent) in (200, 201)
             assert await simulation.poll(node, dependent) == (200, "withdrawn")
-        assert simulation.service.revision == revision_before + 1, (
-            "the job must be stored as cancelled by a single write"
-        )
+        assert simulation.store.revision == revision_before + 1, "the job must be stored as cancelled by a single write"
 
     play(scenario)
 
@@ -148,9 +149,9 @@
 def test_dependents_run_when_a_cancellation_is_answered_done():
     async def scenario(simulation: Simulation) -> None:
         job_ids = await submit_chain(simulation, 1, 2)
-        await all_become_done(simulation, job_ids[:1], 20.0)
+        await wait_until_all_done(simulation, job_ids[:1], 20.0)
         assert await simulation.cancel("n1", job_ids[0]) == (200, "done")
-        await all_become_done(simulation, job_ids, 20.0)
+        await wait_until_all_done(simulation, job_ids, 20.0)
 
     play(scenario)
 
@@ -159,16 +160,16 @@
     async def scenario(simulation: Simulation) -> None:
         first_follower, second_follower = simulation.followers()
         for n in range(1, 20, 2):
-            needed = simulation.job(n, run_s=60.0)
-            await simulation.accepted(needed, first_follower)
-            dependent = simulation.job(n + 1, awaits=[needed])
+            needed = simulation.define_job(n, run_s=60.0)
+            await simulation.submit_until_accepted(needed, first_follower)
+            dependent = simulation.define_job(n + 1, awaits=[needed])
             answers = await asyncio.gather(
                 simulation.cancel(first_follower, needed), simulation.submit(second_follower, dependent)
             )
             assert answers[0] == (200, "withdrawn")
-            await simulation.accepted(dependent, second_follower)
+            await simulation.submit_until_accepted(dependent, second_follower)
         await asyncio.sleep(1.0)
-        await all_become_cancelled(simulation, [simulation.job_id(n) for n in range(1, 21)], 20.0)
+        await wait_until_all_cancelled(simulation, [simulation.job_id(n) for n in range(1, 21)], 20.0)
 
     play(scenario)
 
@@ -182,25 +183,25 @@
         first_follower, second_follower = simulation.followers()
         leader = simulation.current_leader_name()
         if fault == "refused":
-            simulation.service.refused.add(second_follower)
+            simulation.store.refused.add(second_follower)
         if fault == "zones apart":
             simulation.partitions |= {frozenset((leader, first_follower)), frozenset((first_follower, second_follower))}
-            simulation.service.disconnected.add(second_follower)
+            simulation.store.disconnected.add(second_follower)
         answer = await simulation.cancel(leader if fault == "zones apart" else first_follower, job_ids[0])
         assert answer == (200, "withdrawn")
         if fault == "outage":
-            simulation.service.outage(True)
+            simulation.store.set_outage(True)
         elif fault == "leader ends":
             simulation.crash(leader)
         for _ in range(20):
             await asyncio.sleep(2.5)
             for job_id in job_ids:
                 await simulation.poll(simulation.random_node(), job_id)  # checks the rule `orphaned` on the response
-        simulation.service.outage(False)
-        simulation.service.refused.clear()
-        simulation.service.disconnected.clear()
+        simulation.store.set_outage(False)
+        simulation.store.refused.clear()
+        simulation.store.disconnected.clear()
         simulation.partitions.clear()
-        await all_become_cancelled(simulation, job_ids, 15.0)
+        await wait_until_all_cancelled(simulation, job_ids, 15.0)
 
     play(scenario)
 
@@ -217,7 +218,7 @@
         # would make the leader read its record.
         _, *job_ids = await submit_chain(simulation, 1, 4, run_s=200.0)
         leader = simulation.current_leader_name()
-        simulation.service.watch_blocked.add(leader)
+        simulation.store.watch_blocked.add(leader)
         await asyncio.sleep(1.0)
         assert await simulation.cancel(simulation.followers()[0], job_ids[0]) == (200, "withdrawn")
         statuses = set()
@@ -225,8 +226,8 @@
             await asyncio.sleep(2.0)
             statuses |= {(await simulation.poll(leader, job_id))[0] for job_id in job_ids[1:]}
         assert statuses <= {200, 503} and 503 in statuses
-        simulation.service.watch_blocked.clear()
-        await all_become_cancelled(simulation, job_ids, 20.0)
+        simulation.store.watch_blocked.clear()
+        await wait_until_all_cancelled(simulation, job_ids, 20.0)
 
     play(scenario)
 
@@ -238,22 +239,22 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        needed = simulation.job(1, run_s=200.0)
-        await simulation.accepted(needed)
+        needed = simulation.define_job(1, run_s=200.0)
+        await simulation.submit_until_accepted(needed)
         job_ids = []
         for n in range(2, 1502):
-            job_ids.append(simulation.job(n, awaits=[needed]))
+            job_ids.append(simulation.define_job(n, awaits=[needed]))
             simulation.put_record(job_ids[-1])
         await asyncio.sleep(3.0)
-        simulation.service.lower_limits()
+        simulation.store.lower_limits()
         assert await simulation.cancel(simulation.followers()[0], needed) == (200, "withdrawn")
         for _ in range(30):
             await asyncio.sleep(2.0)
             for job_id in simulation.random.sample(job_ids, 10):
                 await simulation.poll(simulation.random_node(), job_id)
-        await simulation.until(
+        await simulation.wait_until(
             lambda: all(
-                simulation.service.keys[keys.JOB_PREFIX + job_id][0]["phase"] == "withdrawn" for job_id in job_ids
+                simulation.store.keys[keys.JOB_PREFIX + job_id][0]["phase"] == "withdrawn" for job_id in job_ids
             ),
             60.0,
             "not all dependents are stored as cancelled in time",
@@ -270,18 +271,18 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        needed = simulation.job(1, run_s=200.0)
-        await simulation.accepted(needed)
+        needed = simulation.define_job(1, run_s=200.0)
+        await simulation.submit_until_accepted(needed)
         await asyncio.sleep(2.0)
         stale_node = simulation.followers()[0]
-        simulation.service.watch_blocked.add(stale_node)
+        simulation.store.watch_blocked.add(stale_node)
         other_node = next(name for name in simulation.nodes if name != stale_node)
         assert await simulation.cancel(other_node, needed) == (200, "withdrawn")
         await asyncio.sleep(simulation.params.workers.cancel_s + 3.0)
-        dependent = simulation.job(2, awaits=[needed])
+        dependent = simulation.define_job(2, awaits=[needed])
         assert await simulation.submit(stale_node, dependent) == 503
-        simulation.service.watch_blocked.clear()
-        await simulation.accepted(dependent, stale_node)
+        simulation.store.watch_blocked.clear()
+        await simulation.submit_until_accepted(dependent, stale_node)
         assert await simulation.poll(stale_node, dependent) == (200, "withdrawn")
 
     play(scenario)
@@ -292,8 +293,8 @@
 
 def test_invalid_dependency_lists_are_refused_and_repeated_submissions_accepted():
     async def scenario(simulation: Simulation) -> None:
-        accepted = simulation.job(1, run_s=3.0)
-        await simulation.accepted(accepted, "n0")
+        accepted = simulation.define_job(1, run_s=3.0)
+        await simulation.submit_until_accepted(accepted, "n0")
         for n, awaits, status in (
             (2, "run-000001", 400),
             (3, ["run-1/2"], 400),
@@ -304,7 +305,7 @@
             (8, None, 201),
             (9, [accepted, accepted], 201),
         ):
-            job_id = simulation.job(n, awaits=awaits) if status == 201 else None
+            job_id = simulation.define_job(n, awaits=awaits) if status == 201 else None
             spec = simulation.jobs[job_id].spec if job_id else simulation.description(n, awaits=awaits)
             for node in simulation.nodes:
                 assert await simulation.submit_spec(node, spec) in ((201, 200) if status == 201 else (status,)), (
@@ -339,21 +340,21 @@
 
 def test_a_job_with_a_very_long_dependency_list_is_stored_and_runs():
     async def scenario(simulation: Simulation) -> None:
-        unfinished = simulation.job(1, run_s=30.0)
-        await simulation.accepted(unfinished)
+        unfinished = simulation.define_job(1, run_s=30.0)
+        await simulation.submit_until_accepted(unfinished)
         names = [unfinished]
         for n in range(2, 1200):
-            names.append(simulation.job(n * 10**14 + n * n * 7919))
+            names.append(simulation.define_job(n * 10**14 + n * n * 7919))
             simulation.put_record(names[-1], {"phase": "done", "n": 1, "next": 2, "on": []})
             simulation.jobs[names[-1]].done.add(0)
         await asyncio.sleep(3.0)
-        simulation.service.lower_limits()
-        dependent = simulation.job(5000, run_s=3.0, awaits=names)
-        await simulation.accepted(dependent, simulation.followers()[0], within_s=60.0)
-        await all_become_done(simulation, [unfinished, dependent], 60.0)
-        chunks = [k for k in simulation.service.keys if k.startswith(keys.CHUNK_PREFIX)]
-        await simulation.until(
-            lambda: not any(k in simulation.service.keys for k in chunks), 60.0, "chunks are never deleted"
+        simulation.store.lower_limits()
+        dependent = simulation.define_job(5000, run_s=3.0, awaits=names)
+        await simulation.submit_until_accepted(dependent, simulation.followers()[0], within_s=60.0)
+        await wait_until_all_done(simulation, [unfinished, dependent], 60.0)
+        chunks = [k for k in simulation.store.keys if k.startswith(keys.CHUNK_PREFIX)]
+        await simulation.wait_until(
+            lambda: not any(k in simulation.store.keys for k in chunks), 60.0, "chunks are never deleted"
         )
 
     play(
@@ -373,28 +374,28 @@
 
     async def scenario(simulation: Simulation) -> None:
         await asyncio.sleep(2.0)
-        simulation.service.lower_limits()
+        simulation.store.lower_limits()
         job_ids = []
         for n in range(1, 4):
             ends = {task: 4.0 + (task * 7) % 19 for task in range(120)}
-            job_ids.append(simulation.job(n, pieces=120, cards=0.0, cores=1.0, memGb=1.0, ends=ends))
-            await simulation.accepted(job_ids[-1])
-        dependent = simulation.job(9, run_s=3.0, awaits=job_ids)
-        await simulation.accepted(dependent)
-        simulation.service.delay_writes(0.2)
+            job_ids.append(simulation.define_job(n, pieces=120, cards=0.0, cores=1.0, memGb=1.0, ends=ends))
+            await simulation.submit_until_accepted(job_ids[-1])
+        dependent = simulation.define_job(9, run_s=3.0, awaits=job_ids)
+        await simulation.submit_until_accepted(dependent)
+        simulation.store.delay_writes(0.2)
         for _ in range(3):
             await asyncio.sleep(9.0)
-            assert any(k.startswith(keys.CHUNK_PREFIX) for k in simulation.service.keys)
-            leader = await simulation.led_by()
+            assert any(k.startswith(keys.CHUNK_PREFIX) for k in simulation.store.keys)
+            leader = await simulation.wait_for_leader_name()
             simulation.crash(leader)
             simulation.start(leader)
-        simulation.service.write_at_once()
-        await simulation.led()
-        await all_become_done(simulation, [*job_ids, dependent], 120.0)
-        assert simulation.service.refusals[400] == 0
-        chunks = [k for k in simulation.service.keys if k.startswith(keys.CHUNK_PREFIX)]
-        await simulation.until(
-            lambda: not any(k in simulation.service.keys for k in chunks), 180.0, "chunks are never deleted"
+        simulation.store.stop_delaying_writes()
+        await simulation.wait_for_leader()
+        await wait_until_all_done(simulation, [*job_ids, dependent], 120.0)
+        assert simulation.store.refusals[400] == 0
+        chunks = [k for k in simulation.store.keys if k.startswith(keys.CHUNK_PREFIX)]
+        await simulation.wait_until(
+            lambda: not any(k in simulation.store.keys for k in chunks), 180.0, "chunks are never deleted"
         )
 
     play(scenario, machines=24, state=limits)
--- a/tests/cluster/test_ran_twice.py
+++ b/tests/cluster/test_ran_twice.py
@@ -29,13 +29,15 @@
 
     The delegate is partitioned from all other nodes. Return the time at which the lease would have expired.
     """
-    simulation.partitions |= simulation.links_of(delegate)
+    simulation.partitions |= simulation.node_pairs_of(delegate)
     worker.reached = lambda node: node == delegate
     await asyncio.sleep(0.05)
     worker.hung = True
     worker.node = simulation.names.index(delegate)
     expires_at = worker.lease_from + simulation.params.workers.lease_s
-    await simulation.until(lambda: simulation.now() > expires_at - before_expiry_s, 20.0, "the clock does not advance")
+    await simulation.wait_until(
+        lambda: simulation.now() > expires_at - before_expiry_s, 20.0, "the clock does not advance"
+    )
     worker.hung = False
     return expires_at
 
@@ -43,18 +45,18 @@
 async def run_long_job(simulation: Simulation) -> tuple[str, str]:
     """Check the invariants from now on and run a long job; return the leader's name and the job's id."""
     Invariants(simulation).watch()
-    job_id = simulation.job(1, run_s=300.0)
-    await simulation.accepted(job_id)
-    await simulation.runs(job_id)
+    job_id = simulation.define_job(1, run_s=300.0)
+    await simulation.submit_until_accepted(job_id)
+    await simulation.wait_until_running(job_id)
     return simulation.current_leader_name(), job_id
 
 
 async def assert_recovery(simulation: Simulation, job_id: str) -> None:
     """End refusals and partitions, then assert that a node leads soon and that the job still runs."""
-    simulation.service.refused.clear()
+    simulation.store.refused.clear()
     simulation.partitions.clear()
     await asyncio.sleep(10.0)
-    assert simulation.leader() is not None and simulation.on_machines(job_id)
+    assert simulation.leader() is not None and simulation.count_tasks_on_machines(job_id)
 
 
 def delay_next_leader_key_write(simulation: Simulation, delay_s: float) -> list[tuple[str, float]]:
@@ -71,7 +73,7 @@
         writes.append((node, simulation.now()))
         return delay_s
 
-    simulation.service.late = write_delay
+    simulation.store.write_delay_s = write_delay
     return writes
 
 
@@ -89,25 +91,25 @@
         Invariants(simulation).watch()
         leader = simulation.current_leader_name()
         delegate = next(n for n in simulation.names if n != leader)
-        job_id = simulation.job(1, run_s=300.0, cards=4.0)
-        await simulation.accepted(job_id)
-        await simulation.runs(job_id)
+        job_id = simulation.define_job(1, run_s=300.0, cards=4.0)
+        await simulation.submit_until_accepted(job_id)
+        await simulation.wait_until_running(job_id)
         await asyncio.sleep(5.0)
         worker = machine_of(simulation, job_id)
         simulation.loop.call_later(
             worker.lease_from + simulation.params.workers.lease_s - before_expiry_s - 0.5 - simulation.now(),
-            simulation.service.refused.add,
+            simulation.store.refused.add,
             leader,
         )
         expires_at = await heartbeat_to_delegate_before_expiry(simulation, worker, delegate, before_expiry_s)
-        await simulation.until(
+        await simulation.wait_until(
             lambda: simulation.now() > expires_at - before_expiry_s - 0.5 + refused_s,
             20.0,
             "the clock does not advance",
         )
-        simulation.service.refused.discard(leader)
-        await simulation.until(
-            lambda: keys.LEASE_DELEGATE_PREFIX + delegate in simulation.service.keys, 5.0, "the lease is not delegated"
+        simulation.store.refused.discard(leader)
+        await simulation.wait_until(
+            lambda: keys.LEASE_DELEGATE_PREFIX + delegate in simulation.store.keys, 5.0, "the lease is not delegated"
         )
         await asyncio.sleep(20.0)
         assert any(task_id.startswith(job_id) for task_id in worker.tasks), "the task of the delegated lease is gone"
@@ -127,14 +129,14 @@
         leader, job_id = await run_long_job(simulation)
         writes = delay_next_leader_key_write(simulation, 3.0)
         simulation.freeze(leader)
-        await simulation.until(lambda: bool(writes), 12.0, "no node takes over")
+        await simulation.wait_until(lambda: bool(writes), 12.0, "no node takes over")
         candidate, written_at = writes[0]
         await asyncio.sleep(written_at + VOTE_GRANT_S + 0.01 - simulation.now())
-        simulation.partitions |= simulation.links_of(candidate)
-        simulation.service.refused.add(leader)
+        simulation.partitions |= simulation.node_pairs_of(candidate)
+        simulation.store.refused.add(leader)
         simulation.thaw(leader)
         await asyncio.sleep(written_at + 2.9 - simulation.now())
-        simulation.partitions |= simulation.links_of(leader)
+        simulation.partitions |= simulation.node_pairs_of(leader)
         await asyncio.sleep(12.0)
         await assert_recovery(simulation, job_id)
 
@@ -153,20 +155,20 @@
         leader, job_id = await run_long_job(simulation)
         writes = delay_next_leader_key_write(simulation, 0.8)
         simulation.freeze(leader)
-        await simulation.until(lambda: bool(writes), 12.0, "no node takes over")
+        await simulation.wait_until(lambda: bool(writes), 12.0, "no node takes over")
         candidate, _ = writes[0]
         voter = next(n for n in simulation.names if n not in (leader, candidate))
-        simulation.partitions |= simulation.links_of(candidate)
+        simulation.partitions |= simulation.node_pairs_of(candidate)
         simulation.crash(voter)
         await asyncio.sleep(0.1)
         simulation.start(voter)
-        simulation.service.refused.add(leader)
+        simulation.store.refused.add(leader)
         simulation.thaw(leader)
         # The candidate crashes before it can end the session lease of its write.
         simulation.crash(candidate)
         await asyncio.sleep(0.3)
         # The voter has read the leader key; from now on it learns of no newer one.
-        simulation.service.refused.add(voter)
+        simulation.store.refused.add(voter)
         simulation.start(candidate)
         await asyncio.sleep(12.0)
         await assert_recovery(simulation, job_id)
--- a/tests/cluster/test_upgrade.py
+++ b/tests/cluster/test_upgrade.py
@@ -28,7 +28,7 @@
 
 async def wait_all_upgraded(simulation: Simulation, within_s: float = 10.0) -> None:
     """Wait until every node knows that all nodes run the current program."""
-    await simulation.until(
+    await simulation.wait_until(
         lambda: all(n.storage_version.supported_by_all(CURRENT_VERSION) for n in simulation.nodes.values()),
         within_s,
         "not every node knows that all are upgraded",
@@ -49,7 +49,7 @@
     """Submit `count` jobs at random nodes and cancel a third of them; return the ids of all."""
     job_ids = []
     for i in range(first_number, first_number + count):
-        job_id = simulation.job(i, run_s=4.0, cards=0.0, cores=1.0)
+        job_id = simulation.define_job(i, run_s=4.0, cards=0.0, cores=1.0)
         job_ids.append(job_id)
         await submit_until_accepted(simulation, job_id)
         await asyncio.sleep(interval_s)
@@ -77,7 +77,9 @@
     job_ids: list[str] = []
     for n in range(first_number, first_number + 3):
         job_ids.append(
-            simulation.job(n, run_s=3.0, awaits=job_ids[-1:] or None, rank="urgent" if n == first_number + 2 else "low")
+            simulation.define_job(
+                n, run_s=3.0, awaits=job_ids[-1:] or None, rank="urgent" if n == first_number + 2 else "low"
+            )
         )
         await submit_until_accepted(simulation, job_ids[-1])
     return job_ids
@@ -87,11 +89,11 @@
 @with_each_old_format
 def test_jobs_end_while_nodes_are_replaced_one_by_one_in_any_order(order, old):
     async def scenario(simulation: Simulation) -> None:
-        traffic = simulation.go(submit_and_cancel(simulation, 1, 25))
+        traffic = simulation.run_in_background(submit_and_cancel(simulation, 1, 25))
         for name in order:
             await asyncio.sleep(4.0)
             await simulation.upgrade(name)
-        await simulation.led()
+        await simulation.wait_for_leader()
         await wait_all_upgraded(simulation)
         job_ids = await submit_pipeline(simulation, 100)
         await wait_all_ended(simulation, [*await traffic, *job_ids])
@@ -104,7 +106,7 @@
 @with_each_old_format
 def test_jobs_end_when_two_nodes_are_replaced_at_once(leader_first, old):
     async def scenario(simulation: Simulation) -> None:
-        traffic = simulation.go(submit_and_cancel(simulation, 1, 25))
+        traffic = simulation.run_in_background(submit_and_cancel(simulation, 1, 25))
         leader, others = simulation.current_leader_name(), simulation.followers()
         first_pair = (leader, others[0]) if leader_first else tuple(others)
         await simulation.upgrade(*first_pair)
@@ -118,11 +120,11 @@
 
 def test_a_dependent_job_is_not_accepted_while_a_node_may_restart_with_an_older_program():
     async def scenario(simulation: Simulation) -> None:
-        first = simulation.job(1, run_s=3.0)
-        await simulation.accepted(first, "n0")
-        second = simulation.job(2, awaits=[first])
+        first = simulation.define_job(1, run_s=3.0)
+        await simulation.submit_until_accepted(first, "n0")
+        second = simulation.define_job(2, awaits=[first])
         await simulation.upgrade("n0", "n1")
-        await simulation.led()
+        await simulation.wait_for_leader()
         await asyncio.sleep(5.0)
         # n2 crashes before its upgrade and restarts with the older program. Neither while it is down nor afterwards may
         # the other nodes take it for upgraded.
@@ -148,17 +150,17 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.service.refused.add("n2")
+        simulation.store.refused.add("n2")
         await simulation.upgrade("n0", "n1")
         await simulation.upgrade("n2")
-        await simulation.until(
+        await simulation.wait_until(
             lambda: simulation.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
             15.0,
             "no marker is stored for the refused node",
         )
-        first = simulation.job(1, run_s=3.0)
-        await simulation.accepted(first, "n0")
-        await simulation.accepted(simulation.job(2, run_s=3.0, awaits=[first]), "n1", within_s=2.0)
+        first = simulation.define_job(1, run_s=3.0)
+        await simulation.submit_until_accepted(first, "n0")
+        await simulation.submit_until_accepted(simulation.define_job(2, run_s=3.0, awaits=[first]), "n1", within_s=2.0)
 
     play(scenario, old=old)
 
@@ -172,7 +174,7 @@
         await asyncio.sleep(3.0)
         simulation.crash("n2")
         await simulation.upgrade("n0")
-        await simulation.until(
+        await simulation.wait_until(
             lambda: simulation.nodes["n0"].storage_version.supported_by_all(CURRENT_VERSION),
             10.0,
             "the storage version waits for a node that has a marker",
@@ -185,17 +187,17 @@
 @with_each_old_format
 def test_jobs_end_when_a_failure_occurs_during_an_upgrade(fault, old):
     async def scenario(simulation: Simulation) -> None:
-        traffic = simulation.go(submit_and_cancel(simulation, 1, 30))
+        traffic = simulation.run_in_background(submit_and_cancel(simulation, 1, 30))
         await simulation.upgrade(simulation.followers()[0])
-        leader = simulation.leader() or await simulation.led()
+        leader = simulation.leader() or await simulation.wait_for_leader()
         if fault == "outage":
-            simulation.service.outage(True)
-            simulation.loop.call_later(14.0, simulation.service.outage, False)
+            simulation.store.set_outage(True)
+            simulation.loop.call_later(14.0, simulation.store.set_outage, False)
         elif fault == "cut":
-            simulation.partitions |= simulation.links_of("n0")
+            simulation.partitions |= simulation.node_pairs_of("n0")
             simulation.loop.call_later(14.0, simulation.partitions.clear)
         elif fault == "late writes":
-            simulation.service.delay_writes(0.2)
+            simulation.store.delay_writes(0.2)
         else:
             name = leader.settings.node_name
             simulation.crash(name)
@@ -205,7 +207,7 @@
             await simulation.upgrade(name)
             await asyncio.sleep(2.0)
         await asyncio.sleep(12.0)
-        simulation.service.write_at_once()
+        simulation.store.stop_delaying_writes()
         await wait_all_upgraded(simulation, 30.0)
         await wait_all_ended(simulation, [*await traffic, *await submit_pipeline(simulation, 100)], 60.0)
 
@@ -220,25 +222,27 @@
         job_ids = []
         for n in range(1, 4):
             ends = {task: 3.0 + (task * 7) % 23 for task in range(300)}
-            job_ids.append(simulation.job(n, pieces=300, cards=0.0, cores=0.5, memGb=0.5, ends=ends))
-            await simulation.accepted(job_ids[-1])
-        await simulation.until(
-            lambda: all(simulation.on_machines(job_id) > 20 for job_id in job_ids), 20.0, "the arrays do not run"
+            job_ids.append(simulation.define_job(n, pieces=300, cards=0.0, cores=0.5, memGb=0.5, ends=ends))
+            await simulation.submit_until_accepted(job_ids[-1])
+        await simulation.wait_until(
+            lambda: all(simulation.count_tasks_on_machines(job_id) > 20 for job_id in job_ids),
+            20.0,
+            "the arrays do not run",
         )
         for name in NAMES:
             await simulation.upgrade(name)
             await asyncio.sleep(2.0)
         await wait_all_upgraded(simulation)
-        values = [v for k, (v, _, _) in simulation.service.keys.items() if k.startswith(keys.JOB_PREFIX)]
+        values = [v for k, (v, _, _) in simulation.store.keys.items() if k.startswith(keys.JOB_PREFIX)]
         assert any(job_records.json_bytes(v) > 1500 for v in values)
-        simulation.service.lower_limits()
+        simulation.store.lower_limits()
         await simulation.cancel(simulation.followers()[0], job_ids[0])
-        first = simulation.job(10, run_s=3.0)
-        await simulation.accepted(first)
-        job_ids += [first, simulation.job(11, run_s=3.0, awaits=[first])]
-        await simulation.accepted(job_ids[-1])
+        first = simulation.define_job(10, run_s=3.0)
+        await simulation.submit_until_accepted(first)
+        job_ids += [first, simulation.define_job(11, run_s=3.0, awaits=[first])]
+        await simulation.submit_until_accepted(job_ids[-1])
         await wait_all_ended(simulation, job_ids, 120.0)
-        assert simulation.service.refusals[400] <= 3 and simulation.service.largest <= 2048
+        assert simulation.store.refusals[400] <= 3 and simulation.store.largest_value_bytes <= 2048
 
     play(scenario, machines=8, old=old, state=LIMITS)
 
@@ -251,20 +255,20 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        job_id = simulation.job(1, pieces=4, ends={0: 4.0, 1: 30.0, 2: 34.0, 3: 40.0})
-        await simulation.accepted(job_id)
-        await simulation.runs(job_id)
+        job_id = simulation.define_job(1, pieces=4, ends={0: 4.0, 1: 30.0, 2: 34.0, 3: 40.0})
+        await simulation.submit_until_accepted(job_id)
+        await simulation.wait_until_running(job_id)
         leader = simulation.current_leader_name()
-        simulation.service.late = lambda node, body: 30.0 if node == leader and body.get("apply") else None
+        simulation.store.write_delay_s = lambda node, body: 30.0 if node == leader and body.get("apply") else None
         await asyncio.sleep(5.0)
         simulation.crash(leader)
-        simulation.service.write_at_once()
+        simulation.store.stop_delaying_writes()
         simulation.start(leader)
         for name in [n for n in NAMES if n != leader]:
             await simulation.upgrade(name, down_s=1.0)
         await wait_all_upgraded(simulation)
-        second = simulation.job(2, run_s=3.0, awaits=[job_id])
-        await simulation.accepted(second)
+        second = simulation.define_job(2, run_s=3.0, awaits=[job_id])
+        await simulation.submit_until_accepted(second)
         await wait_all_ended(simulation, [job_id, second], 60.0)
 
     play(scenario, old=old)
@@ -275,11 +279,11 @@
     async def scenario(simulation: Simulation) -> None:
         await simulation.upgrade("n0")
         await asyncio.sleep(4.0)
-        assert simulation.service.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
-        job_id = simulation.job(1, run_s=3.0)
-        await simulation.accepted(job_id, "n1")
+        assert simulation.store.keys[keys.STORAGE_VERSION_PREFIX + "n0"][0] == {"format": CURRENT_VERSION}
+        job_id = simulation.define_job(1, run_s=3.0)
+        await simulation.submit_until_accepted(job_id, "n1")
         await wait_all_ended(simulation, [job_id])
-        assert simulation.service.keys.get(keys.STORAGE_VERSION_PREFIX + "n1", (None,))[0] == (
+        assert simulation.store.keys.get(keys.STORAGE_VERSION_PREFIX + "n1", (None,))[0] == (
             None if old == 1 else {"format": 2}
         )
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,9 @@
 """Fixtures for the tests in all folders; the fakes that they return are defined in `harness`."""
 
 import pytest
-from harness.fake_clock import Clock
+from harness.fake_clock import FakeClock
 from harness.leader_fixture import CATALOG, Cluster
-from harness.scripted_store import FakeState
+from harness.scripted_store import ScriptedStore
 from harness.submissions import description
 from known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary
 
@@ -19,9 +19,9 @@
 # The names that tests import from this module, and the hooks that pytest looks up in it.
 __all__ = [
     "CATALOG",
-    "Clock",
     "Cluster",
-    "FakeState",
+    "FakeClock",
+    "ScriptedStore",
     "description",
     "pytest_collection_modifyitems",
     "pytest_configure",
@@ -30,8 +30,8 @@
 
 
 @pytest.fixture
-def clock() -> Clock:
-    return Clock()
+def clock() -> FakeClock:
+    return FakeClock()
 
 
 @pytest.fixture
@@ -48,10 +48,10 @@
 
 
 @pytest.fixture
-def state(params: PlatformParameters) -> FakeState:
-    return FakeState(params.state)
+def store(params: PlatformParameters) -> ScriptedStore:
+    return ScriptedStore(params.state)
 
 
 @pytest.fixture
-def cluster(params: PlatformParameters, clock: Clock) -> Cluster:
+def cluster(params: PlatformParameters, clock: FakeClock) -> Cluster:
     return Cluster(params, clock)
--- a/tests/drain_histories.py
+++ b/tests/drain_histories.py
@@ -17,14 +17,14 @@
 
 from harness.drain_simulation import TEAMS, BudgetOracle, Operator, cordoned, operations
 from harness.simulation import Simulation
-from histories import History, Invariants, broken_in, play_range
+from histories import History, Invariants, play_range, run_history
 
 from hookwall.drains.command import ExitCode
 from hookwall.drains.records import DrainPhase
 
 BUDGETS = {"red": 1, "blue": 2}
 MACHINES = 8
-CLOUD_ROOM = 30
+AVAILABLE_MACHINES = 30
 END_TIMEOUT_S = 260.0  # for drains to end after the last fault; jobs run for up to 120 s
 
 
@@ -33,7 +33,7 @@
 
     def watch(self) -> None:
         super().watch()
-        BudgetOracle(self.simulation, BUDGETS, of_drains_only=True).watch()
+        BudgetOracle(self.simulation, BUDGETS, count_drains_only=True).watch()
 
 
 class DrainHistory(History):
@@ -44,14 +44,15 @@
         self.operator = Operator(simulation)
 
     async def play(self, simulation: Simulation) -> None:
-        simulation.cloud.room = CLOUD_ROOM
+        simulation.cloud.available_machines = AVAILABLE_MACHINES
         for n in range(1, self.random.randint(5, 9)):
-            simulation.go(self._submit_job(n))
+            simulation.run_in_background(self._submit_job(n))
         await asyncio.sleep(25.0)
         names = [f"drain-{n}" for n in range(self.random.randint(1, 2))]
-        drains = [simulation.go(self._run_drain(name)) for name in names]
+        drains = [simulation.run_in_background(self._run_drain(name)) for name in names]
         faults = [
-            simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(0, 4))
+            simulation.run_in_background(self._begin(self.random.choice(self.kinds())))
+            for _ in range(self.random.randint(0, 4))
         ]
         await asyncio.gather(*drains, *faults)
         await self._check_drains_end(names)
@@ -60,12 +61,12 @@
         """Submit a random job at a random time."""
         await asyncio.sleep(self.span(0.0, 60.0) if number > 4 else 0.0)
         whole = self.random.random() < 0.5
-        ref = self.simulation.job(
+        ref = self.simulation.define_job(
             number, run_s=self.span(30.0, 120.0), owner=self.random.choice(["red", "blue"]),
             pieces=self.random.choice([1, 2, 3]), shape=self.random.choice(["batch", "batch", "ensemble"]),
             cards=4.0 if whole else 1.0,
         )  # fmt: skip
-        await self.simulation.accepted(ref, within_s=200.0)
+        await self.simulation.submit_until_accepted(ref, within_s=200.0)
 
     async def _repeat_until_answered(self, *arguments: str) -> None:
         """Repeat a command until it is neither in conflict nor unavailable."""
@@ -97,19 +98,19 @@
             await asyncio.sleep(1.0)
             active = [name for name in names if self.operator.record(name).is_active()]
         for name in active:
-            self.simulation.broken.append(f"endless: {self.operator.record(name)}")
+            self.simulation.violations.append(f"endless: {self.operator.record(name)}")
         if not active and cordoned(self.simulation):
-            self.simulation.broken.append(f"left: {cordoned(self.simulation)} cordoned")
+            self.simulation.violations.append(f"left: {cordoned(self.simulation)} cordoned")
         if any(self.operator.record(name).phase is not DrainPhase.FINISHED for name in names):
-            self.simulation.broken.append("unfinished: a drain was not resumed")
+            self.simulation.violations.append("unfinished: a drain was not resumed")
 
 
-def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
+def violations_of_seed(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
     """Play the history of a seed."""
-    return broken_in(
+    return run_history(
         DrainHistory, BudgetInvariants, seed, quiet, machines=MACHINES, teams=TEAMS, operations=operations(**BUDGETS)
     )
 
 
 if __name__ == "__main__":
-    sys.exit(play_range(broken_by, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(play_range(violations_of_seed, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/drains/test_drain_command.py
+++ b/tests/drains/test_drain_command.py
@@ -65,9 +65,9 @@
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.BAD_INPUT
         assert "no disruption budget for blue" in capsys.readouterr().err
         (ref,) = await running_jobs(simulation, BLUE, **WHOLE_MACHINE)
-        simulation.cloud.room = 2
+        simulation.cloud.available_machines = 2
         await operator.start("kernel", "--machine", machine_of(simulation, ref), "--unbudgeted")
-        await operator.ends("kernel", 60.0)
+        await operator.wait_for_phase("kernel", 60.0)
 
     play_with_budgets(scenario, budgets={"red": 1})
 
@@ -76,12 +76,12 @@
     async def scenario(simulation: Simulation, operator):
         await running_jobs(simulation, RED, **WHOLE_MACHINE)
         await operator.start("kernel", "--zone", "east")
-        before = simulation.service.keys[keys.DRAIN_PREFIX + "kernel"]
+        before = simulation.store.keys[keys.DRAIN_PREFIX + "kernel"]
         code, printed = await operator("start", "kernel", "--zone", "east")
         assert code == ExitCode.OK and printed["drains"][0]["name"] == "kernel"
         assert (await operator("start", "kernel", "--zone", "west"))[0] == ExitCode.BAD_INPUT
         assert "exists already with other terms" in capsys.readouterr().err
-        assert simulation.service.keys[keys.DRAIN_PREFIX + "kernel"][0]["request"] == before[0]["request"]
+        assert simulation.store.keys[keys.DRAIN_PREFIX + "kernel"][0]["request"] == before[0]["request"]
 
     play_with_budgets(scenario)
 
@@ -95,30 +95,30 @@
         assert (await operator("plan", "--zone", "east"))[0] == ExitCode.UNAVAILABLE
         assert (await operator("status"))[0] == ExitCode.OK, "status needs no list"
         simulation.cloud.down = False
-        simulation.service.refused.add("operator")
+        simulation.store.refused.add("operator")
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.UNAVAILABLE
-        simulation.service.refused.clear()
-        simulation.service.late = lambda node, body: 1.0 if node == "operator" else None
+        simulation.store.refused.clear()
+        simulation.store.write_delay_s = lambda node, body: 1.0 if node == "operator" else None
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.UNAVAILABLE
-        simulation.service.late = lambda node, body: None
+        simulation.store.write_delay_s = lambda node, body: None
         await asyncio.sleep(2.0)
         assert (await operator("start", "kernel", "--zone", "east"))[0] == ExitCode.OK, "it was carried out late"
-        commit = simulation.service.commit
-        simulation.service.commit = lambda body: (400, {"error": "malformed"})
+        commit = simulation.store.commit
+        simulation.store.commit = lambda body: (400, {"error": "malformed"})
         assert (await operator("start", "other", "--zone", "west"))[0] == ExitCode.REFUSED
-        simulation.service.commit = lambda body: (409, {"failed": [keys.DRAIN_PREFIX + "kernel"], "epoch": 1})
+        simulation.store.commit = lambda body: (409, {"failed": [keys.DRAIN_PREFIX + "kernel"], "epoch": 1})
         assert (await operator("abort", "kernel"))[0] == ExitCode.CONFLICT
-        simulation.service.commit = commit
+        simulation.store.commit = commit
 
     play_with_budgets(scenario)
 
 
 def test_a_preview_lists_the_jobs_of_each_wave_and_changes_nothing():
     async def scenario(simulation: Simulation, operator):
-        simulation.cloud.room = 2
+        simulation.cloud.available_machines = 2
         refs = await running_jobs(simulation, RED, RED, BLUE, **WHOLE_MACHINE)
         await asyncio.sleep(10.0)
-        before = dict(simulation.service.keys)
+        before = dict(simulation.store.keys)
         machines = [argument for ref in refs for argument in ("--machine", machine_of(simulation, ref))]
         code, printed = await operator("plan", *machines, "--batch", "3", "--fewest")
         assert code == ExitCode.OK and printed["disrupted"] == {"red": 2, "blue": 1}
@@ -130,10 +130,10 @@
         assert [len(wave["machines"]) for wave in printed["waves"]] == [1, 1, 1], "one free machine at a time"
         drains = {
             key: stored
-            for key, stored in simulation.service.keys.items()
+            for key, stored in simulation.store.keys.items()
             if key.startswith((keys.DRAIN_PREFIX, keys.CORDON_PREFIX, keys.DISRUPTION_PREFIX))
         }
-        assert not drains and before.keys() == simulation.service.keys.keys()
+        assert not drains and before.keys() == simulation.store.keys.keys()
 
     play_with_budgets(scenario)
 
@@ -156,7 +156,7 @@
         began = simulation.now()
         assert (await operator("status", "kernel", "--wait", "5"))[0] == ExitCode.WAITING
         assert 5.0 <= simulation.now() - began < 8.0 and cordoned(simulation)
-        simulation.cloud.room = 1
+        simulation.cloud.available_machines = 1
         assert (await operator("status", "kernel", "--wait", "200"))[0] == ExitCode.OK
 
     play_with_budgets(scenario)
--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import Clock, FakeState
+from conftest import FakeClock, ScriptedStore
 from harness.drain_simulation import TEAMS, operations
 from leading_node import leading, report
 from test_drain_ledger import PERIOD_S
@@ -27,14 +27,14 @@
 class Leader:
     """A leader with `MACHINES` machines that run one job each, as many free machines, and a key-value store."""
 
-    def __init__(self, params, clock: Clock, state: FakeState) -> None:
-        self.clock, self.state = clock, state
-        state.epoch = 20
-        state.keys[keys.LEADER_KEY] = ({}, 5)
+    def __init__(self, params, clock: FakeClock, store: ScriptedStore) -> None:
+        self.clock, self.store = clock, store
+        store.revision = 20
+        store.keys[keys.LEADER_KEY] = ({}, 5)
         self.node = self._node(params)
         self.written: list[str] = []  # the keys that were written, in order
         self.before_write: dict[str, object] = {}  # by key, a function that is called just before the key is written
-        commit = state.commit
+        commit = store.commit
 
         async def recording_commit(when, put=(), session_lease=None, timeout=1.5, delete=()):
             for key, _ in put:
@@ -45,7 +45,7 @@
             self.written.extend(key for key, _ in put)
             return result
 
-        state.commit = recording_commit
+        store.commit = recording_commit
 
     def _node(self, params) -> Node:
         node = leading(params, self.clock, MACHINES)
@@ -54,7 +54,7 @@
             node.heartbeat_router.respond(
                 report(number, 1).replace(b'"phase":"running"', b'"phase":"exited","cause":"done"')
             )
-        self.clock.tick(1.0)
+        self.clock.advance(1.0)
         for number in range(2 * MACHINES):
             node.heartbeat_router.respond(report(number, 2) if number < MACHINES else _idle_heartbeat(number))
         return node
@@ -64,7 +64,7 @@
 
         operations_settings = operations(grey=1)
         node.drains.controller = DrainController(
-            operations_settings.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
+            operations_settings.drain, node.settings.platform, node.fleet, node.scheduler, self.store, node.leadership,
             self.clock, self.clock, drains_allowed=lambda: True,
             is_confirmed_deleted=node.scale_out.is_confirmed_deleted,
         )  # fmt: skip
@@ -77,12 +77,12 @@
 
     def put(self, key: str, value: object) -> None:
         """Write a key, and apply it as this node's watch does."""
-        self.state.epoch += 1
-        self.state.keys[key] = (value, self.state.epoch)
-        self.node.drains.controller.table.apply_key(key, value, self.state.epoch)
+        self.store.revision += 1
+        self.store.keys[key] = (value, self.store.revision)
+        self.node.drains.controller.table.apply_key(key, value, self.store.revision)
 
     def tick(self, seconds: float = 1.0) -> None:
-        self.clock.tick(seconds)
+        self.clock.advance(seconds)
         asyncio.run(self.node.drains.controller.advance_all())
 
     def stopping_jobs(self) -> set[str]:
@@ -93,7 +93,7 @@
         }
 
     def step(self, machine: str) -> StepRecord | None:
-        stored = self.state.keys.get(keys.CORDON_PREFIX + machine)
+        stored = self.store.keys.get(keys.CORDON_PREFIX + machine)
         return None if stored is None else records.decode(stored[0], StepRecord)
 
     def disruption_count(self) -> int:
@@ -112,9 +112,9 @@
 
 
 @pytest.fixture
-def leader(params: PlatformParameters, clock: Clock, state: FakeState) -> Leader:
+def leader(params: PlatformParameters, clock: FakeClock, store: ScriptedStore) -> Leader:
     assert [team.name for team in TEAMS] == ["red", "blue"]
-    return Leader(params, clock, state)
+    return Leader(params, clock, store)
 
 
 def test_the_ledger_is_stored_before_the_step_and_the_step_before_the_stop(leader: Leader):
@@ -124,24 +124,24 @@
     assert leader.step(FIRST).phase is StepPhase.CORDONED and not leader.stopping_jobs()
     step = keys.CORDON_PREFIX + FIRST
     leader.before_write[step] = lambda: observed.append(
-        (keys.DISRUPTION_PREFIX + "0" in leader.state.keys, bool(leader.stopping_jobs()))
+        (keys.DISRUPTION_PREFIX + "0" in leader.store.keys, bool(leader.stopping_jobs()))
     )
     leader.tick()
     assert observed == [(True, False)] and leader.stopping_jobs() == {"run-000000"}
-    page = records.decode(leader.state.keys[keys.DISRUPTION_PREFIX + "0"][0], DisruptionPage)
+    page = records.decode(leader.store.keys[keys.DISRUPTION_PREFIX + "0"][0], DisruptionPage)
     assert [entry.job_id for entry in page.entries] == ["run-000000"]
     assert leader.step(FIRST).phase is StepPhase.DRAINING and leader.step(FIRST).disrupted_jobs == 1
 
 
 def test_a_new_leader_loads_the_disruptions_that_were_charged(
-    leader: Leader, params: PlatformParameters, clock: Clock, state: FakeState
+    leader: Leader, params: PlatformParameters, clock: FakeClock, store: ScriptedStore
 ):
     leader.request_drain(FIRST, SECOND)
     for _ in range(3):
         leader.tick()
     assert leader.stopping_jobs() == {"run-000000"} and leader.disruption_count() == 1
     node = leader._node(params)
-    node.drains.controller.load_for_leadership([KeyValueEntry(key, *stored) for key, stored in state.keys.items()])
+    node.drains.controller.load_for_leadership([KeyValueEntry(key, *stored) for key, stored in store.keys.items()])
     assert node.drains.controller.ledger.disruption_count("grey") == 1 and node.fleet.cordoned == {FIRST, SECOND}
     leader.node = node
     for _ in range(5):
@@ -151,14 +151,14 @@
     assert len(leader.stopping_jobs()) == 1
 
 
-def test_a_leader_with_an_old_fencing_token_changes_nothing(leader: Leader, state: FakeState):
+def test_a_leader_with_an_old_fencing_token_changes_nothing(leader: Leader, store: ScriptedStore):
     leader.request_drain(FIRST)
     leader.tick()
-    state.keys[keys.LEADER_KEY] = ({}, 6)
-    before = dict(state.keys)
+    store.keys[keys.LEADER_KEY] = ({}, 6)
+    before = dict(store.keys)
     with pytest.raises(PreconditionFailedError):
         leader.tick()
-    assert state.keys == before and not leader.stopping_jobs()
+    assert store.keys == before and not leader.stopping_jobs()
 
 
 @pytest.mark.parametrize("at_step", [1, 2])
@@ -170,8 +170,8 @@
 
     def abort() -> None:
         record = leader.node.drains.controller.table.drains["kernel"].record
-        leader.state.epoch += 1
-        leader.state.keys[DRAIN] = (records.encode(aborted_record(record, leader.clock())), leader.state.epoch)
+        leader.store.revision += 1
+        leader.store.keys[DRAIN] = (records.encode(aborted_record(record, leader.clock())), leader.store.revision)
 
     leader.before_write[keys.CORDON_PREFIX + FIRST] = abort
     with pytest.raises(PreconditionFailedError) as conflict:
@@ -188,8 +188,8 @@
     other = StepRecord(drain="other", phase=StepPhase.CORDONED, cordoned_at=1.0, changed_at=1.0)
 
     def cordon() -> None:
-        leader.state.epoch += 1
-        leader.state.keys[keys.CORDON_PREFIX + FIRST] = (records.encode(other), leader.state.epoch)
+        leader.store.revision += 1
+        leader.store.keys[keys.CORDON_PREFIX + FIRST] = (records.encode(other), leader.store.revision)
 
     leader.before_write[keys.CORDON_PREFIX + FIRST] = cordon
     with pytest.raises(PreconditionFailedError):
@@ -197,7 +197,7 @@
     assert leader.step(FIRST) == other
 
 
-def test_an_eviction_that_can_t_be_stored_is_retried_and_charged_once(leader: Leader, state: FakeState):
+def test_an_eviction_that_can_t_be_stored_is_retried_and_charged_once(leader: Leader, store: ScriptedStore):
     leader.request_drain(FIRST)
     leader.tick()
 
@@ -213,14 +213,14 @@
     assert leader.disruption_count() == 1 and leader.stopping_jobs() == {"run-000000"}
 
 
-def test_a_ledger_page_with_an_unknown_outcome_is_written_again(leader: Leader, state: FakeState):
+def test_a_ledger_page_with_an_unknown_outcome_is_written_again(leader: Leader, store: ScriptedStore):
     leader.request_drain(FIRST)
     leader.tick()
     page = keys.DISRUPTION_PREFIX + "0"
-    leader.before_write[page] = lambda: setattr(state, "mode", "ghost")
+    leader.before_write[page] = lambda: setattr(store, "mode", "response_lost")
     with pytest.raises(OutcomeUnknownError):
         leader.tick()
-    state.mode = "ok"
+    store.mode = "ok"
     with pytest.raises(PreconditionFailedError) as conflict:
         leader.tick()
     asyncio.run(leader.node.drains.controller.writer.reread(conflict.value.keys))
@@ -234,7 +234,7 @@
     )
     leader.tick(3.0)
     assert [key for key in leader.written if key.startswith(keys.DISRUPTION_PREFIX)] == [keys.DISRUPTION_PREFIX + "0"]
-    leader.clock.tick(PERIOD_S)
+    leader.clock.advance(PERIOD_S)
     assert leader.disruption_count() == 1, "its tasks do not run yet"
 
 
@@ -272,7 +272,7 @@
     for _ in range(2):
         leader.tick()
     assert leader.step(free).phase is StepPhase.EMPTY
-    leader.clock.tick(200.0)
+    leader.clock.advance(200.0)
     node.fleet.machines[free].first_heartbeat_at = 0.0
     node.scale_out.scale_in.drain_excess_machines(leader.clock())
     assert node.fleet.machines[free].phase is MachinePhase.UP
--- a/tests/drains/test_drain_loopback.py
+++ b/tests/drains/test_drain_loopback.py
@@ -22,33 +22,35 @@
 
     async def scenario(cluster: LoopbackCluster) -> None:
         oracle = BudgetOracle(cluster, BUDGETS).watch()
-        cluster.cloud.room = 6
-        refs = [cluster.job(n, run_s=RUN_S, **(RED, BLUE)[n % 2], **WHOLE_MACHINE) for n in range(1, 5)]
+        cluster.cloud.available_machines = 6
+        refs = [cluster.define_job(n, run_s=RUN_S, **(RED, BLUE)[n % 2], **WHOLE_MACHINE) for n in range(1, 5)]
         for ref in refs:
-            await cluster.accepted(ref, cluster.names[0], 40.0)
+            await cluster.submit_until_accepted(ref, cluster.names[0], 40.0)
         for ref in refs:
-            await cluster.runs(ref, 40.0)
+            await cluster.wait_until_running(ref, 40.0)
         machines = [machine_of(cluster, ref) for ref in refs]
         arguments = [argument for machine in machines for argument in ("--machine", machine)]
         code, printed = await cluster.call("drain", "plan", *arguments, "--batch", "2")
         assert code == ExitCode.OK and printed["disrupted"] == {"blue": 2, "red": 2}
-        assert not any(key.startswith(keys.DRAIN_PREFIX) for key in cluster.service.keys)
+        assert not any(key.startswith(keys.DRAIN_PREFIX) for key in cluster.store.keys)
         code, _ = await cluster.call("drain", "start", "kernel", *arguments, "--batch", "2")
         assert code == ExitCode.OK
-        await cluster.until(lambda: bool(cordoned(cluster)), 30.0, "no cordon")
+        await cluster.wait_until(lambda: bool(cordoned(cluster)), 30.0, "no cordon")
         await restart_controller(cluster, cluster.leader_name())
-        await cluster.until(lambda: len(oracle.by_drains) >= 2, 120.0, "nothing is drained after the leader was killed")
+        await cluster.wait_until(
+            lambda: len(oracle.by_drains) >= 2, 120.0, "nothing is drained after the leader was killed"
+        )
         await restart_controller(cluster, cluster.leader_name())
         code, printed = await cluster.call("drain", "status", "kernel", "--wait", "150")
         assert code == ExitCode.OK and printed["drains"][0]["phase"] == "finished", printed
-        record = decode(cluster.service.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
+        record = decode(cluster.store.keys[keys.DRAIN_PREFIX + "kernel"][0], DrainRecord)
         assert (
             record.outcome_counts == {"returned": 4}
             and not set(machines) & cluster.workers.keys()
             and not cordoned(cluster)
         )
         for ref in refs:
-            await cluster.runs(ref, 60.0)
+            await cluster.wait_until_running(ref, 60.0)
         assert sorted(set(oracle.by_drains)) == sorted(refs)
 
     play_loopback(scenario, machines=6, teams=TEAMS, operations=operations(**BUDGETS))
--- a/tests/harness/cloud.py
+++ b/tests/harness/cloud.py
@@ -17,7 +17,7 @@
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
         self.down = False
-        self.room = 0  # machines that can still be provisioned
+        self.available_machines = 0  # that can still be provisioned
         self.deleted: list[str] = []
 
     async def call(
@@ -45,15 +45,17 @@
         for name in names:
             if name in workers:
                 self.deleted.append(name)
-                workers.pop(name).gone()
+                workers.pop(name).power_off()
         return 200, b"{}"
 
     def _provision(self, body: dict[str, Any]) -> tuple[int, bytes]:
-        count = min(body["count"], self.room)
-        self.room -= count
+        count = min(body["count"], self.available_machines)
+        self.available_machines -= count
         if not count:
             return 503, b'{"error":"no capacity"}'
-        machines = [self.simulation.machine(body["yard"], body["loaners"], PROVISIONED_BOOT_S) for _ in range(count)]
+        machines = [
+            self.simulation.add_machine(body["yard"], body["loaners"], PROVISIONED_BOOT_S) for _ in range(count)
+        ]
         return 200, json.dumps({"hosts": [machine.name for machine in machines]}).encode()
 
     def _list(self) -> tuple[int, bytes]:
--- a/tests/harness/drain_simulation.py
+++ b/tests/harness/drain_simulation.py
@@ -52,7 +52,7 @@
     budgets: dict[str, int]
     # Count only the losses that drains cause: for scenarios in which the controllers can't learn of all other losses
     # in time.
-    of_drains_only: bool = False
+    count_drains_only: bool = False
     losses: list[Loss] = field(default_factory=list)
     by_drains: list[str] = field(default_factory=list)
 
@@ -76,7 +76,7 @@
         """
         if cause != "halted" or not task.grace_s:
             return False
-        stored = self.simulation.service.keys
+        stored = self.simulation.store.keys
         machines = [worker.name]
         if self.simulation.jobs[job_id].spec["shape"] == "ensemble":
             machines += [
@@ -109,7 +109,7 @@
             self.by_drains.append(job_id)
             used = self.used(job.spec["owner"])
             if used > self.budgets.get(job.spec["owner"], 10**9):
-                self.simulation.broken.append(
+                self.simulation.violations.append(
                     f"budget: {used} jobs of {job.spec['owner']} at {self.simulation.now():.1f}"
                 )
 
@@ -136,7 +136,7 @@
                 loss.job_id
                 for loss in self.losses
                 if loss.team == team
-                and (loss.by_drain or not self.of_drains_only)
+                and (loss.by_drain or not self.count_drains_only)
                 and not (loss.restored and now > loss.last_loss_at + PERIOD_S)
             }
         )
@@ -158,7 +158,7 @@
         simulation = self.simulation
         store = KeyValueClient("127.0.0.1:2", simulation.params.state, simulation.params.size, simulation.now)
         client = CloudClient("127.0.0.1:1", 100.0, simulation.now)
-        store.send_request = lambda _session, method, url, body, timeout: simulation.service.call(
+        store.send_request = lambda _session, method, url, body, timeout: simulation.store.call(
             "operator", method, url_path(url), body, timeout
         )
         client.send_request = lambda _session, method, url, body, timeout: simulation.cloud.call(
@@ -186,19 +186,19 @@
 
     def record(self, name: str) -> DrainRecord:
         """Return the stored record of a drain, read directly from the fake store."""
-        return decode(self.simulation.service.keys[keys.DRAIN_PREFIX + name][0], DrainRecord)
+        return decode(self.simulation.store.keys[keys.DRAIN_PREFIX + name][0], DrainRecord)
 
-    async def ends(self, name: str, within_s: float, phase: str = "finished") -> None:
+    async def wait_for_phase(self, name: str, within_s: float, phase: str = "finished") -> None:
         """Wait until a drain has reached `phase`."""
-        await self.simulation.until(
+        await self.simulation.wait_until(
             lambda: self.record(name).phase.value == phase,
             within_s,
             f"{name} is not {phase}: {self.record(name)}",
         )
 
-    async def waits_for(self, name: str, text: str, within_s: float) -> None:
+    async def wait_for_reason(self, name: str, text: str, within_s: float) -> None:
         """Wait until the wait reason of a drain contains `text`."""
-        await self.simulation.until(
+        await self.simulation.wait_until(
             lambda: text in self.record(name).wait_reason,
             within_s,
             f"{name} has no wait reason with {text!r}: {self.record(name)}",
@@ -207,13 +207,9 @@
 
 def cordoned(simulation: Simulation) -> set[str]:
     """Return the machines that have a cordon record in the store."""
-    return {
-        key.removeprefix(keys.CORDON_PREFIX) for key in simulation.service.keys if key.startswith(keys.CORDON_PREFIX)
-    }
+    return {key.removeprefix(keys.CORDON_PREFIX) for key in simulation.store.keys if key.startswith(keys.CORDON_PREFIX)}
 
 
 def drain_phases(simulation: Simulation) -> set[str]:
     """Return the phases of all stored drains."""
-    return {
-        value["phase"] for key, (value, _, _) in simulation.service.keys.items() if key.startswith(keys.DRAIN_PREFIX)
-    }
+    return {value["phase"] for key, (value, _, _) in simulation.store.keys.items() if key.startswith(keys.DRAIN_PREFIX)}
--- a/tests/harness/fake_clock.py
+++ b/tests/harness/fake_clock.py
@@ -1,7 +1,7 @@
 """A fake clock that advances only when a test advances it."""
 
 
-class Clock:
+class FakeClock:
     """A fake clock; calling it returns the current time in seconds."""
 
     def __init__(self) -> None:
@@ -10,6 +10,6 @@
     def __call__(self) -> float:
         return self.now
 
-    def tick(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advance the clock by `seconds`."""
         self.now += seconds
--- a/tests/harness/key_value_store.py
+++ b/tests/harness/key_value_store.py
@@ -33,22 +33,22 @@
         self.watch_blocked: set[str] = set()  # nodes whose watches receive no response
         self.disconnected: set[str] = set()  # nodes whose requests receive no response
         # Seconds after which a transaction is executed without a response; None: executed at once, with a response.
-        self.late: Callable[[str, dict], float | None] = lambda node, body: None
+        self.write_delay_s: Callable[[str, dict], float | None] = lambda node, body: None
         self.read_delay_s: Callable[[str, str], float] = lambda node, path: 0.0  # additional latency of a read
         self.latency_s = 0.004
         self.limits = simulation.params.state  # the limits in force now
         self.recent_writes: list[tuple[float, int]] = []  # time and number of changes, for the limit per second
         self.refusals: dict[int, int] = {400: 0, 429: 0}
-        self.largest = 0  # length in bytes of the longest value since `lower_limits`
+        self.largest_value_bytes = 0  # length in bytes of the longest value since `lower_limits`
 
     def delay_writes(self, share: float) -> None:
         """Execute a share of the transactions 2 to 12 s late and send no response to them."""
         draws = self.simulation.random
-        self.late = lambda node, body: draws.uniform(2.0, 12.0) if draws.random() < share else None
+        self.write_delay_s = lambda node, body: draws.uniform(2.0, 12.0) if draws.random() < share else None
 
-    def write_at_once(self) -> None:
+    def stop_delaying_writes(self) -> None:
         """Execute all further transactions without delay."""
-        self.late = lambda node, body: None
+        self.write_delay_s = lambda node, body: None
 
     def expire_session_leases(self, now: float) -> None:
         """End the session leases that have expired, and delete their keys; none expires during an outage."""
@@ -66,7 +66,7 @@
             del self.keys[k]
             self.changes.append((self.revision, {"delete": k, "stamp": self.revision}))
 
-    def outage(self, on: bool) -> None:
+    def set_outage(self, on: bool) -> None:
         """Begin or end an outage; after it every session lease has its full time to live again."""
         self.down = on
         if not on:
@@ -90,7 +90,7 @@
         if self.refuses(node):
             return 503, b"{}"
         if path == "/commit":
-            delay_s = self.late(node, body)
+            delay_s = self.write_delay_s(node, body)
             if delay_s is not None:
                 asyncio.get_running_loop().call_later(delay_s, self.commit, body)
                 await asyncio.sleep(timeout)
@@ -136,12 +136,12 @@
         self.limits = StoreLimits(
             *current.rates_per_s(True), upcoming.value_kb or current.value_kb, upcoming.txn_ops or current.txn_ops
         )
-        self.largest = 0
+        self.largest_value_bytes = 0
 
     def reject_over_limits(self, changes: list[dict]) -> tuple[int, dict] | None:
         """Return the error response to a transaction that exceeds a limit; None for one within all limits."""
         largest = max((len(json.dumps(a["value"])) for a in changes if "set" in a), default=0)
-        self.largest = max(self.largest, largest)
+        self.largest_value_bytes = max(self.largest_value_bytes, largest)
         if len(changes) > self.limits.txn_ops or largest > self.limits.value_kb * 1024:
             self.refusals[400] += 1
             return 400, {"error": "too large"}
--- a/tests/harness/leader_fixture.py
+++ b/tests/harness/leader_fixture.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from harness.fake_clock import Clock
+from harness.fake_clock import FakeClock
 from harness.submissions import description
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs.job import Job
@@ -29,7 +29,7 @@
     `submit`, `beat` and `store` stand in for users, workers and the job writer.
     """
 
-    def __init__(self, params: PlatformParameters, clock: Clock) -> None:
+    def __init__(self, params: PlatformParameters, clock: FakeClock) -> None:
         self.clock = clock
         self.table = JobTable(clock, lambda job, previous: self.fleet.replace_allocations(job, previous))
         self.fleet = Fleet(params, self.table, clock)
--- a/tests/harness/leading_node.py
+++ b/tests/harness/leading_node.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from harness.fake_clock import Clock
+from harness.fake_clock import FakeClock
 from harness.submissions import description
 from hookwall.config.platform import ExternalServices, PeerSeed, PlatformParameters, Settings
 from hookwall.leadership.roles import LeaseMode, Role
@@ -13,7 +13,7 @@
 FENCING_TOKEN = 5
 
 
-def make_leader(node: Node, clock: Clock, fencing_token: int) -> None:
+def make_leader(node: Node, clock: FakeClock, fencing_token: int) -> None:
     """Make a node the leader: it holds the leader key, and a quorum lease that node `n1` has acknowledged."""
     leadership = node.leadership
     leadership.role = Role.LEADER
@@ -25,7 +25,7 @@
     leadership.vote_grant.expires_at = clock() + QUORUM_LEASE_S
 
 
-def unstarted_node(params: PlatformParameters, clock: Clock) -> Node:
+def unstarted_node(params: PlatformParameters, clock: FakeClock) -> Node:
     """Return node `n0` of three; it is not started and has no connections.
 
     The constructor receives the fake clock, because a node stores its start time when it is created. If the clock were
@@ -46,7 +46,7 @@
     )  # fmt: skip
 
 
-def leading(params: PlatformParameters, clock: Clock, machines: int) -> Node:
+def leading(params: PlatformParameters, clock: FakeClock, machines: int) -> Node:
     """Return a leader of a fleet that runs one job on each machine."""
     node = unstarted_node(params, clock)
     make_leader(node, clock, FENCING_TOKEN)
--- a/tests/harness/loopback.py
+++ b/tests/harness/loopback.py
@@ -58,7 +58,7 @@
     async def open(self) -> None:
         """Start the HTTP servers of the fakes, and write the settings file of each process."""
         for name, ports in self.ports.items():
-            await self._serve(ports["state"], self._request_handler(name, self.service.call))
+            await self._serve(ports["state"], self._request_handler(name, self.store.call))
             await self._serve(ports["cloud"], self._request_handler(name, self.cloud.call))
             (self.folder / f"{name}.toml").write_text(self._settings(name))
         (self.folder / "operations.toml").write_text(self._operations())
@@ -138,7 +138,7 @@
 
     def leader_name(self) -> str | None:
         """Return the name of the node that holds the leader key; None if no node holds it."""
-        stored = self.service.keys.get(keys.LEADER_KEY)
+        stored = self.store.keys.get(keys.LEADER_KEY)
         return None if stored is None else stored[0].get("node")
 
     async def call(self, *arguments: str) -> tuple[int, Any]:
@@ -198,10 +198,12 @@
         try:
             await simulation.open()
             for i in range(machines):
-                simulation.machine("east" if i % 2 == 0 else "west")
+                simulation.add_machine("east" if i % 2 == 0 else "west")
             for name in simulation.names:
                 simulation.start(name)
-            await simulation.until(lambda: simulation.leader_name() is not None, 30.0, "no node holds the leader key")
+            await simulation.wait_until(
+                lambda: simulation.leader_name() is not None, 30.0, "no node holds the leader key"
+            )
             await scenario(simulation)
         finally:
             await simulation.close()
@@ -209,5 +211,5 @@
 
     with tempfile.TemporaryDirectory() as folder:
         simulation = asyncio.run(main(Path(folder)))
-    assert simulation.broken == []
+    assert simulation.violations == []
     return simulation
--- a/tests/harness/older_versions.py
+++ b/tests/harness/older_versions.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from harness.fake_clock import Clock
+from harness.fake_clock import FakeClock
 from hookwall.node.node import Node
 from hookwall.protocol.peer_messages import PeerStatus
 from hookwall.storage import keys
@@ -58,13 +58,13 @@
 
 
 class Format1Node(Node):
-    """A node that writes and sends only what programs of format 1 do; `broken` lists what they would misread."""
+    """A node that writes and sends only what programs of format 1 do; `violations` lists what they would misread."""
 
-    def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
+    def __init__(self, settings, clock: FakeClock, wall, violations: list[str]) -> None:
         limits = settings.platform
         limits = msgspec.structs.replace(limits, state=msgspec.structs.replace(limits.state, next=None))
         super().__init__(msgspec.structs.replace(settings, platform=limits), clock, wall)
-        self.broken = broken
+        self.violations = violations
         self.apply_any_key = self.key_dispatcher.apply_key
         self.key_dispatcher.apply_key = self._apply_key
         self.leadership.exchange.local_status = PeerStatus
@@ -80,7 +80,7 @@
         if key.startswith(keys.JOB_PREFIX):
             problems = misread(value)
             if problems:
-                self.broken.append(f"format 1 misreads {key}: {problems}")
+                self.violations.append(f"format 1 misreads {key}: {problems}")
         if key.startswith((keys.JOB_PREFIX, keys.LEADER_KEY, keys.LEASE_DELEGATE_PREFIX, keys.CATALOG_KEY)):
             self.apply_any_key(key, value, version)
 
@@ -102,11 +102,11 @@
 
 
 class Format2Node(Node):
-    """A node that writes and sends only what programs of format 2 do; `broken` lists what they would misread."""
+    """A node that writes and sends only what programs of format 2 do; `violations` lists what they would misread."""
 
-    def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
+    def __init__(self, settings, clock: FakeClock, wall, violations: list[str]) -> None:
         super().__init__(settings, clock, wall)
-        self.broken = broken
+        self.violations = violations
         self.apply_any_key = self.key_dispatcher.apply_key
         self.key_dispatcher.apply_key = self._apply_key
         self.leadership.vote_fence = None
@@ -121,9 +121,9 @@
         if key.startswith(keys.JOB_PREFIX):
             unknown = value.keys() - RECORD_FIELDS - FORMAT_2_FIELDS
             if unknown:
-                self.broken.append(f"format 2 misreads {key}: {unknown}")
+                self.violations.append(f"format 2 misreads {key}: {unknown}")
         if key.startswith(keys.LEASE_DELEGATE_PREFIX) and not {"machines", "packed"} & value.keys():
-            self.broken.append(f"format 2 reads {key} as a delegation of every machine")
+            self.violations.append(f"format 2 reads {key} as a delegation of every machine")
         if not key.startswith(keys.VOTE_FENCE_PREFIX):
             self.apply_any_key(key, value, version)
 
@@ -131,7 +131,7 @@
 class Format3Node(Node):
     """A node that writes and sends only what programs of format 3 do; it ignores drains and cordons."""
 
-    def __init__(self, settings, clock: Clock, wall, broken: list[str]) -> None:
+    def __init__(self, settings, clock: FakeClock, wall, violations: list[str]) -> None:
         super().__init__(settings, clock, wall)
         self.storage_version.current_version = StorageVersion.NUMBERED_MACHINES
         self.storage_version.reported_versions = {settings.node_name: int(StorageVersion.NUMBERED_MACHINES)}
--- a/tests/harness/peer_link.py
+++ b/tests/harness/peer_link.py
@@ -32,7 +32,7 @@
                 await self.simulation.wait_while_frozen(self.name)
         except TimeoutError:
             # The receiver reads the message after its process is thawed; the sender no longer waits for a response.
-            self.simulation.go(self._deliver_after_thaw(encoded))
+            self.simulation.run_in_background(self._deliver_after_thaw(encoded))
             return None
         node = self.simulation.nodes.get(self.name)
         if node is None:
--- a/tests/harness/pipelines.py
+++ b/tests/harness/pipelines.py
@@ -12,8 +12,8 @@
     """Submit a chain of jobs, each of which depends on the previous one; return their ids."""
     job_ids: list[str] = []
     for n in range(first, first + length):
-        job_ids.append(simulation.job(n, run_s=run_s, awaits=job_ids[-1:] or None, **changes))
-        await simulation.accepted(job_ids[-1])
+        job_ids.append(simulation.define_job(n, run_s=run_s, awaits=job_ids[-1:] or None, **changes))
+        await simulation.submit_until_accepted(job_ids[-1])
     return job_ids
 
 
@@ -23,7 +23,7 @@
     return all(status == 200 and phase == "withdrawn" for status, phase in responses)
 
 
-async def all_become_cancelled(simulation: Simulation, job_ids: list[str], within_s: float) -> None:
+async def wait_until_all_cancelled(simulation: Simulation, job_ids: list[str], within_s: float) -> None:
     """Wait until polls report all jobs as cancelled."""
     end = simulation.now() + within_s
     while not await all_cancelled(simulation, job_ids):
@@ -31,7 +31,7 @@
         await asyncio.sleep(1.0)
 
 
-async def all_become_done(simulation: Simulation, job_ids: list[str], within_s: float) -> None:
+async def wait_until_all_done(simulation: Simulation, job_ids: list[str], within_s: float) -> None:
     """Wait until polls report all jobs as done."""
     end = simulation.now() + within_s
     for job_id in job_ids:
--- a/tests/harness/play.py
+++ b/tests/harness/play.py
@@ -23,10 +23,10 @@
         simulation = Simulation(**options)
         simulations.append(simulation)
         for i in range(machines):
-            simulation.machine("east" if i % 2 == 0 else "west")
+            simulation.add_machine("east" if i % 2 == 0 else "west")
         for name in simulation.names:
             simulation.start(name, old)
-        await simulation.led()
+        await simulation.wait_for_leader()
         await asyncio.sleep(6.0)
         await scenario(simulation)
         return simulation
@@ -45,5 +45,5 @@
             loop.run_until_complete(asyncio.wait(remaining, timeout=1.0))
         asyncio.set_event_loop(None)
         loop.close()
-    assert simulation.broken == []
+    assert simulation.violations == []
     return simulation
--- a/tests/harness/rules.py
+++ b/tests/harness/rules.py
@@ -33,7 +33,7 @@
 
 
 class RuleChecker:
-    """Checks the rules of the platform against the true state; adds violations to `broken` of the simulation."""
+    """Checks the rules of the platform against the true state; adds violations to those of the simulation."""
 
     def __init__(self, simulation: "Simulation") -> None:
         self.simulation = simulation
@@ -51,23 +51,25 @@
         ]
         for other, p in occupying:
             if p == task_id and other is not worker:
-                self.simulation.broken.append(f"ran_twice: {task_id} on {other.name} and {worker.name} at {now:.1f}")
+                self.simulation.violations.append(
+                    f"ran_twice: {task_id} on {other.name} and {worker.name} at {now:.1f}"
+                )
         spec = job.spec
         zones = {w.zone for w, p in occupying if p.rpartition("/")[0] == job_id}
         if (spec["samePlace"] and zones - {worker.zone}) or (spec["yard"] not in (None, worker.zone)):
-            self.simulation.broken.append(f"wrong_place: {task_id} in {worker.zone}, others in {zones}")
+            self.simulation.violations.append(f"wrong_place: {task_id} in {worker.zone}, others in {zones}")
         if worker.spot and not spec["loaners"]:
-            self.simulation.broken.append(f"wrong_place: {task_id} on a spot machine")
+            self.simulation.violations.append(f"wrong_place: {task_id} on a spot machine")
         team = next(t for t in self.simulation.params.teams if t.name == spec["owner"])
         used = spec["cards"] + sum(
             self.simulation.jobs[p.rpartition("/")[0]].spec["cards"]
             for _, p in occupying if self.simulation.jobs[p.rpartition("/")[0]].spec["owner"] == team.name
         )  # fmt: skip
         if team.gpus_max and used > team.gpus_max + 1e-9:
-            self.simulation.broken.append(f"quota: {team.name} uses {used}")
+            self.simulation.violations.append(f"quota: {team.name} uses {used}")
         for need in job.needs():
             if len(self.simulation.jobs[need].done) < self.simulation.jobs[need].spec["pieces"]:
-                self.simulation.broken.append(f"too_early: {task_id} before {need}")
+                self.simulation.violations.append(f"too_early: {task_id} before {need}")
 
     def may_still_run(self, worker: FakeWorker, now: float) -> bool:
         """Whether a worker may still run its tasks.
@@ -82,7 +84,9 @@
             for task_id, task in worker.tasks.items():
                 at = self.simulation.jobs[task_id.rpartition("/")[0]].cancelled_at
                 if at is not None and task.occupies_machine() and now - at > self.simulation.params.workers.cancel_s:
-                    self.simulation.broken.append(f"ran_cancelled: {task_id} on {worker.name} {now - at:.1f} s later")
+                    self.simulation.violations.append(
+                        f"ran_cancelled: {task_id} on {worker.name} {now - at:.1f} s later"
+                    )
                     self.simulation.jobs[task_id.rpartition("/")[0]].cancelled_at = None  # reported once
 
     def _ancestors(self, job_id: str) -> set[str]:
@@ -99,33 +103,33 @@
         """Check that the phase in a response agrees with the state of the jobs that the job depends on."""
         ancestors = [self.simulation.jobs[a] for a in self._ancestors(job_id)]
         if phase == "withdrawn" and not any(j.cancel_requested for j in (self.simulation.jobs[job_id], *ancestors)):
-            self.simulation.broken.append(f"went_back: {job_id} is cancelled without a request")
+            self.simulation.violations.append(f"went_back: {job_id} is cancelled without a request")
         first_response_at = min(
             (j.cancelled_response_at for j in ancestors if j.cancelled_response_at is not None), default=None
         )
         if phase in ("pending", "running") and first_response_at is not None:
             late = self.simulation.now() - first_response_at - self.simulation.params.workers.cancel_s
             if late > 0:
-                self.simulation.broken.append(f"orphaned: {job_id} {phase} {late:.1f} s too late")
+                self.simulation.violations.append(f"orphaned: {job_id} {phase} {late:.1f} s too late")
 
     def check_response(self, job_id: str, status: int, raw: bytes) -> None:
         """Check that a response to a user agrees with the true state and with earlier responses."""
         job = self.simulation.jobs.get(job_id)
         if status == 404 and job is not None and job.accepted:
-            self.simulation.broken.append(f"forgotten: {job_id} answered 404")
+            self.simulation.violations.append(f"forgotten: {job_id} answered 404")
         if status in (400, 422) and job is not None and job.accepted:
-            self.simulation.broken.append(f"forgotten: {job_id} answered {status}")
+            self.simulation.violations.append(f"forgotten: {job_id} answered {status}")
         if status not in (200, 201):
             return
         phase = json.loads(raw)["phase"]
         if job is None:
-            self.simulation.broken.append(f"invented: {job_id}")
+            self.simulation.violations.append(f"invented: {job_id}")
             return
         job.accepted = True
         if job.final is not None and phase != job.final:
-            self.simulation.broken.append(f"went_back: {job_id} {job.final} then {phase}")
+            self.simulation.violations.append(f"went_back: {job_id} {job.final} then {phase}")
         if phase == "done" and len(job.done) < job.spec["pieces"]:
-            self.simulation.broken.append(f"not_done: {job_id} with {len(job.done)}")
+            self.simulation.violations.append(f"not_done: {job_id} with {len(job.done)}")
         self._check_ancestors(job_id, phase)
         if phase == "withdrawn":
             if job.cancelled_response_at is None:
--- a/tests/harness/scripted_store.py
+++ b/tests/harness/scripted_store.py
@@ -9,7 +9,7 @@
 from hookwall.storage.job_records import usable_value_bytes
 
 
-class FakeState:
+class ScriptedStore:
     """The fake client: `mode` selects how requests fail, `requests` lists all requests in order."""
 
     def __init__(self, limits: StoreLimits) -> None:
@@ -17,8 +17,8 @@
         self.max_transaction_changes = limits.lowest_txn_ops()
         self.max_value_bytes = usable_value_bytes(limits.lowest_value_kb())
         self.keys: dict[str, tuple[object, int]] = {}
-        self.epoch = 0
-        self.mode = "ok"  # ok | down | lost (not executed, no response) | ghost (executed, no response)
+        self.revision = 0
+        self.mode = "ok"  # ok | down | request_lost (not executed, no response) | response_lost (executed, no response)
         self.requests: list[str] = []
 
     def batch_size(self) -> int:
@@ -46,7 +46,7 @@
         self.requests.append(request)
         if self.mode == "down":
             raise RequestRejectedError("503")
-        if self.mode == "lost":
+        if self.mode == "request_lost":
             raise OutcomeUnknownError("timeout")
 
     async def get(self, key: str) -> tuple[Any, int] | None:
@@ -57,7 +57,7 @@
     async def read(self, key: str) -> VersionedValue:
         """Return value and version of a key, and the store's revision; the version is 0 if the key is absent."""
         stored = await self.get(key)
-        return VersionedValue(None, 0, self.epoch) if stored is None else VersionedValue(*stored, stored[1])
+        return VersionedValue(None, 0, self.revision) if stored is None else VersionedValue(*stored, stored[1])
 
     async def scan(self, prefix: str) -> tuple[list[tuple[str, Any, int]], int]:
         """Return the keys with a prefix, with their values and versions, and the store's revision."""
@@ -65,7 +65,7 @@
         entries = [
             (key, value, version) for key, (value, version) in sorted(self.keys.items()) if key.startswith(prefix)
         ]
-        return entries, self.epoch
+        return entries, self.revision
 
     async def commit(
         self,
@@ -77,8 +77,8 @@
     ) -> int:
         """Write and delete keys if all keys of `when` have the versions given there; return the new revision.
 
-        Raise PreconditionFailedError if one has another version. In mode `ghost`, raise OutcomeUnknownError after the
-        write.
+        Raise PreconditionFailedError if one has another version. In mode `response_lost`, raise OutcomeUnknownError
+        after the write.
         """
         self._begin_request("commit" if put or delete else "compare")
         await asyncio.sleep(0)
@@ -86,14 +86,14 @@
         if failed:
             raise PreconditionFailedError(failed)
         if put or delete:
-            self.epoch += 1
+            self.revision += 1
             for key, value in put:
-                self.keys[key] = (value, self.epoch)
+                self.keys[key] = (value, self.revision)
             for key in delete:
                 self.keys.pop(key, None)
-        if self.mode == "ghost":
+        if self.mode == "response_lost":
             raise OutcomeUnknownError("timeout")
-        return self.epoch
+        return self.revision
 
     async def grant_session_lease(self, ttl: float) -> int:
         """Grant a session lease; return its id."""
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -42,7 +42,7 @@
 
 
 class Simulation(UserRequests):
-    """The whole deployment; `broken` lists the violations of the rules."""
+    """The whole deployment; `violations` lists each rule that was broken, and how."""
 
     def __init__(self, nodes: int = 3, **options: Any) -> None:
         self.random = random.Random(7)
@@ -64,11 +64,11 @@
         self.names = [f"n{i}" for i in range(nodes)]
         self.nodes: dict[str, Node] = {}
         self.running: dict[str, asyncio.Task] = {}
-        self.service = FakeKeyValueStore(self)
+        self.store = FakeKeyValueStore(self)
         self.cloud = FakeCloud(self)
         self.workers: dict[str, FakeWorker] = {}
         self.jobs: dict[str, JobState] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.rules = RuleChecker(self)
         self.partitions: set[frozenset[str]] = set()  # pairs of nodes that can't reach each other
         self.last_machine_number = 0
@@ -79,13 +79,13 @@
         # Called when a running task ends or begins to save its last checkpoint.
         self.on_end: list[Callable[[FakeWorker, str, Task, str], None]] = []
         self.loop.set_task_factory(self._create_task)
-        self.go(self._run_steps())
+        self.run_in_background(self._run_steps())
 
     def now(self) -> float:
         """Return the virtual time in seconds."""
         return self.loop.time()
 
-    def go(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
+    def run_in_background(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
         """Run a coroutine in the background of the scenario."""
         task = self.loop.create_task(coroutine)
         self.background_tasks.add(task)
@@ -96,7 +96,7 @@
         while True:
             await asyncio.sleep(STEP_S)
             now = self.now()
-            self.service.expire_session_leases(now)
+            self.store.expire_session_leases(now)
             for worker in list(self.workers.values()):
                 worker.step(now)
             self.rules.check_cancelled(now)
@@ -111,10 +111,10 @@
         services = ExternalServices("127.0.0.1:1", "127.0.0.1:2")
         settings = Settings(name, "127.0.0.1:7100", "127.0.0.1:7200", services, self.params, seeds)
         if old:
-            node = OLD_NODES[old](settings, self.now, self.now, self.broken)
+            node = OLD_NODES[old](settings, self.now, self.now, self.violations)
         else:
             node = Node(settings, self.now, self.now, self.operations)
-        node.store.send_request = lambda _session, method, url, body, timeout: self.service.call(
+        node.store.send_request = lambda _session, method, url, body, timeout: self.store.call(
             name, method, url_path(url), body, timeout
         )
         node.cloud_client.send_request = lambda _session, method, url, body, timeout: self.cloud.call(
@@ -127,7 +127,7 @@
 
     def _start_node_task(self, name: str, node: Node) -> asyncio.Task:
         CURRENT_NODE.set(name)
-        return self.go(node.run_loops())
+        return self.run_in_background(node.run_loops())
 
     def _create_task(self, loop: asyncio.AbstractEventLoop, coroutine: Any, **options: Any) -> asyncio.Task:
         """Create an asyncio task that is suspended while its node is frozen.
@@ -194,11 +194,11 @@
         """Return the name of a random node that is up."""
         return self.random.choice(list(self.nodes))
 
-    async def led_by(self, within_s: float = 20.0) -> str:
+    async def wait_for_leader_name(self, within_s: float = 20.0) -> str:
         """Wait for a valid leader; return its name."""
-        return (await self.led(within_s)).settings.node_name
+        return (await self.wait_for_leader(within_s)).settings.node_name
 
-    async def led(self, within_s: float = 20.0) -> Node:
+    async def wait_for_leader(self, within_s: float = 20.0) -> Node:
         """Wait for a valid leader; return its node."""
         until = self.now() + within_s
         while self.leader() is None:
@@ -206,7 +206,7 @@
             await asyncio.sleep(STEP_S)
         return self.leader()
 
-    def links_of(self, name: str) -> set[frozenset[str]]:
+    def node_pairs_of(self, name: str) -> set[frozenset[str]]:
         """Return the pairs of a node with every other node, for `partitions`."""
         return {frozenset((name, other)) for other in self.names if other != name}
 
@@ -225,7 +225,7 @@
 
     # -- machines --------------------------------------------------------------------------------
 
-    def machine(self, zone: str = "east", spot: bool = False, boot_s: float = 0.0) -> FakeWorker:
+    def add_machine(self, zone: str = "east", spot: bool = False, boot_s: float = 0.0) -> FakeWorker:
         """Add a machine; its worker begins to send heartbeats after it has booted."""
         self.last_machine_number += 1
         worker = FakeWorker(
@@ -238,7 +238,7 @@
         )
         worker.lease_from = self.now() + boot_s
         self.workers[worker.name] = worker
-        self.go(worker.run())
+        self.run_in_background(worker.run())
         return worker
 
     def advance_task(self, worker: FakeWorker, task_id: str, task: Task, now: float) -> None:
@@ -285,7 +285,7 @@
 
     # -- rules -----------------------------------------------------------------------------------
 
-    def on_machines(self, job_id: str) -> int:
+    def count_tasks_on_machines(self, job_id: str) -> int:
         """Return how many tasks of a job are on machines and have not ended."""
         return sum(
             p.rpartition("/")[0] == job_id and t.phase != "exited"
--- a/tests/harness/users.py
+++ b/tests/harness/users.py
@@ -18,14 +18,14 @@
     nodes: dict[str, Node]
     jobs: dict[str, JobState]
     workers: dict[str, FakeWorker]
-    service: FakeKeyValueStore
+    store: FakeKeyValueStore
     rules: RuleChecker
 
     def now(self) -> float:
         """Return the virtual time in seconds."""
         raise NotImplementedError
 
-    def job(self, number: int, run_s: float = 30.0, ends: dict[int, float] | None = None, **changes: Any) -> str:
+    def define_job(self, number: int, run_s: float = 30.0, ends: dict[int, float] | None = None, **changes: Any) -> str:
         """Define a job without submitting it; return its id.
 
         Its tasks run for `run_s` seconds; `ends` gives other run times for single tasks, by task number.
@@ -48,12 +48,10 @@
         """Put a job record into the store directly, so that a scenario need not submit thousands of jobs."""
         spec = {k: v for k, v in self.jobs[job_id].spec.items() if v is not None}
         record = {"phase": "open", "n": spec["pieces"], "next": 1, "on": [], "spec": spec, "at": 1.0, "done": ""}
-        self.service.revision += 1
+        self.store.revision += 1
         key, value = "hookwall/job/" + job_id, value or record
-        self.service.keys[key] = (value, self.service.revision, None)
-        self.service.changes.append(
-            (self.service.revision, {"set": key, "value": value, "stamp": self.service.revision})
-        )
+        self.store.keys[key] = (value, self.store.revision, None)
+        self.store.changes.append((self.store.revision, {"set": key, "value": value, "stamp": self.store.revision}))
         self.jobs[job_id].accepted = True
 
     async def submit_spec(self, node: str, spec: dict) -> int:
@@ -80,21 +78,21 @@
         self.rules.check_response(job_id, status, raw)
         return status, json.loads(raw).get("phase", "")
 
-    async def accepted(self, job_id: str, node: str | None = None, within_s: float = 20.0) -> None:
+    async def submit_until_accepted(self, job_id: str, node: str | None = None, within_s: float = 20.0) -> None:
         """Repeat the submission of a job until a node accepts it."""
         until = self.now() + within_s
         while await self.submit(node or next(iter(self.nodes)), job_id) not in (200, 201):
             assert self.now() < until, f"{job_id} was not accepted"
             await asyncio.sleep(1.0)
 
-    async def until(self, condition: Callable[[], bool], within_s: float, message: str) -> None:
+    async def wait_until(self, condition: Callable[[], bool], within_s: float, message: str) -> None:
         """Wait until a condition holds; fail with `message` if it does not within `within_s` seconds."""
         end = self.now() + within_s
         while not condition():
             assert self.now() < end, message
             await asyncio.sleep(STEP_S)
 
-    async def runs(self, job_id: str, within_s: float = 30.0) -> None:
+    async def wait_until_running(self, job_id: str, within_s: float = 30.0) -> None:
         """Wait until all tasks of a job are running."""
         task_count = self.jobs[job_id].spec["pieces"]
 
@@ -104,4 +102,4 @@
                 for w in self.workers.values() for p, t in w.tasks.items()
             )  # fmt: skip
 
-        await self.until(all_run, within_s, f"{job_id} is not running completely")
+        await self.wait_until(all_run, within_s, f"{job_id} is not running completely")
--- a/tests/harness/worker.py
+++ b/tests/harness/worker.py
@@ -48,8 +48,8 @@
     tasks: dict[str, Task] = field(default_factory=dict)
     lease_from: float = 0.0
     hung: bool = False
-    mute: bool = False  # its heartbeats reach no node
-    deaf: bool = False  # its heartbeats reach nodes, but responses don't reach it
+    loses_heartbeats: bool = False  # its heartbeats reach no node
+    loses_responses: bool = False  # its heartbeats reach nodes, but responses don't reach it
     powered_off: bool = False
     heartbeat_due_soon: bool = False
     sent_heartbeats: list[bytes] = field(default_factory=list)  # to be delivered again later, as delayed duplicates
@@ -59,7 +59,7 @@
         """Return the phase of the machine in the machine list of the cloud."""
         return "booting" if self.simulation.now() < self.lease_from else "running"
 
-    def gone(self) -> None:
+    def power_off(self) -> None:
         """Turn the machine off, which kills its tasks."""
         self.powered_off = True
         self._kill_tasks()
@@ -137,13 +137,13 @@
 
     async def _exchange(self, name: str, body: bytes) -> tuple[int, bytes] | None:
         """Send a heartbeat to a node; return the response, or None if none reaches the worker in time."""
-        if self.mute or not self.reached(name):
+        if self.loses_heartbeats or not self.reached(name):
             await asyncio.sleep(RESPONSE_TIMEOUT_S)
             return None
         await asyncio.sleep(NETWORK_DELAY_S)
         response = await self.simulation.deliver_heartbeat(name, body)
         await asyncio.sleep(NETWORK_DELAY_S)
-        if self.deaf:
+        if self.loses_responses:
             await asyncio.sleep(RESPONSE_TIMEOUT_S)
             return None
         return response
@@ -168,7 +168,7 @@
             if task is None:
                 self._launch(task_id, attempt)
             elif task.attempt != attempt:
-                self.simulation.broken.append(f"in_use: {task_id} try {attempt} on {self.name}")
+                self.simulation.violations.append(f"in_use: {task_id} try {attempt} on {self.name}")
         elif task is not None and task.attempt == attempt:
             if action == "forget" and task.phase == "exited":
                 del self.tasks[task_id]
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -39,7 +39,7 @@
 
 @dataclass
 class Invariants:
-    """Checks a simulation against the claims of docs/design.md; adds each violation to its `broken` once."""
+    """Checks a simulation against the claims of docs/design.md; adds each new violation to its `violations`."""
 
     simulation: Simulation
     launched: dict[tuple[str, int], str] = field(default_factory=dict)
@@ -53,7 +53,7 @@
     def _report_violation(self, kind: str, details: str) -> None:
         if (kind + details) not in self.reported:
             self.reported.add(kind + details)
-            self.simulation.broken.append(f"{kind}: {details} at {self.simulation.now():.1f}")
+            self.simulation.violations.append(f"{kind}: {details} at {self.simulation.now():.1f}")
 
     def check(self) -> None:
         """Check the invariants that have to hold at any time."""
@@ -78,7 +78,7 @@
 
     def _stored_starts(self, job_id: str) -> set[tuple[str, int, int, int]] | None:
         """Return machine, epoch, attempt and number of the tasks in the newest record; None if it can't be decoded."""
-        stored = self.simulation.service.keys
+        stored = self.simulation.store.keys
         value = stored.get(keys.JOB_PREFIX + job_id, ({}, 0, None))[0]
         try:
             record = job_records.decode_record(job_id, value, lambda key: stored.get(key, (None, 0, None))[0])
@@ -161,18 +161,18 @@
     async def reject_requests(self) -> None:
         """Let the store reject the requests of one node with 503."""
         await self._add_temporarily(
-            self.simulation.service.refused, self.random_node(), "requests rejected by the key-value store"
+            self.simulation.store.refused, self.random_node(), "requests rejected by the key-value store"
         )
 
     async def disconnect_from_store(self) -> None:
         """Disconnect one node from the store: its requests receive no response."""
         await self._add_temporarily(
-            self.simulation.service.disconnected, self.random_node(), "disconnected from the key-value store"
+            self.simulation.store.disconnected, self.random_node(), "disconnected from the key-value store"
         )
 
     async def block_watch(self) -> None:
         """Block the watch of one node, so that it receives no changes."""
-        await self._add_temporarily(self.simulation.service.watch_blocked, self.random_node(), "watch blocked")
+        await self._add_temporarily(self.simulation.store.watch_blocked, self.random_node(), "watch blocked")
 
     async def partition_two_nodes(self) -> None:
         """Partition two nodes from each other."""
@@ -181,7 +181,7 @@
 
     async def partition_node(self) -> None:
         """Partition one node from all others."""
-        links = sorted(self.simulation.links_of(self.random_node()), key=sorted)
+        links = sorted(self.simulation.node_pairs_of(self.random_node()), key=sorted)
         await asyncio.gather(
             *(self._add_temporarily(self.simulation.partitions, link, "partitioned", 4.0, 16.0) for link in links)
         )
@@ -191,7 +191,7 @@
         name, zone, duration_s = self.random_node(), self.random.choice(["east", "west"]), self.span(6.0, 25.0)
         self.note(f"zone {zone} with {name} partitioned for {duration_s:.1f}")
         inside = [w for w in self.simulation.workers.values() if w.zone == zone]
-        pairs = self.simulation.links_of(name)
+        pairs = self.simulation.node_pairs_of(name)
         for worker in self.simulation.workers.values():
             worker.reached = (lambda node: node == name) if worker in inside else (lambda node: node != name)
         self.simulation.partitions |= pairs
@@ -212,13 +212,13 @@
             return
         before_s, duration_s, at_s = self.span(0.2, 3.0), self.span(5.0, 15.0), self.span(-1.0, 1.0)
         self.note(f"{worker.name} reaches {name} {before_s:.1f} before its lease expires, for {duration_s:.1f}")
-        pairs = self.simulation.links_of(name)
+        pairs = self.simulation.node_pairs_of(name)
         self.simulation.partitions |= pairs
         worker.reached = lambda node: node == name
         worker.hung, worker.node = True, self.simulation.names.index(name)
         end = worker.lease_from + self.simulation.params.workers.lease_s
         await asyncio.sleep(max(0.0, end - before_s + at_s - self.simulation.now()))
-        fault = self.simulation.go(
+        fault = self.simulation.run_in_background(
             self.random.choice([self.reject_requests, self.slow_store, self.block_watch, self.lose_write_responses])()
         )
         await asyncio.sleep(max(0.0, end - before_s - self.simulation.now()))
@@ -243,20 +243,20 @@
     async def store_outage(self) -> None:
         """Let the store reject the requests of all nodes with 503."""
         duration_s = self.span(0.5, 20.0)
-        if self.simulation.service.down:
+        if self.simulation.store.down:
             return
         self.note(f"key-value store outage for {duration_s:.1f}")
-        self.simulation.service.outage(True)
+        self.simulation.store.set_outage(True)
         await asyncio.sleep(duration_s)
-        self.simulation.service.outage(False)
+        self.simulation.store.set_outage(False)
 
     async def slow_store(self) -> None:
         """Increase the latency of the store."""
         duration_s, latency_s = self.span(3.0, 15.0), self.span(0.2, 1.6)
         self.note(f"key-value store latency of {latency_s:.1f} for {duration_s:.1f}")
-        self.simulation.service.latency_s = latency_s
+        self.simulation.store.latency_s = latency_s
         await asyncio.sleep(duration_s)
-        self.simulation.service.latency_s = 0.004
+        self.simulation.store.latency_s = 0.004
 
     async def lose_write_responses(self) -> None:
         """Send no response to some writes, and execute them late or at once."""
@@ -266,21 +266,21 @@
             self.random.random() < 0.3,
         )
         self.note(f"{share:.0%} of writes without response for {duration_s:.1f}, executed at once: {at_once}")
-        self.simulation.service.late = lambda node, body: (
+        self.simulation.store.write_delay_s = lambda node, body: (
             (0.0 if at_once else self.span(2.0, 12.0)) if self.random.random() < share else None
         )
         await asyncio.sleep(duration_s)
-        self.simulation.service.late = lambda node, body: None
+        self.simulation.store.write_delay_s = lambda node, body: None
 
     async def delay_reads(self) -> None:
         """Delay the responses to some reads."""
         duration_s, share = self.span(4.0, 15.0), self.random.choice([0.2, 0.6])
         self.note(f"responses to {share:.0%} of reads delayed for {duration_s:.1f}")
-        self.simulation.service.read_delay_s = lambda node, path: (
+        self.simulation.store.read_delay_s = lambda node, path: (
             self.span(0.3, 1.4) if self.random.random() < share else 0.0
         )
         await asyncio.sleep(duration_s)
-        self.simulation.service.read_delay_s = lambda node, path: 0.0
+        self.simulation.store.read_delay_s = lambda node, path: 0.0
 
     async def duplicate_heartbeats(self) -> None:
         """Deliver duplicates of earlier heartbeats to every node."""
@@ -291,7 +291,7 @@
             if worker is not None and worker.sent_heartbeats:
                 body = self.random.choice(worker.sent_heartbeats[-12:])
                 for name in list(self.simulation.nodes):
-                    self.simulation.go(self.simulation.deliver_heartbeat(name, body))
+                    self.simulation.run_in_background(self.simulation.deliver_heartbeat(name, body))
 
     async def _set_on_workers(self, attribute: str, least: float, most: float) -> None:
         """Set a fault attribute of some workers for a while."""
@@ -310,11 +310,11 @@
 
     async def drop_responses(self) -> None:
         """Drop the responses to the heartbeats of some workers."""
-        await self._set_on_workers("deaf", 1.0, 14.0)
+        await self._set_on_workers("loses_responses", 1.0, 14.0)
 
     async def drop_heartbeats(self) -> None:
         """Drop the heartbeats of some workers."""
-        await self._set_on_workers("mute", 1.0, 14.0)
+        await self._set_on_workers("loses_heartbeats", 1.0, 14.0)
 
     def kinds(self) -> list[Callable[[], Any]]:
         """Return the faults to choose from; a fault that is listed twice is chosen twice as often."""
@@ -333,15 +333,16 @@
     async def play(self, simulation: Simulation) -> None:
         """Run the history: submit jobs, inject overlapping faults, and wait for a quiet period after them."""
         job_ids = [
-            simulation.job(n, run_s=self.span(15.0, 120.0), pieces=self.random.choice([1, 2, 4]),
+            simulation.define_job(n, run_s=self.span(15.0, 120.0), pieces=self.random.choice([1, 2, 4]),
                       shape=self.random.choice(["batch", "batch", "ensemble"]))
             for n in range(1, JOBS + 1)
         ]  # fmt: skip
         for job_id in job_ids:
-            await simulation.accepted(job_id)
+            await simulation.submit_until_accepted(job_id)
         await asyncio.sleep(self.span(1.0, 6.0))
         faults = [
-            simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(3, 7))
+            simulation.run_in_background(self._begin(self.random.choice(self.kinds())))
+            for _ in range(self.random.randint(3, 7))
         ]
         await asyncio.gather(*faults)
         await asyncio.sleep(QUIET_PERIOD_S)
@@ -352,7 +353,7 @@
         await fault()
 
 
-def broken_in(
+def run_history(
     kind: type[History], invariants: type[Invariants], seed: int, quiet: bool, **simulation: Any
 ) -> tuple[int, list[str], list[str]]:
     """Run the history of a seed; return the seed, the violations and the log of the faults."""
@@ -367,24 +368,24 @@
         try:
             await history.play(simulation)
         finally:
-            found.extend(simulation.broken)
+            found.extend(simulation.violations)
             log.extend(history.log)
-            simulation.broken.clear()
+            simulation.violations.clear()
 
     play(scenario, **simulation)
     return seed, found, log
 
 
-def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
+def violations_of_seed(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
     """Run the fault history of a seed; return the seed, the violations and the log of the faults."""
-    return broken_in(History, Invariants, seed, quiet, machines=MACHINES)
+    return run_history(History, Invariants, seed, quiet, machines=MACHINES)
 
 
-def play_range(broken: Callable[[int], tuple[int, list[str], list[str]]], first: int, last: int) -> int:
+def play_range(run_seed: Callable[[int], tuple[int, list[str], list[str]]], first: int, last: int) -> int:
     """Run a range of seeds on all cores and print the violations; return the exit status."""
     failed = 0
     with ProcessPoolExecutor() as pool:
-        for seed, found, log in pool.map(broken, range(first, last), chunksize=4):
+        for seed, found, log in pool.map(run_seed, range(first, last), chunksize=4):
             if found:
                 failed += 1
                 print(f"seed {seed}", *found, *log, sep="\n    ", flush=True)
@@ -393,4 +394,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(play_range(broken_by, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(play_range(violations_of_seed, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/history_digests.py
+++ b/tests/history_digests.py
@@ -29,9 +29,9 @@
 from harness.worker import FakeWorker  # noqa: E402
 
 KINDS = {
-    "troubles": histories.broken_by,
-    "pipelines": pipeline_histories.broken_by,
-    "drains": drain_histories.broken_by,
+    "troubles": histories.violations_of_seed,
+    "pipelines": pipeline_histories.violations_of_seed,
+    "drains": drain_histories.violations_of_seed,
 }
 
 
@@ -53,10 +53,10 @@
         cloud_call = FakeCloud.call
         execute_commands = FakeWorker.execute_commands
 
-        async def on_store(service: Any, node: str, method: str, path: str, body: Any, timeout: float) -> Any:
+        async def on_store(store: Any, node: str, method: str, path: str, body: Any, timeout: float) -> Any:
             if method != "GET":
-                self.add("writes", round(service.simulation.now(), 3), node, method, path, body)
-            return await store_call(service, node, method, path, body, timeout)
+                self.add("writes", round(store.simulation.now(), 3), node, method, path, body)
+            return await store_call(store, node, method, path, body, timeout)
 
         async def on_cloud(cloud: Any, node: str, method: str, path: str, body: Any, timeout: float) -> Any:
             self.add("cloud", round(cloud.simulation.now(), 3), node, method, path, body)
--- a/tests/jobs/test_cancellations.py
+++ b/tests/jobs/test_cancellations.py
@@ -6,7 +6,7 @@
 import asyncio
 
 import pytest
-from conftest import Clock, FakeState
+from conftest import FakeClock, ScriptedStore
 
 from hookwall.config.platform import PlatformParameters
 from hookwall.jobs import cancellations
@@ -44,21 +44,21 @@
 
 
 @pytest.fixture
-def ledger(params: PlatformParameters, state: FakeState, clock: Clock, peers: Peers) -> CancellationLedger:
+def ledger(params: PlatformParameters, store: ScriptedStore, clock: FakeClock, peers: Peers) -> CancellationLedger:
     async def load():
         return None
 
-    leadership = Leadership("n0", 3, [peers.peer("n1"), peers.peer("n2")], state, clock, load, lambda role: None)
+    leadership = Leadership("n0", 3, [peers.peer("n1"), peers.peer("n2")], store, clock, load, lambda role: None)
     cancelled: dict[str, int] = {}
-    ledger = CancellationLedger(params.workers, leadership, state, clock, lambda: 50, cancelled.__setitem__)
+    ledger = CancellationLedger(params.workers, leadership, store, clock, lambda: 50, cancelled.__setitem__)
     ledger.cancelled = cancelled
-    state.epoch = 20
-    state.keys[keys.LEADER_KEY] = ({"node": "n1"}, 20)
-    leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    store.revision = 20
+    store.keys[keys.LEADER_KEY] = ({"node": "n1"}, 20)
+    leadership.observe_leader_key(*store.keys[keys.LEADER_KEY])
     return ledger
 
 
-def make_leader(ledger: CancellationLedger, clock: Clock):
+def make_leader(ledger: CancellationLedger, clock: FakeClock):
     leadership = ledger.leadership
     leadership.role, leadership.lease_mode, leadership.session_lease_until, leadership.quorum_acks = (
         Role.LEADER,
@@ -70,22 +70,24 @@
 
 
 def test_leases_are_not_renewed_if_knowledge_of_cancellations_is_stale(
-    ledger: CancellationLedger, clock: Clock, params: PlatformParameters
+    ledger: CancellationLedger, clock: FakeClock, params: PlatformParameters
 ):
     timings = params.workers
     ledger.confirm_records_read(clock())
-    clock.tick(timings.cancel_s - timings.lease_s * 1.002 - cancellations.SAFETY_MARGIN_S - 0.1)
+    clock.advance(timings.cancel_s - timings.lease_s * 1.002 - cancellations.SAFETY_MARGIN_S - 0.1)
     assert ledger.may_renew_leases()
-    clock.tick(0.2)
+    clock.advance(0.2)
     assert not ledger.may_renew_leases()
     # The response to a request that was sent long ago only shows the records as of that time.
     ledger.confirm_records_read(clock() - 26.5)
     assert ledger.may_renew_leases()
-    clock.tick(1.0)
+    clock.advance(1.0)
     assert not ledger.may_renew_leases()
 
 
-def test_complete_votes_of_a_majority_keep_a_leader_current_without_the_store(ledger: CancellationLedger, clock: Clock):
+def test_complete_votes_of_a_majority_keep_a_leader_current_without_the_store(
+    ledger: CancellationLedger, clock: FakeClock
+):
     make_leader(ledger, clock)
     ledger.confirm_records_read(clock() - 100.0)
     ledger.on_known_cancellations("n1", clock(), KnownCancellations([], False))
@@ -122,11 +124,11 @@
     assert ledger.known_cancellations(None).complete is False
 
 
-def test_a_leader_returns_its_records_revision_only_while_it_is_valid(ledger: CancellationLedger, clock: Clock):
+def test_a_leader_returns_its_records_revision_only_while_it_is_valid(ledger: CancellationLedger, clock: FakeClock):
     assert ledger.records_revision() is None
     make_leader(ledger, clock)
     assert ledger.records_revision() == 50
-    clock.tick(QUORUM_LEASE_S)
+    clock.advance(QUORUM_LEASE_S)
     assert ledger.records_revision() is None
 
 
@@ -158,15 +160,15 @@
 
 
 def test_under_a_leader_with_a_session_lease_an_unchanged_leader_key_is_sufficient(
-    ledger: CancellationLedger, state: FakeState
+    ledger: CancellationLedger, store: ScriptedStore
 ):
     ledger.leadership.observe_leader_key({"node": "n1", "mode": "hold"}, 25)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is False, (
         "the stored leader key has another version than the known one"
     )
-    state.keys[keys.LEADER_KEY] = ({"node": "n1", "mode": "hold"}, 25)
+    store.keys[keys.LEADER_KEY] = ({"node": "n1", "mode": "hold"}, 25)
     assert asyncio.run(ledger.confirm_cancellation("run-000001", 33)) is True
-    state.mode = "down"
+    store.mode = "down"
     assert asyncio.run(ledger.confirm_cancellation("run-000002", 34)) is False
 
 
--- a/tests/jobs/test_job_table.py
+++ b/tests/jobs/test_job_table.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from conftest import Clock, Cluster, description
+from conftest import Cluster, FakeClock, description
 from sample_records import chunked_record
 
 from hookwall.config.platform import PlatformParameters
@@ -50,13 +50,13 @@
     machine = cluster.fleet.machines["vm-1"]
     cluster.fleet.allocate(new, 0, machine, 1, cluster.clock())
     jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), has_spare_changes=False)
-    cluster.clock.tick(1.0)
+    cluster.clock.advance(1.0)
     cluster.fleet.allocate(old, 0, machine, 1, cluster.clock())
     assert jobs_to_write(cluster.table.open_jobs.values(), cluster.clock(), has_spare_changes=False) == [new, old]
 
 
 @pytest.mark.parametrize("record_first", [True, False])
-def test_a_record_is_applied_once_its_chunks_are_known_in_any_order(clock: Clock, record_first):
+def test_a_record_is_applied_once_its_chunks_are_known_in_any_order(clock: FakeClock, record_first):
     table = JobTable(clock)
     key, encoded = chunked_record()
     if record_first:
@@ -69,14 +69,14 @@
     assert table.jobs["run-000001"].version == 9 and table.jobs["run-000001"].spec.dependencies
 
 
-def test_a_cancellation_is_applied_immediately_even_if_chunks_of_its_record_are_missing(clock: Clock):
+def test_a_cancellation_is_applied_immediately_even_if_chunks_of_its_record_are_missing(clock: FakeClock):
     table = JobTable(clock)
     key, encoded = chunked_record()
     table.apply_record(key, {**encoded.value, "phase": "withdrawn"}, 9)
     assert table.is_cancelled("run-000001")
 
 
-def test_a_job_is_queued_since_the_end_of_its_last_dependency(clock: Clock):
+def test_a_job_is_queued_since_the_end_of_its_last_dependency(clock: FakeClock):
     table = JobTable(clock)
     needed = {"phase": "open", "n": 1, "next": 1, "on": [], "spec": description(1), "at": 10.0, "done": ""}
     waiting = {**needed, "spec": description(2, awaits=["run-000001"]), "at": 20.0}
--- a/tests/jobs/test_job_writer.py
+++ b/tests/jobs/test_job_writer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from conftest import Clock, FakeState, description
+from conftest import FakeClock, ScriptedStore, description
 from sample_records import chunked_record
 
 from hookwall.config.platform import StoreLimits
@@ -26,57 +26,59 @@
 
 
 @pytest.fixture
-def writer(state: FakeState, clock: Clock) -> JobWriter:
+def writer(store: ScriptedStore, clock: FakeClock) -> JobWriter:
     """The writer of a leader that knows a job stored in chunks, and a further chunk that the record does not name."""
-    state.has_spare_changes = lambda: True
+    store.has_spare_changes = lambda: True
     _, encoded = chunked_record()
     table = JobTable(clock)
-    state.epoch = 9
-    state.keys = {
+    store.revision = 9
+    store.keys = {
         k: (v, 9) for k, v in {**encoded.chunks, KEY: encoded.value, f"{keys.CHUNK_PREFIX}run-000001/x": "y"}.items()
     }
-    state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
-    for key, (value, version) in state.keys.items():
+    store.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
+    for key, (value, version) in store.keys.items():
         if key.startswith(keys.CHUNK_PREFIX):
             table.apply_chunk(key, value, version)
         elif key == KEY:
             table.apply_record(key, value, version)
-    return leader_writer(table, state, clock, [], SimpleNamespace(fencing_token=5))
+    return leader_writer(table, store, clock, [], SimpleNamespace(fencing_token=5))
 
 
 async def no_reload(key: str) -> None:
     """Ignore requests to reload a record."""
 
 
-def leader_writer(table: JobTable, state: FakeState, clock: Clock, delegation_keys, leadership, **options) -> JobWriter:
-    guard = DelegationGuard(table, state, DelegatedLeases(clock), delegation_keys, clock)
-    return JobWriter(table, state, leadership, guard, no_reload, clock, **options)
+def leader_writer(
+    table: JobTable, store: ScriptedStore, clock: FakeClock, delegation_keys, leadership, **options
+) -> JobWriter:
+    guard = DelegationGuard(table, store, DelegatedLeases(clock), delegation_keys, clock)
+    return JobWriter(table, store, leadership, guard, no_reload, clock, **options)
 
 
-def chunks(state: FakeState) -> list[str]:
-    return [key for key in state.keys if key.startswith(keys.CHUNK_PREFIX)]
+def chunks(store: ScriptedStore) -> list[str]:
+    return [key for key in store.keys if key.startswith(keys.CHUNK_PREFIX)]
 
 
-def test_only_chunks_that_the_record_does_not_name_are_removed(writer: JobWriter, state: FakeState):
-    before = len(chunks(state))
+def test_only_chunks_that_the_record_does_not_name_are_removed(writer: JobWriter, store: ScriptedStore):
+    before = len(chunks(store))
     asyncio.run(writer.chunk_collector.collect())
-    assert len(chunks(state)) == before - 1 and f"{keys.CHUNK_PREFIX}run-000001/x" not in state.keys
+    assert len(chunks(store)) == before - 1 and f"{keys.CHUNK_PREFIX}run-000001/x" not in store.keys
 
 
 @pytest.mark.parametrize("changed", [KEY, keys.LEADER_KEY])
-def test_chunks_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, state: FakeState, changed):
+def test_chunks_stay_if_the_record_or_the_leader_has_changed(writer: JobWriter, store: ScriptedStore, changed):
     """A removal that is applied late could otherwise remove a chunk that a newer record names again."""
-    state.keys[changed] = (state.keys[changed][0], 10)
-    before = chunks(state)
+    store.keys[changed] = (store.keys[changed][0], 10)
+    before = chunks(store)
     asyncio.run(writer.chunk_collector.collect())
-    assert chunks(state) == before and "run-000001" in writer.table.chunks.jobs_to_collect
+    assert chunks(store) == before and "run-000001" in writer.table.chunks.jobs_to_collect
 
 
-def test_chunks_of_a_job_that_has_no_record_yet_stay(writer: JobWriter, state: FakeState):
+def test_chunks_of_a_job_that_has_no_record_yet_stay(writer: JobWriter, store: ScriptedStore):
     writer.table.jobs["run-000001"].version = 0
-    before = chunks(state)
+    before = chunks(store)
     asyncio.run(writer.chunk_collector.collect())
-    assert chunks(state) == before
+    assert chunks(store) == before
 
 
 # -- decisions that depend on delegated leases --------------------------------------------------------
@@ -85,20 +87,20 @@
 
 
 @pytest.fixture
-def leading_writer(state: FakeState, clock: Clock) -> JobWriter:
+def leading_writer(store: ScriptedStore, clock: FakeClock) -> JobWriter:
     """The writer of a leader with a job that is stored as running on vm-1, and has just been moved to vm-2."""
-    state.has_spare_changes = lambda: True
-    state.epoch = 9
+    store.has_spare_changes = lambda: True
+    store.revision = 9
     spec = msgspec.convert(description(2), JobSpec)
     record = JobRecord(
         task_count=1, next_attempt=2, allocations=[("vm-1", 1, 1, "0")], spec=spec, submitted_at=1.0, done_tasks=""
     )
     value = encode_record(spec.job_id, record, None).value
-    state.keys = {keys.LEADER_KEY: ({"node": "n0"}, 5), keys.JOB_PREFIX + spec.job_id: (value, 9)}
+    store.keys = {keys.LEADER_KEY: ({"node": "n0"}, 5), keys.JOB_PREFIX + spec.job_id: (value, 9)}
     table = JobTable(clock)
     table.apply_record(keys.JOB_PREFIX + spec.job_id, value, 9)
     leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER, valid=lambda: True, step_down=lambda reason: None)
-    writer = leader_writer(table, state, clock, [DELEGATE_KEY], leadership)
+    writer = leader_writer(table, store, clock, [DELEGATE_KEY], leadership)
     move_to_vm_2(table.jobs[spec.job_id])
     return writer
 
@@ -118,38 +120,38 @@
     asyncio.run(writer._write(list(writer.table.open_jobs.values())))
 
 
-@pytest.mark.parametrize("mode", ["lost", "down"])
+@pytest.mark.parametrize("mode", ["request_lost", "down"])
 def test_a_decision_reverted_while_its_write_is_lost_is_not_written_again(
-    leading_writer: JobWriter, state: FakeState, mode
+    leading_writer: JobWriter, store: ScriptedStore, mode
 ):
     """Guards against storing a decision that rests on leases which a delegate may have renewed.
 
     The write fails, and the key of the lease delegate is observed during the write. A second write of the decision
     would meet the preconditions.
     """
-    commit = state.commit
+    commit = store.commit
 
     async def interleaved_commit(*args, **options):
         leading_writer.table.revert_unsaved()
         return await commit(*args, **options)
 
-    state.commit, state.mode = interleaved_commit, mode
+    store.commit, store.mode = interleaved_commit, mode
     write(leading_writer)
     assert machines(leading_writer) == ["vm-1"] and not leading_writer.table.jobs["run-000002"].has_unsaved_changes
 
 
-def test_a_decision_reverted_while_its_write_succeeds_stays(leading_writer: JobWriter, state: FakeState):
-    commit = state.commit
+def test_a_decision_reverted_while_its_write_succeeds_stays(leading_writer: JobWriter, store: ScriptedStore):
+    commit = store.commit
 
     async def interleaved_commit(*args, **options):
         leading_writer.table.revert_unsaved()
         return await commit(*args, **options)
 
-    state.commit = interleaved_commit
+    store.commit = interleaved_commit
     write(leading_writer)
     assert machines(leading_writer) == ["vm-2"]
     move_to_vm_2(leading_writer.table.jobs["run-000002"])
-    state.commit, state.mode = commit, "lost"
+    store.commit, store.mode = commit, "request_lost"
     write(leading_writer)
     assert machines(leading_writer) == ["vm-2"] and leading_writer.table.jobs["run-000002"].has_unsaved_changes, (
         "only decisions that were in flight are reverted"
@@ -157,14 +159,14 @@
 
 
 def test_if_the_watch_is_late_any_lease_may_have_been_renewed_until_now(
-    leading_writer: JobWriter, state: FakeState, clock: Clock
+    leading_writer: JobWriter, store: ScriptedStore, clock: FakeClock
 ):
     """The delegate's key may have named vm-1 before it was deleted and written again with vm-9.
 
     Only the watch would deliver the first value; a read of the key returns the second one.
     """
-    state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
-    clock.tick(5.0)
+    store.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 12)
+    clock.advance(5.0)
     leading_writer.delegation_guard._wait_for_watch = _return_false
     write(leading_writer)
     assert machines(leading_writer) == ["vm-1"]
@@ -175,18 +177,18 @@
 
 
 def test_expired_leases_stay_expired_if_the_watch_has_delivered_all_changes(
-    leading_writer: JobWriter, state: FakeState, clock: Clock
+    leading_writer: JobWriter, store: ScriptedStore, clock: FakeClock
 ):
-    state.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 9)
+    store.keys[DELEGATE_KEY] = ({"machines": ["vm-9"]}, 9)
     leading_writer.delegation_guard.delegated_leases.apply_key(DELEGATE_KEY, {"machines": ["vm-9"]}, 8)
     leading_writer.delegation_guard.watched_revision = lambda: 9
-    state.commit = _raise_conflict
+    store.commit = _raise_conflict
     write(leading_writer)
     assert (
         machines(leading_writer) == ["vm-1"]
         and leading_writer.delegation_guard.delegated_leases.last_possible_renewal("vm-1") < clock()
     )
-    assert "get " + DELEGATE_KEY not in state.requests
+    assert "get " + DELEGATE_KEY not in store.requests
 
 
 async def _return_false(revision: int) -> bool:
@@ -198,7 +200,7 @@
 
 
 def test_a_record_deferred_during_a_write_is_applied_even_if_the_leadership_ended(
-    leading_writer: JobWriter, state: FakeState
+    leading_writer: JobWriter, store: ScriptedStore
 ):
     """Guards against dropping the deferred record, which would leave this node with an older one until it changes."""
     job = leading_writer.table.jobs["run-000002"]
@@ -210,12 +212,14 @@
         leading_writer.leadership.role = Role.FOLLOWER
         raise PreconditionFailedError([keys.LEADER_KEY], 12)
 
-    state.commit = interleaved_commit
+    store.commit = interleaved_commit
     write(leading_writer)
     assert job.version == 12 and job.deferred_record is None and job.is_final()
 
 
-def test_a_leader_reloads_a_record_with_missing_chunks_without_a_request(leading_writer: JobWriter, state: FakeState):
+def test_a_leader_reloads_a_record_with_missing_chunks_without_a_request(
+    leading_writer: JobWriter, store: ScriptedStore
+):
     """None of the job's tasks is started before the reload, so it must not depend on a user's request."""
     read = []
     leading_writer.leadership.valid = lambda: not read
@@ -255,24 +259,24 @@
     assert reloaded == [f"{keys.JOB_PREFIX}run-{n:06d}" for n in (1, 2, 3, 1)]
 
 
-def writer_with_job_on_many_machines(state: FakeState, clock: Clock, value_kb, txn_ops):
+def writer_with_job_on_many_machines(store: ScriptedStore, clock: FakeClock, value_kb, txn_ops):
     """Return the writer of a leader, and a job on as many machines as its record can name.
 
     No more than 4000 machines are used, which is a large fleet.
     """
     limits = StoreLimits(rps=150.0, write_rps=50.0, value_kb=value_kb, txn_ops=txn_ops)
-    state.limits, state.max_transaction_changes, state.max_value_bytes = limits, txn_ops, usable_value_bytes(value_kb)
-    state.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
-    state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
+    store.limits, store.max_transaction_changes, store.max_value_bytes = limits, txn_ops, usable_value_bytes(value_kb)
+    store.rate_shares = SimpleNamespace(changes=SimpleNamespace(rate=38.0))
+    store.keys[keys.LEADER_KEY] = ({"node": "n0"}, 5)
     table = JobTable(clock)
     leadership = SimpleNamespace(fencing_token=5, role=Role.LEADER)
     delegation_keys = [DELEGATE_KEY, DELEGATE_KEY + "x"]
-    writer = leader_writer(table, state, clock, delegation_keys, leadership, packing_enabled=lambda: True)
+    writer = leader_writer(table, store, clock, delegation_keys, leadership, packing_enabled=lambda: True)
     machines = min(4000, int(writer.start_record_budget().maximum_bytes / (BYTES_PER_MACHINE + BYTES_PER_START)))
     spec = description(1, pieces=machines)
     record = {"phase": "open", "n": machines, "next": 2, "on": [], "spec": spec, "at": 1.0, "done": ""}
-    state.keys[KEY] = (record, 9)
-    state.epoch = 9
+    store.keys[KEY] = (record, 9)
+    store.revision = 9
     table.apply_record(KEY, record, 9)
     job = table.jobs["run-000001"]
     names = random.Random(5)
@@ -287,19 +291,19 @@
     [(32.0, 24, 4000), (16.0, 12, 4000), (2.0, 24, 1000), (2.0, 12, 1000), (2.0, 4, 750)],
 )
 def test_a_job_on_the_maximum_number_of_machines_is_stored_within_all_limits(
-    state: FakeState, clock: Clock, value_kb, txn_ops, min_machines
+    store: ScriptedStore, clock: FakeClock, value_kb, txn_ops, min_machines
 ):
     """Guards against limiting an array to 215 machines at a time, and against too large transactions for its chunks."""
     sent: list[tuple[int, int, int]] = []
-    write = state.commit
+    write = store.commit
 
     async def commit(when, put=(), **more):
         assert max(json_bytes(value) for _, value in put) <= value_kb * 1024
         sent.append((len(when), len(put), sum(json_bytes(value) for _, value in put)))
         return await write(when, put, **more)
 
-    state.commit = commit
-    writer, job = writer_with_job_on_many_machines(state, clock, value_kb, txn_ops)
+    store.commit = commit
+    writer, job = writer_with_job_on_many_machines(store, clock, value_kb, txn_ops)
     assert job.task_count >= min_machines
     asyncio.run(writer._write([job]))
     assert not job.has_unsaved_changes and len(job.stored_starts) == job.task_count
@@ -307,18 +311,18 @@
         assert conditions <= 4 * txn_ops and puts <= txn_ops and length < 62 * 1024
 
 
-def test_a_record_is_not_stored_if_a_chunk_written_before_it_is_gone(state: FakeState, clock: Clock):
+def test_a_record_is_not_stored_if_a_chunk_written_before_it_is_gone(store: ScriptedStore, clock: FakeClock):
     """Another leader may remove the chunk while no record names it; the stored record would then be unreadable."""
-    writer, job = writer_with_job_on_many_machines(state, clock, 2.0, 4)
+    writer, job = writer_with_job_on_many_machines(store, clock, 2.0, 4)
     writes: list[list[str]] = []
-    write = state.commit
+    write = store.commit
 
     async def commit(when, put=(), **more):
         if len(writes) == 2:
-            state.keys.pop(writes[0][0])
+            store.keys.pop(writes[0][0])
         writes.append([key for key, _ in put])
         return await write(when, put, **more)
 
-    state.commit = commit
+    store.commit = commit
     asyncio.run(writer._write([job]))
-    assert len(writes) > 2 and job.has_unsaved_changes and not job.stored_starts and state.keys[KEY][1] == 9
+    assert len(writes) > 2 and job.has_unsaved_changes and not job.stored_starts and store.keys[KEY][1] == 9
--- a/tests/leadership/scripted_leadership.py
+++ b/tests/leadership/scripted_leadership.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from conftest import Clock, FakeState
+from conftest import FakeClock, ScriptedStore
 
 from hookwall.leadership.leadership import Leadership
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S
@@ -26,7 +26,7 @@
 
 
 def make_leadership(
-    state: FakeState, clock: Clock, responses: list[Callable[[Message], Message | None]], **options: Any
+    store: ScriptedStore, clock: FakeClock, responses: list[Callable[[Message], Message | None]], **options: Any
 ) -> Leadership:
     """Return the leadership of a node that started long ago and has observed that there is no leader key."""
 
@@ -34,8 +34,8 @@
         return None
 
     peers = [ScriptedPeer(f"n{number}", response) for number, response in enumerate(responses, 1)]
-    leadership = Leadership("n0", 3, peers, state, clock, rebuild_state, lambda role: None, **options)
-    clock.tick(QUORUM_LEASE_S * 2)
+    leadership = Leadership("n0", 3, peers, store, clock, rebuild_state, lambda role: None, **options)
+    clock.advance(QUORUM_LEASE_S * 2)
     leadership.observe_leader_key({}, 0)
     return leadership
 
--- a/tests/leadership/test_replaced_leader_key.py
+++ b/tests/leadership/test_replaced_leader_key.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import Clock, FakeState
+from conftest import FakeClock, ScriptedStore
 from scripted_leadership import grants, make_leadership, refuses, silent
 
 from hookwall.leadership.leadership import Leadership
@@ -17,37 +17,37 @@
     return [m["unwritten"] for p in leadership.peers for m in p.calls if "unwritten" in m]
 
 
-@pytest.mark.parametrize("mode", ["lost", "ghost"])
-def test_after_a_write_without_a_response_the_former_leader_gets_no_lease(state: FakeState, clock: Clock, mode):
-    state.epoch = 7
-    state.keys[keys.LEADER_KEY] = ({"node": "n1"}, 7)
-    leadership = make_leadership(state, clock, [grants, silent])
-    leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
-    clock.tick(QUORUM_LEASE_S * 2)
-    commit = state.commit
+@pytest.mark.parametrize("mode", ["request_lost", "response_lost"])
+def test_after_a_write_without_a_response_the_former_leader_gets_no_lease(store: ScriptedStore, clock: FakeClock, mode):
+    store.revision = 7
+    store.keys[keys.LEADER_KEY] = ({"node": "n1"}, 7)
+    leadership = make_leadership(store, clock, [grants, silent])
+    leadership.observe_leader_key(*store.keys[keys.LEADER_KEY])
+    clock.advance(QUORUM_LEASE_S * 2)
+    commit = store.commit
 
     async def without_response(*args, **options):
-        state.mode = mode
+        store.mode = mode
         try:
             return await commit(*args, **options)
         finally:
-            state.mode = "ok"
+            store.mode = "ok"
 
-    state.commit = without_response
+    store.commit = without_response
 
     async def hold_election():
         await leadership.election.run_once()
         await asyncio.sleep(0.01)
 
     asyncio.run(hold_election())
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     assert leadership.role is Role.FOLLOWER and abandoned_elections(leadership) == []
     assert not leadership.vote_grant.renew_lease("n1", 7)
-    assert "drop" in state.requests, "once its session lease has ended, the write can't be executed any more"
+    assert "drop" in store.requests, "once its session lease has ended, the write can't be executed any more"
     # The next election certainly fails, but the first write may still be in flight.
-    state.commit, state.mode = reject, "ok"
+    store.commit, store.mode = reject, "ok"
     leadership.next_election_at = 0.0
-    state.keys[keys.LEADER_KEY] = ({"node": "n1"}, 7)
+    store.keys[keys.LEADER_KEY] = ({"node": "n1"}, 7)
     asyncio.run(leadership.election.run_once())
     assert abandoned_elections(leadership) == [] and not leadership.vote_grant.renew_lease("n1", 7)
 
@@ -57,14 +57,14 @@
 
 
 @pytest.mark.parametrize("responses", [[refuses, silent], [grants, silent]])
-def test_a_candidate_announces_an_election_that_certainly_failed(state: FakeState, clock: Clock, responses):
+def test_a_candidate_announces_an_election_that_certainly_failed(store: ScriptedStore, clock: FakeClock, responses):
     """The election fails for lack of votes or because its write is rejected."""
-    state.epoch = 7
-    state.keys[keys.LEADER_KEY] = ({"node": "n1"}, 7)
-    leadership = make_leadership(state, clock, responses)
-    leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
-    clock.tick(QUORUM_LEASE_S * 2)
-    state.commit = reject
+    store.revision = 7
+    store.keys[keys.LEADER_KEY] = ({"node": "n1"}, 7)
+    leadership = make_leadership(store, clock, responses)
+    leadership.observe_leader_key(*store.keys[keys.LEADER_KEY])
+    clock.advance(QUORUM_LEASE_S * 2)
+    store.commit = reject
 
     async def hold_election():
         await leadership.election.run_once()
@@ -74,13 +74,13 @@
     vote_requests = [m for p in leadership.peers for m in p.calls if m["t"] == "vote"]
     assert [m["replaces"] for m in vote_requests] == [7, 7]
     assert abandoned_elections(leadership) == [m["campaign"] for m in vote_requests]
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     assert leadership.vote_grant.renew_lease("n1", 7)
 
 
-def test_a_leader_that_a_voter_refuses_permanently_gets_a_new_fencing_token(state: FakeState, clock: Clock):
+def test_a_leader_that_a_voter_refuses_permanently_gets_a_new_fencing_token(store: ScriptedStore, clock: FakeClock):
     """The voter would refuse to grant it leases for as long as it led with its old token."""
-    leadership = make_leadership(state, clock, [grants, grants])
+    leadership = make_leadership(store, clock, [grants, grants])
     asyncio.run(leadership.election.run_once())
     before = leadership.fencing_token
     leadership.peers[0].response = (
@@ -94,51 +94,55 @@
     assert leadership.role is Role.LEADER and leadership.fencing_token > before
 
 
-def test_a_leader_that_granted_its_lease_to_another_node_is_not_valid(state: FakeState, clock: Clock):
+def test_a_leader_that_granted_its_lease_to_another_node_is_not_valid(store: ScriptedStore, clock: FakeClock):
     """When its vote for itself had expired during the write of the key, two nodes were valid for up to a second."""
-    leadership = make_leadership(state, clock, [grants, silent])
+    leadership = make_leadership(store, clock, [grants, silent])
     asyncio.run(leadership.election.run_once())
     assert leadership.valid()
     leadership.vote_grant.holder = "n1"
     assert not leadership.valid()
 
 
-def test_a_leader_whose_own_quorum_lease_has_expired_is_not_valid(state: FakeState, clock: Clock):
-    leadership = make_leadership(state, clock, [grants, silent])
+def test_a_leader_whose_own_quorum_lease_has_expired_is_not_valid(store: ScriptedStore, clock: FakeClock):
+    leadership = make_leadership(store, clock, [grants, silent])
     asyncio.run(leadership.election.run_once())
     leadership.vote_grant.expires_at = clock()
     assert not leadership.valid()
 
 
-def test_a_late_write_of_the_own_key_does_not_prove_that_no_node_leads(state: FakeState, clock: Clock):
+def test_a_late_write_of_the_own_key_does_not_prove_that_no_node_leads(store: ScriptedStore, clock: FakeClock):
     """A node that reached no peer led immediately, although the former leader may have regained its quorum leases."""
-    leadership = make_leadership(state, clock, [silent, silent])
-    state.epoch = 9
-    state.keys[keys.LEADER_KEY] = ({"node": "n0", "incarnation": leadership.incarnation}, 9)
-    clock.tick(60.0)
+    leadership = make_leadership(store, clock, [silent, silent])
+    store.revision = 9
+    store.keys[keys.LEADER_KEY] = ({"node": "n0", "incarnation": leadership.incarnation}, 9)
+    clock.advance(60.0)
     asyncio.run(leadership.election.run_once())
-    assert leadership.role is Role.FOLLOWER and state.keys[keys.LEADER_KEY][1] == 9
+    assert leadership.role is Role.FOLLOWER and store.keys[keys.LEADER_KEY][1] == 9
     assert all(m["dead"] is False for p in leadership.peers for m in p.calls if m["t"] == "vote")
     # A key written by an earlier process does prove it.
-    state.keys[keys.LEADER_KEY] = ({"node": "n0", "incarnation": leadership.incarnation + 1}, 9)
+    store.keys[keys.LEADER_KEY] = ({"node": "n0", "incarnation": leadership.incarnation + 1}, 9)
     leadership.next_election_at = 0.0
     asyncio.run(leadership.election.run_once())
     assert leadership.role is Role.LEADER and leadership.lease_mode is LeaseMode.SESSION_LEASE
 
 
-def test_a_restarted_voter_refuses_a_candidate_that_can_not_prove_the_leader_gone(state: FakeState, clock: Clock):
-    leadership = make_leadership(state, clock, [grants, grants])
+def test_a_restarted_voter_refuses_a_candidate_that_can_not_prove_the_leader_gone(
+    store: ScriptedStore, clock: FakeClock
+):
+    leadership = make_leadership(store, clock, [grants, grants])
     leadership.vote_grant.started_at = clock()
     leadership.observe_leader_key({"node": "n1"}, 9)
     assert not leadership.handle_peer_message({"t": "vote", "n": "n1", "replaces": 9, "dead": False})["ok"]
     assert leadership.handle_peer_message({"t": "vote", "n": "n1"})["ok"], "older programs don't report that"
 
 
-def test_a_vote_blocks_leases_for_the_replaced_key_until_its_election_is_abandoned(state: FakeState, clock: Clock):
-    leadership = make_leadership(state, clock, [grants, grants])
-    clock.tick(QUORUM_LEASE_S * 2)
+def test_a_vote_blocks_leases_for_the_replaced_key_until_its_election_is_abandoned(
+    store: ScriptedStore, clock: FakeClock
+):
+    leadership = make_leadership(store, clock, [grants, grants])
+    clock.advance(QUORUM_LEASE_S * 2)
     assert leadership.handle_peer_message({"t": "vote", "n": "n1", "replaces": 7, "campaign": 31})["ok"]
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     response = leadership.handle_peer_message({"t": "ping", "n": "n2", "tok": 7})
     assert not response["ok"] and response["replaced"]
     leadership.handle_peer_message({"t": "release", "n": "n1", "unwritten": 7})
--- a/tests/leadership/test_vote_grant.py
+++ b/tests/leadership/test_vote_grant.py
@@ -1,34 +1,34 @@
 """Votes and quorum leases: a node grants them to one leader or candidate at a time."""
 
 import pytest
-from conftest import Clock
+from conftest import FakeClock
 
 from hookwall.leadership.vote_grant import QUORUM_LEASE_S, VOTE_GRANT_S, ObservedLeaderKey, VoteGrant
 
 
 @pytest.fixture
-def grant(clock: Clock) -> VoteGrant:
+def grant(clock: FakeClock) -> VoteGrant:
     grant = VoteGrant("n0", clock)
-    clock.tick(QUORUM_LEASE_S * 2)
+    clock.advance(QUORUM_LEASE_S * 2)
     return grant
 
 
-def test_a_grant_excludes_other_nodes_until_it_expires(grant: VoteGrant, clock: Clock):
+def test_a_grant_excludes_other_nodes_until_it_expires(grant: VoteGrant, clock: FakeClock):
     assert grant.renew_lease("n1", 7)
     assert not grant.grant_vote("n2") and not grant.renew_lease("n2", 8)
-    clock.tick(QUORUM_LEASE_S + 0.01)
+    clock.advance(QUORUM_LEASE_S + 0.01)
     assert grant.grant_vote("n2")
 
 
-def test_an_older_fencing_token_never_gets_a_quorum_lease_again(grant: VoteGrant, clock: Clock):
+def test_an_older_fencing_token_never_gets_a_quorum_lease_again(grant: VoteGrant, clock: FakeClock):
     assert grant.renew_lease("n1", 7)
-    clock.tick(QUORUM_LEASE_S + 0.01)
+    clock.advance(QUORUM_LEASE_S + 0.01)
     assert grant.renew_lease("n2", 8)
-    clock.tick(QUORUM_LEASE_S + 0.01)
+    clock.advance(QUORUM_LEASE_S + 0.01)
     assert not grant.renew_lease("n1", 7)
 
 
-def test_a_restarted_node_grants_nothing_that_conflicts_with_a_forgotten_grant(clock: Clock):
+def test_a_restarted_node_grants_nothing_that_conflicts_with_a_forgotten_grant(clock: FakeClock):
     grant = VoteGrant("n0", clock)
     grant.observed_key = ObservedLeaderKey("n1", 7)
     assert not grant.grant_vote("n2"), "it may have granted n1 a lease just before it restarted"
@@ -39,11 +39,11 @@
     assert grant.renew_lease("n1", 7)
     grant = VoteGrant("n0", clock)
     grant.observed_key = ObservedLeaderKey("n1", 7)
-    clock.tick(QUORUM_LEASE_S * 1.1)
+    clock.advance(QUORUM_LEASE_S * 1.1)
     assert grant.grant_vote("n2")
 
 
-def test_without_a_leader_key_a_restarted_node_may_vote_at_once(clock: Clock):
+def test_without_a_leader_key_a_restarted_node_may_vote_at_once(clock: FakeClock):
     grant = VoteGrant("n0", clock)
     assert not grant.grant_vote("n1"), "the key has not been read yet"
     grant.observed_key = ObservedLeaderKey("", 0)
@@ -59,21 +59,21 @@
     assert grant.grant_vote("n2")
 
 
-def test_a_voter_for_a_replacement_never_grants_the_former_leader_a_lease_again(grant: VoteGrant, clock: Clock):
+def test_a_voter_for_a_replacement_never_grants_the_former_leader_a_lease_again(grant: VoteGrant, clock: FakeClock):
     """The candidate's write may be executed at any later time; the vote itself expires after VOTE_GRANT_S."""
     grant.renew_lease("n1", 7)
-    clock.tick(QUORUM_LEASE_S + 0.01)
+    clock.advance(QUORUM_LEASE_S + 0.01)
     assert grant.grant_vote("n2", replaces_version=7)
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     assert not grant.renew_lease("n1", 7)
     assert grant.renew_lease("n2", 8)
 
 
-def test_an_abandoned_election_lets_the_former_leader_get_leases_again(grant: VoteGrant, clock: Clock):
+def test_an_abandoned_election_lets_the_former_leader_get_leases_again(grant: VoteGrant, clock: FakeClock):
     grant.grant_vote("n2", replaces_version=7, election_id=21)
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     grant.grant_vote("n0", replaces_version=7, election_id=1)
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     grant.clear_replacement("n2", 21)
     assert not grant.renew_lease("n1", 7), "another candidate may still replace it"
     grant.clear_replacement("n0", 2)
@@ -82,17 +82,17 @@
     assert grant.renew_lease("n1", 7)
 
 
-def test_an_abandoned_election_does_not_clear_a_later_one(grant: VoteGrant, clock: Clock):
+def test_an_abandoned_election_does_not_clear_a_later_one(grant: VoteGrant, clock: FakeClock):
     """The late message says that the first election failed; the write of the second one may still be executed."""
     grant.grant_vote("n2", replaces_version=7, election_id=21)
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     grant.grant_vote("n2", replaces_version=7, election_id=22)
-    clock.tick(VOTE_GRANT_S + 0.01)
+    clock.advance(VOTE_GRANT_S + 0.01)
     grant.clear_replacement("n2", 21)
     assert not grant.renew_lease("n1", 7)
 
 
-def test_a_restarted_voter_does_not_mistake_a_late_key_for_that_of_an_earlier_process(clock: Clock):
+def test_a_restarted_voter_does_not_mistake_a_late_key_for_that_of_an_earlier_process(clock: FakeClock):
     grant = VoteGrant("n2", clock)
     grant.observed_key = ObservedLeaderKey("n0", 9)
     assert not grant.grant_vote("n0", replaces_version=9, proves_leader_gone=False)
--- a/tests/node/test_cost.py
+++ b/tests/node/test_cost.py
@@ -5,7 +5,7 @@
 from types import FrameType
 
 import pytest
-from harness.fake_clock import Clock
+from harness.fake_clock import FakeClock
 from harness.leading_node import leading, report
 
 from hookwall.config.platform import PlatformParameters
@@ -32,7 +32,7 @@
 
 
 @pytest.fixture
-def fleets(params: PlatformParameters, clock: Clock) -> list[Node]:
+def fleets(params: PlatformParameters, clock: FakeClock) -> list[Node]:
     """Leaders of a small and of a large fleet."""
     return [leading(params, clock, machines) for machines in FLEET_SIZES]
 
