--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from harness.fake_clock import Clock
+from harness.fake_clock import FakeClock
 from harness.leading_node import make_leader, unstarted_node
 from harness.submissions import description
 
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture
-def node(params: PlatformParameters, clock: Clock) -> Node:
+def node(params: PlatformParameters, clock: FakeClock) -> Node:
     return unstarted_node(params, clock)
 
 
@@ -34,29 +34,29 @@
     )
 
 
-def begin_leading(node: Node, clock: Clock, fencing_token: int = 5) -> None:
+def begin_leading(node: Node, clock: FakeClock, fencing_token: int = 5) -> None:
     """Make the node a valid leader that has read the records."""
     make_leader(node, clock, fencing_token)
     node.fleet.reset(fencing_token)
     node.cancellations.confirm_records_read(clock())
 
 
-def test_a_leader_without_quorum_or_session_lease_answers_heartbeats_with_503(node: Node, clock: Clock):
+def test_a_leader_without_quorum_or_session_lease_answers_heartbeats_with_503(node: Node, clock: FakeClock):
     begin_leading(node, clock)
     status, body = asyncio.run(node.respond_to_heartbeat(heartbeat(1)))
     assert status == 200 and msgspec.json.decode(body)["mandate"] == 5
     # Only workers reach the leader, so neither its quorum lease nor its session lease is renewed.
-    clock.tick(QUORUM_LEASE_S)
+    clock.advance(QUORUM_LEASE_S)
     status, body = asyncio.run(node.respond_to_heartbeat(heartbeat(2, fencing_token=5)))
     assert (status, body) == (503, b"{}")
     # A 503 does not count as a response: the lease of this worker still counts from the first response.
     assert node.fleet.machines["vm-1"].last_response_at == clock() - QUORUM_LEASE_S
 
 
-def test_a_delayed_older_heartbeat_does_not_renew_the_lease(node: Node, clock: Clock):
+def test_a_delayed_older_heartbeat_does_not_renew_the_lease(node: Node, clock: FakeClock):
     begin_leading(node, clock)
     assert asyncio.run(node.respond_to_heartbeat(heartbeat(3, fencing_token=5)))[0] == 200
-    clock.tick(2.0)
+    clock.advance(2.0)
     assert asyncio.run(node.respond_to_heartbeat(heartbeat(2, fencing_token=5)))[0] == 503
     assert node.fleet.machines["vm-1"].last_response_at == clock() - 2.0
 
@@ -71,14 +71,14 @@
     assert status == 421 and msgspec.json.decode(body) == {"overseer": "n1"}
 
 
-def test_a_leader_that_missed_changes_assumes_that_every_lease_was_renewed_until_now(node: Node, clock: Clock):
+def test_a_leader_that_missed_changes_assumes_that_every_lease_was_renewed_until_now(node: Node, clock: FakeClock):
     """Guards against acting on expired leases after the watch has missed changes.
 
     The store keeps the last 10,000 changes only. A lease delegate's key may have been created and deleted among the
     changes before those.
     """
     begin_leading(node, clock)
-    clock.tick(100.0)
+    clock.advance(100.0)
 
     async def scan(prefix):
         return [(keys.LEADER_KEY, {"node": "n0"}, 5)], 20_000
@@ -95,11 +95,11 @@
     )
 
 
-def test_leases_count_from_the_start_of_the_current_validity_period(node: Node, clock: Clock):
+def test_leases_count_from_the_start_of_the_current_validity_period(node: Node, clock: FakeClock):
     begin_leading(node, clock)
     assert asyncio.run(node.respond_to_heartbeat(heartbeat(1)))[0] == 200
     previous_valid_since = node.fleet.valid_since
-    clock.tick(QUORUM_LEASE_S + 1.0)
+    clock.advance(QUORUM_LEASE_S + 1.0)
     node.leadership.report_validity_lapse()
     node.leadership.quorum_acks["n1"] = clock()
     node.leadership.vote_grant.expires_at = clock() + QUORUM_LEASE_S
--- a/tests/pipeline_histories.py
+++ b/tests/pipeline_histories.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from harness.simulation import Simulation
-from histories import History, Invariants, broken_in, play_range
+from histories import History, Invariants, play_range, run_history
 
 from hookwall.config.platform import StoreLimits, UpcomingStoreLimits
 from hookwall.storage.storage_version import StorageVersion
@@ -81,12 +81,12 @@
             await asyncio.sleep(0.5)
         await asyncio.sleep(self.span(0.0, 30.0))
         self.note("key-value store limits lowered")
-        self.simulation.service.lower_limits()
+        self.simulation.store.lower_limits()
 
     async def block_watch_long(self) -> None:
         """Block the watch of one node for longer than a cancellation may take (`cancel_s`)."""
         await self._add_temporarily(
-            self.simulation.service.watch_blocked, self.random_node(), "watch blocked", 38.0, 70.0
+            self.simulation.store.watch_blocked, self.random_node(), "watch blocked", 38.0, 70.0
         )
 
     def kinds(self) -> list[Callable[[], Any]]:
@@ -124,7 +124,7 @@
         for n in range(first, first + self.random.randint(2, 6)):
             needs = self.random.sample(job_ids, min(len(job_ids), self.random.choice([0, 1, 1, 2, 3])))
             pieces = self.random.choice([1, 1, 2, 30])
-            job_id = self.simulation.job(
+            job_id = self.simulation.define_job(
                 n, run_s=self.span(1.0, 12.0), awaits=needs or None, pieces=pieces,
                 cards=0.0 if pieces > 2 else 1.0, cores=1.0, memGb=1.0, rank=self.random.choice(["low", "urgent"]),
                 hulls=["g4", *(f"type-{k * 7919 ** 3}" for k in range(60))] if self.random.random() < 0.2 else None,
@@ -135,18 +135,18 @@
             if self.random.random() < 0.2:
                 await asyncio.sleep(self.span(0.0, 3.0))
                 victim = self.random.choice(job_ids)
-                self.simulation.go(self.cancel(victim))
+                self.simulation.run_in_background(self.cancel(victim))
             if self.random.random() < 0.3:
                 await asyncio.sleep(self.random.choice([self.span(0.0, 15.0), self.span(30.0, 50.0)]))
 
     async def plain_jobs(self, first: int) -> None:
         """Submit jobs without dependencies, also while nodes with older programs are up."""
         for n in range(first, first + 6):
-            job_id = self.simulation.job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
+            job_id = self.simulation.define_job(n, run_s=self.span(2.0, 25.0), pieces=self.random.choice([1, 2]))
             self.job_ids.append(job_id)
             await self.submit(job_id)
             if self.random.random() < 0.2:
-                self.simulation.go(self.cancel(job_id))
+                self.simulation.run_in_background(self.cancel(job_id))
             await asyncio.sleep(self.span(0.0, 8.0))
 
     async def poll_at_random(self) -> None:
@@ -155,7 +155,7 @@
             await asyncio.sleep(0.4)
             node = self.random_running_node()
             if node is not None and self.job_ids:
-                self.simulation.go(self.simulation.poll(node, self.random.choice(self.job_ids)))
+                self.simulation.run_in_background(self.simulation.poll(node, self.random.choice(self.job_ids)))
 
     async def late_dependents(self) -> None:
         """Submit jobs that depend on jobs accepted at any earlier time, which may be in any state."""
@@ -164,7 +164,7 @@
             accepted = [job_id for job_id in self.job_ids if self.simulation.jobs[job_id].accepted]
             if len(self.upgraded_nodes) < len(self.simulation.names) or not accepted:
                 continue
-            job_id = self.simulation.job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
+            job_id = self.simulation.define_job(n, run_s=2.0, awaits=[self.random.choice(accepted)])
             self.job_ids.append(job_id)
             await self.submit(job_id)
 
@@ -172,15 +172,19 @@
 
     async def play(self, simulation: Simulation) -> None:
         """Run the history: users, faults, an upgrade and lowered limits, then check that all jobs end."""
-        simulation.cloud.room = 200  # replaces machines that are deleted after a long idle time
-        polling = simulation.go(self.poll_at_random())
-        users = [simulation.go(self.plain_jobs(1)), *(simulation.go(self.pipeline(100 * k)) for k in range(1, 4))]
-        users.append(simulation.go(self.late_dependents()))
-        maintenance = [simulation.go(self.lower_limits())]
+        simulation.cloud.available_machines = 200  # replaces machines that are deleted after a long idle time
+        polling = simulation.run_in_background(self.poll_at_random())
+        users = [
+            simulation.run_in_background(self.plain_jobs(1)),
+            *(simulation.run_in_background(self.pipeline(100 * k)) for k in range(1, 4)),
+        ]
+        users.append(simulation.run_in_background(self.late_dependents()))
+        maintenance = [simulation.run_in_background(self.lower_limits())]
         if self.initial_format:
-            maintenance.append(simulation.go(self.upgrade()))
+            maintenance.append(simulation.run_in_background(self.upgrade()))
         faults = [
-            simulation.go(self._begin(self.random.choice(self.kinds()))) for _ in range(self.random.randint(2, 5))
+            simulation.run_in_background(self._begin(self.random.choice(self.kinds())))
+            for _ in range(self.random.randint(2, 5))
         ]
         await asyncio.gather(*faults, *maintenance)
         await asyncio.sleep(QUIET_PERIOD_S)
@@ -189,7 +193,7 @@
         await self._check_all_end(simulation)
         for node in simulation.nodes.values():
             if not node.storage_version.supported_by_all(StorageVersion.NUMBERED_MACHINES):
-                simulation.broken.append("a node does not know that all nodes are upgraded")
+                simulation.violations.append("a node does not know that all nodes are upgraded")
 
     async def _begin(self, fault: Callable[[], Any]) -> None:
         """Inject a fault at a random time of the fault window."""
@@ -208,20 +212,22 @@
                 if (await simulation.poll(node, job_id))[1] in ("done", "withdrawn"):
                     remaining.discard((node, job_id))
             await asyncio.sleep(1.0)
-        simulation.broken.extend(f"forgotten: {job_id} has not ended at {node}" for node, job_id in sorted(remaining))
+        simulation.violations.extend(
+            f"forgotten: {job_id} has not ended at {node}" for node, job_id in sorted(remaining)
+        )
         for job_id in self.job_ids:
             needs = [simulation.jobs[need].final for need in simulation.jobs[job_id].needs()]
             if simulation.jobs[job_id].final == "done" and any(final != "done" for final in needs):
-                simulation.broken.append(f"too_early: {job_id} is done, its dependencies are {needs}")
+                simulation.violations.append(f"too_early: {job_id} is done, its dependencies are {needs}")
             if simulation.jobs[job_id].final != "withdrawn" and "withdrawn" in needs:
-                simulation.broken.append(f"orphaned: {job_id} is {simulation.jobs[job_id].final}")
+                simulation.violations.append(f"orphaned: {job_id} is {simulation.jobs[job_id].final}")
 
 
-def broken_by(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
+def violations_of_seed(seed: int, quiet: bool = True) -> tuple[int, list[str], list[str]]:
     """Run the history of a seed; return the seed, the violations and the log of the faults."""
     old = initial_format(seed)
-    return broken_in(PipelineHistory, Invariants, seed, quiet, machines=MACHINES, old=old, state=STORE_LIMITS)
+    return run_history(PipelineHistory, Invariants, seed, quiet, machines=MACHINES, old=old, state=STORE_LIMITS)
 
 
 if __name__ == "__main__":
-    sys.exit(play_range(broken_by, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(play_range(violations_of_seed, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/protocol/test_peer_messages.py
+++ b/tests/protocol/test_peer_messages.py
@@ -1,7 +1,7 @@
 """Messages between nodes: fields that can't be decoded count as missing, and fields that are not set are not sent."""
 
 import pytest
-from conftest import Clock, FakeState
+from conftest import FakeClock, ScriptedStore
 
 from hookwall.leadership.leadership import Leadership
 from hookwall.protocol.peer_messages import (
@@ -43,9 +43,9 @@
     assert decode_message({**HEARTBEAT, **change}) is None and decode_message({}) is None
 
 
-def test_a_message_of_unknown_kind_is_refused_with_the_status_of_this_node(clock: Clock, state: FakeState):
-    state.last_response_at = clock()
-    leadership = Leadership("n0", 3, [], state, clock, None, lambda role: None)
+def test_a_message_of_unknown_kind_is_refused_with_the_status_of_this_node(clock: FakeClock, store: ScriptedStore):
+    store.last_response_at = clock()
+    leadership = Leadership("n0", 3, [], store, clock, None, lambda role: None)
     leadership.exchange.local_status = lambda: PeerStatus(4, False)
     answer = decode_response(leadership.handle_peer_message({"t": "sing", "n": "n1"}))
     assert (
--- a/tests/scheduling/test_image_affinity.py
+++ b/tests/scheduling/test_image_affinity.py
@@ -34,7 +34,7 @@
     assert second.allocations and not first.allocations
     # The first job declines the machine for a limited time only.
     cluster.fleet.release_allocation(second, second.allocations[0], "halted")
-    cluster.clock.tick(8.0)
+    cluster.clock.advance(8.0)
     send_heartbeats(cluster, "vm-1")
     cluster.scheduler.run_round()
     assert first.allocations
@@ -63,7 +63,7 @@
     # The first gang declines the machines for a limited time only: the fetch takes 20 s.
     for a in list(second.allocations.values()):
         cluster.fleet.release_allocation(second, a, "halted")
-    cluster.clock.tick(25.0)
+    cluster.clock.advance(25.0)
     send_heartbeats(cluster, "vm-1", "vm-2")
     cluster.scheduler.run_round()
     assert len(first.allocations) == 2
@@ -72,7 +72,7 @@
 def test_a_gang_that_would_miss_the_latest_start_of_its_class_yields_no_machines(cluster: Cluster):
     cluster.scheduler.latest_start_s["k"] = 60.0
     first, second = submit_competing_gangs(cluster)
-    cluster.clock.tick(45.0)  # the gang has waited for 43 s, including the time under earlier leaders
+    cluster.clock.advance(45.0)  # the gang has waited for 43 s, including the time under earlier leaders
     send_heartbeats(cluster, "vm-1", "vm-2")
     for queued in cluster.scheduler.waiting.values():
         queued.waiting_since = queued.last_served_at = cluster.clock()
@@ -93,7 +93,7 @@
     full.mark_task_done(0)
     cluster.scheduler.run_round()
     assert len(second.allocations) == 1 and not first.allocations
-    cluster.clock.tick(15.0)
+    cluster.clock.advance(15.0)
     send_heartbeats(cluster, "vm-1")
     cluster.fleet.release_allocation(full, full.allocations[1], "done")
     full.mark_task_done(1)
--- a/tests/scheduling/test_reservations.py
+++ b/tests/scheduling/test_reservations.py
@@ -11,7 +11,7 @@
     cluster.store()
     gang = cluster.submit(2, shape="ensemble", cards=4.0)
     cluster.scheduler.run_round()
-    cluster.clock.tick(1.5)
+    cluster.clock.advance(1.5)
     send_heartbeats(cluster, "vm-1")
     later = cluster.submit(3, pieces=2)
     cluster.scheduler.run_round()
@@ -23,7 +23,7 @@
     send_heartbeats(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
-        cluster.clock.tick(5.0)
+        cluster.clock.advance(5.0)
         send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(gang.allocations) == 1
@@ -41,7 +41,7 @@
     cluster.scheduler.run_round()
     gang = cluster.submit(4, shape="ensemble", pieces=2, cards=4.0, samePlace=True)
     cluster.scheduler.run_round()
-    cluster.clock.tick(2.0)
+    cluster.clock.advance(2.0)
     for name, zone in (("e1", "east"), ("e2", "east"), ("w1", "west"), ("w2", "west")):
         cluster.beat(name, zone=zone)
     cluster.scheduler.run_round()
@@ -61,7 +61,7 @@
     cluster.scheduler.run_round()
     gangs = [cluster.submit(n, shape="ensemble", pieces=2, cards=4.0) for n in (2, 3, 4)]
     cluster.scheduler.run_round()
-    cluster.clock.tick(1.5)
+    cluster.clock.advance(1.5)
     send_heartbeats(cluster, "vm-1", "vm-2", "vm-3", "vm-4")
     state = cluster.scheduler.round_state(cluster.clock())
     for gang in gangs:
@@ -80,7 +80,7 @@
     gang = cluster.submit(2, shape="ensemble", cards=4.0)
     cluster.scheduler.run_round()
     for a in [a for a in old.allocations.values() if a.machine == "vm-1"]:
-        cluster.clock.tick(1.0)
+        cluster.clock.advance(1.0)
         old.mark_task_done(a.task)
         cluster.fleet.release_allocation(old, a, "done")
         send_heartbeats(cluster, "vm-1", "vm-2")
@@ -101,7 +101,7 @@
     cluster.scheduler.run_round()
     assert len(old.allocations) == 3 and not gang.allocations
     for _ in range(40):
-        cluster.clock.tick(2.0)
+        cluster.clock.advance(2.0)
         send_heartbeats(cluster, "vm-1")
         cluster.scheduler.run_round()
     assert len(old.allocations) == 4, "the gang lacks a second machine, and the array is starving"
@@ -112,7 +112,7 @@
     send_heartbeats(cluster, "vm-1", "vm-2")
     gang = cluster.submit(1, shape="ensemble", cards=4.0)
     for _ in range(60):
-        cluster.clock.tick(5.0)
+        cluster.clock.advance(5.0)
         send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(gang.allocations) == 1
@@ -120,7 +120,7 @@
     cluster.scheduler.run_round()
     assert not array.allocations
     for _ in range(44):
-        cluster.clock.tick(2.0)
+        cluster.clock.advance(2.0)
         send_heartbeats(cluster, "vm-1", "vm-2")
         cluster.scheduler.run_round()
     assert len(array.allocations) == 4
@@ -131,14 +131,14 @@
     send_heartbeats(cluster, "vm-1")
     gang = cluster.submit(1, shape="ensemble", pieces=2, cards=4.0, rank="urgent")
     cluster.scheduler.run_round()
-    cluster.clock.tick(2.0)
+    cluster.clock.advance(2.0)
     send_heartbeats(cluster, "vm-1")
     cluster.scheduler.run_round()
     later = cluster.submit(2, rank="low")
     waited = 0.0
     while not later.allocations:
         cluster.scheduler.run_round()
-        cluster.clock.tick(2.0)
+        cluster.clock.advance(2.0)
         waited += 2.0
         send_heartbeats(cluster, "vm-1")
         assert waited < 90.0
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -39,7 +39,7 @@
     place = machine_selection.place
 
     def slow_place(request, machines):
-        cluster.clock.tick(cluster.scheduler.budget_s / 3)
+        cluster.clock.advance(cluster.scheduler.budget_s / 3)
         return place(request, machines)
 
     monkeypatch.setattr(machine_selection, "place", slow_place)
@@ -92,7 +92,7 @@
     cluster.scheduler.run_round()
     assert not job.allocations
     for _ in range(40):
-        cluster.clock.tick(2.0)
+        cluster.clock.advance(2.0)
         send_heartbeats(cluster, "vm-1")
         cluster.scheduler.run_round()
     assert len(job.allocations) == 1
--- a/tests/storage/test_compatibility.py
+++ b/tests/storage/test_compatibility.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from conftest import Clock, FakeState, description
+from conftest import FakeClock, ScriptedStore, description
 from production import misread
 
 from hookwall.jobs.job_table import JobTable
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN_1["jobs"]))
-def test_a_version_1_record_is_read_and_written_back_unchanged(name, clock: Clock):
+def test_a_version_1_record_is_read_and_written_back_unchanged(name, clock: FakeClock):
     value = GOLDEN_1["jobs"][name]
     assert misread(value) == []
     job_id = "run-000003"
@@ -63,7 +63,7 @@
         assert stored(job_records.encode_record(job_id, job.record(), None).value) == value
 
 
-def test_running_and_pending_tasks_are_read_from_a_version_1_record(clock: Clock):
+def test_running_and_pending_tasks_are_read_from_a_version_1_record(clock: FakeClock):
     table = JobTable(clock)
     table.apply_record(keys.JOB_PREFIX + "run-000003", GOLDEN_1["jobs"]["under_way"], 7)
     job = table.jobs["run-000003"]
@@ -71,7 +71,7 @@
     assert job.pending_tasks(20) == [5, 6, 8] and job.submitted_at == 1_700_000_000.25
 
 
-def test_version_1_records_contain_no_field_that_version_1_programs_drop(clock: Clock):
+def test_version_1_records_contain_no_field_that_version_1_programs_drop(clock: FakeClock):
     table = JobTable(clock)
     table.apply_record(keys.JOB_PREFIX + "run-000001", GOLDEN_1["jobs"]["accepted"], 7)
     job = table.jobs["run-000001"]
@@ -86,8 +86,8 @@
     assert misread(job_records.encode_plain(record)) == ["unknown field spec.awaits"]
 
 
-def test_version_1_keys_of_leader_lease_delegates_and_catalog_are_read(clock: Clock, state: FakeState):
-    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+def test_version_1_keys_of_leader_lease_delegates_and_catalog_are_read(clock: FakeClock, store: ScriptedStore):
+    leadership = Leadership("n1", 3, [], store, clock, None, lambda role: None)
     leadership.observe_leader_key(GOLDEN_1["leader_key"], 9)
     assert (leadership.leader_key.leader, leadership.leader_key.version, leadership.leader_key.lease_mode) == (
         "n0",
@@ -103,14 +103,14 @@
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN_1["messages"]))
-def test_responses_to_version_1_messages_are_readable_by_version_1(kind, clock: Clock, state: FakeState):
-    state.last_response_at = clock()
-    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+def test_responses_to_version_1_messages_are_readable_by_version_1(kind, clock: FakeClock, store: ScriptedStore):
+    store.last_response_at = clock()
+    leadership = Leadership("n1", 3, [], store, clock, None, lambda role: None)
     leadership.exchange.local_status = lambda: PeerStatus(2, False)
     leadership.exchange.rate_demand = lambda: [1.0, 1.0]
     leadership.exchange.on_cancellations_announced = lambda jobs: False
     leadership.exchange.known_cancellations = lambda revision: KnownCancellations([("run-000003", 12)], True)
-    clock.tick(6.0)
+    clock.advance(6.0)
     answer = leadership.handle_peer_message(GOLDEN_1["messages"][kind])
     golden = GOLDEN_1["answers"][kind]
     assert golden.keys() <= answer.keys()
@@ -119,8 +119,8 @@
             assert isinstance(answer[name], type(value)) or {type(value), type(answer[name])} <= {int, float}
 
 
-def test_version_1_responses_are_accepted(clock: Clock, state: FakeState):
-    leadership = Leadership("n0", 3, [], state, clock, None, lambda role: None)
+def test_version_1_responses_are_accepted(clock: FakeClock, store: ScriptedStore):
+    leadership = Leadership("n0", 3, [], store, clock, None, lambda role: None)
     reported_statuses: list[PeerStatus] = []
     leadership.exchange.on_peer_status = lambda node, status: reported_statuses.append(status)
 
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(GOLDEN_2["jobs"]))
-def test_a_version_2_record_is_read_and_written_back_with_the_same_content(name, clock: Clock):
+def test_a_version_2_record_is_read_and_written_back_with_the_same_content(name, clock: FakeClock):
     value = GOLDEN_2["jobs"][name]
     job_id = "run-000006"  # the job whose record is in chunks
     record = job_records.decode_record(job_id, value, GOLDEN_2["parts"].get)
@@ -188,7 +188,7 @@
     assert not job.record_unreadable
 
 
-def test_the_content_of_version_2_records_is_read(clock: Clock):
+def test_the_content_of_version_2_records_is_read(clock: FakeClock):
     table = JobTable(clock)
     for number, name in enumerate(("done", "dependent", "under_way"), 1):
         table.apply_record(f"{keys.JOB_PREFIX}run-{number:06d}", GOLDEN_2["jobs"][name], 7 + number)
@@ -197,8 +197,8 @@
     assert table.jobs["run-000003"].stored_starts == {task: (f"vm-{231 + task:06d}", 2) for task in (1, 4, 7)}
 
 
-def test_version_2_keys_of_leader_lease_delegates_markers_and_catalog_are_read(clock: Clock, state: FakeState):
-    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+def test_version_2_keys_of_leader_lease_delegates_markers_and_catalog_are_read(clock: FakeClock, store: ScriptedStore):
+    leadership = Leadership("n1", 3, [], store, clock, None, lambda role: None)
     leadership.observe_leader_key(GOLDEN_2["leader_key"], 9)
     assert (leadership.leader_key.leader, leadership.leader_key.version, leadership.leader_key.lease_mode) == (
         "n0",
@@ -207,7 +207,7 @@
     )
     assert decode_machines(GOLDEN_2["keep"]["plain"]) == {"vm-000231", "vm-000232"}
     assert decode_machines(GOLDEN_2["keep"]["packed"]) == {f"vm-{n:06d}" for n in range(231, 431)}
-    gate = StorageVersionGate("n0", [], state)
+    gate = StorageVersionGate("n0", [], store)
     gate.apply_marker(keys.STORAGE_VERSION_PREFIX + "n0", GOLDEN_2["marker"], 3)
     assert gate.allows_dependencies() and not gate.allows_numbered_machines()
     assert (
@@ -217,14 +217,14 @@
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN_2["messages"]))
-def test_responses_to_version_2_messages_are_readable_by_version_2(kind, clock: Clock, state: FakeState):
-    state.last_response_at = clock()
-    leadership = Leadership("n1", 3, [], state, clock, None, lambda role: None)
+def test_responses_to_version_2_messages_are_readable_by_version_2(kind, clock: FakeClock, store: ScriptedStore):
+    store.last_response_at = clock()
+    leadership = Leadership("n1", 3, [], store, clock, None, lambda role: None)
     leadership.exchange.local_status = lambda: PeerStatus(3, False)
     leadership.exchange.rate_demand = lambda: [1.0, 1.0]
     leadership.exchange.on_cancellations_announced = lambda jobs: False
     leadership.exchange.known_cancellations = lambda revision: KnownCancellations([("run-000003", 12)], True)
-    clock.tick(6.0)
+    clock.advance(6.0)
     answer = stored(leadership.handle_peer_message(GOLDEN_2["messages"][kind]))
     golden = GOLDEN_2["answers"][kind]
     assert answer.keys() - golden.keys() <= {"fence"}
--- a/tests/storage/test_rate_shares.py
+++ b/tests/storage/test_rate_shares.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import Clock
+from conftest import FakeClock
 from key_value_stub import LOWER_LIMITS, NODES, store_with
 
 from hookwall.config.platform import PlatformParameters
@@ -11,30 +11,30 @@
 from hookwall.storage.rate_limit import TokenBucket
 
 
-def test_a_refused_reservation_takes_no_tokens(clock: Clock):
+def test_a_refused_reservation_takes_no_tokens(clock: FakeClock):
     bucket = TokenBucket(10.0, 5.0, clock)
     assert bucket.reserve(5.0) == 0.0
     for _ in range(100):
         assert bucket.reserve(24.0, max_wait_s=1.0) is None
-    clock.tick(0.5)
+    clock.advance(0.5)
     assert bucket.reserve(5.0, max_wait_s=1.0) == 0.0
 
 
-def test_the_shares_of_all_nodes_together_stay_below_the_limits(params: PlatformParameters, clock: Clock):
+def test_the_shares_of_all_nodes_together_stay_below_the_limits(params: PlatformParameters, clock: FakeClock):
     shares = [store_with(params.state, clock).rate_shares for _ in range(NODES)]
     shares[0].set_leading(True)
     assert sum(share.changes.rate for share in shares) < params.state.write_rps
     assert sum(share.requests.rate for share in shares) < params.state.rps
 
 
-def test_a_leader_lends_rates_on_demand_and_gets_them_back_on_expiry(params: PlatformParameters, clock: Clock):
+def test_a_leader_lends_rates_on_demand_and_gets_them_back_on_expiry(params: PlatformParameters, clock: FakeClock):
     # Guards against slow intake on a follower. After the other nodes had crashed, all users connected to one follower,
     # and with its tenth of the changes new jobs were accepted 20 s late.
     leader, busy, idle = shares = [store_with(params.state, clock).rate_shares for _ in range(NODES)]
     leader.set_leading(True)
     own = busy.changes.rate
     for _ in range(40):
-        clock.tick(0.1)
+        clock.advance(0.1)
         busy.demand.record(1.0, 1.0)
     busy.borrow_rates(leader.lend_rates("busy", busy.demand.rates_per_s()))
     idle.borrow_rates(leader.lend_rates("idle", idle.demand.rates_per_s()))
@@ -43,7 +43,7 @@
     assert sum(share.requests.rate for share in shares) < params.state.rps
     assert leader.changes.rate >= 0.4 * params.state.write_rps - 1e-6
     # No peer asks for another loan: the follower stops using the lent rates first, then the leader gets its share back.
-    clock.tick(2.6)
+    clock.advance(2.6)
     for share in shares:
         share._end_expired_loans()
     assert busy.changes.rate == own and leader.changes.rate > 0.7 * params.state.write_rps
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("malformed", [None, 3, [1.0], ["a", "b"], [float("nan"), float("inf")], [-1.0, -1.0]])
-def test_malformed_rates_from_a_peer_are_ignored(params: PlatformParameters, clock: Clock, malformed):
+def test_malformed_rates_from_a_peer_are_ignored(params: PlatformParameters, clock: FakeClock, malformed):
     share = store_with(params.state, clock).rate_shares
     share.set_leading(True)
     before = share.changes.rate
@@ -65,7 +65,7 @@
     assert share.changes.rate == before
 
 
-def test_a_batch_is_no_larger_than_the_rate_limit_allows(params: PlatformParameters, clock: Clock):
+def test_a_batch_is_no_larger_than_the_rate_limit_allows(params: PlatformParameters, clock: FakeClock):
     store = store_with(params.state, clock)
     store.rate_shares.set_leading(True)
     changes = store.rate_shares.changes
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("response", [(429, b""), (400, b'{"error":"value too large"}')])
-def test_the_first_rejection_by_a_limit_applies_the_announced_limits(clock: Clock, response):
+def test_the_first_rejection_by_a_limit_applies_the_announced_limits(clock: FakeClock, response):
     store = store_with(LOWER_LIMITS, clock, response)
     store.rate_shares.set_leading(True)
     before = store.rate_shares.changes.rate
--- a/tests/storage/test_storage_version.py
+++ b/tests/storage/test_storage_version.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import FakeState
+from conftest import ScriptedStore
 
 from hookwall.storage import keys
 from hookwall.storage.storage_version import CURRENT_VERSION, StorageVersion, StorageVersionGate
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def gate(state: FakeState):
-    return StorageVersionGate("n0", ["n1", "n2"], state)
+def gate(store: ScriptedStore):
+    return StorageVersionGate("n0", ["n1", "n2"], store)
 
 
 def apply_markers(gate: StorageVersionGate, *versions):
@@ -37,16 +37,16 @@
     assert gate.allows_numbered_machines()
 
 
-def test_a_marker_of_an_older_program_is_raised_and_never_lowered(gate: StorageVersionGate, state: FakeState):
+def test_a_marker_of_an_older_program_is_raised_and_never_lowered(gate: StorageVersionGate, store: ScriptedStore):
     """A program of version 2 has stored the node's marker.
 
     Programs of version 2 left an existing marker unchanged, whatever version a node's program stated.
     """
-    state.epoch = 20
-    state.keys[KEY + "n0"] = ({"format": 2}, 10)
+    store.revision = 20
+    store.keys[KEY + "n0"] = ({"format": 2}, 10)
     apply_markers(gate, 2, 2, 2)
     asyncio.run(run_briefly(gate.run()))
-    assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
+    assert store.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
     assert gate.markers["n0"].storage_version == CURRENT_VERSION
     gate.apply_marker(KEY + "n0", {"format": 2}, 99)
     assert gate.markers["n0"].storage_version == CURRENT_VERSION, (
@@ -56,9 +56,9 @@
     assert gate.markers["n0"].version == 99, "an older state of the marker is ignored"
 
 
-def test_an_unread_marker_is_read_before_it_is_raised(gate: StorageVersionGate, state: FakeState):
-    state.epoch = 20
-    state.keys[KEY + "n0"] = ({"format": 2}, 10)
+def test_an_unread_marker_is_read_before_it_is_raised(gate: StorageVersionGate, store: ScriptedStore):
+    store.revision = 20
+    store.keys[KEY + "n0"] = ({"format": 2}, 10)
 
     async def store_marker_twice():
         await gate._store_marker("n0", CURRENT_VERSION)
@@ -66,18 +66,18 @@
         await gate._store_marker("n0", CURRENT_VERSION)
 
     asyncio.run(store_marker_twice())
-    assert state.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
+    assert store.keys[KEY + "n0"][0] == {"format": CURRENT_VERSION}
 
 
 def test_the_marker_stored_for_a_peer_holds_the_version_that_the_peer_reported(
-    gate: StorageVersionGate, state: FakeState
+    gate: StorageVersionGate, store: ScriptedStore
 ):
     gate.record_reported_version("n1", 2)
     gate.record_reported_version("n2", 3)
     gate.record_reported_version("stranger", 3)
     gate.record_reported_version("n1", "3")
     asyncio.run(run_briefly(gate.run()))
-    stored = {key: value["format"] for key, (value, _) in state.keys.items()}
+    stored = {key: value["format"] for key, (value, _) in store.keys.items()}
     assert stored == {KEY + "n0": CURRENT_VERSION, KEY + "n1": 2, KEY + "n2": 3}
 
 
--- a/tests/storage/test_watch.py
+++ b/tests/storage/test_watch.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from conftest import Clock
+from conftest import FakeClock
 from key_value_stub import store_with
 
 from hookwall.config.platform import PlatformParameters
@@ -36,7 +36,7 @@
         return True
 
 
-def run_watch(params: PlatformParameters, clock: Clock, *responses: tuple[int, bytes]):
+def run_watch(params: PlatformParameters, clock: FakeClock, *responses: tuple[int, bytes]):
     """Run the watch until the responses are used up; return its progress and the events of its observer."""
     progress = WatchProgress()
     observer = RecordingObserver(progress)
@@ -46,7 +46,7 @@
     return progress, observer.events
 
 
-def test_changes_are_delivered_in_order_and_malformed_changes_are_skipped(params: PlatformParameters, clock: Clock):
+def test_changes_are_delivered_in_order_and_malformed_changes_are_skipped(params: PlatformParameters, clock: FakeClock):
     log = [
         {"set": "a", "value": 1, "stamp": 6},
         3,
@@ -59,7 +59,7 @@
     assert progress.known_revision() == 8
 
 
-def test_all_keys_are_read_again_after_the_store_compacted_changes(params: PlatformParameters, clock: Clock):
+def test_all_keys_are_read_again_after_the_store_compacted_changes(params: PlatformParameters, clock: FakeClock):
     responses = ((200, b'{"epoch":9,"log":[]}'), (410, b"{}"), (200, b'{"epoch":6,"log":[]}'))
     progress, events = run_watch(params, clock, *responses)
     assert events == [("read all",), ("current", clock()), ("read all",), ("current", clock())]
--- a/tests/workers/test_heartbeat_handler.py
+++ b/tests/workers/test_heartbeat_handler.py
@@ -61,7 +61,7 @@
     for i in range(6):
         name = f"vm-{i}"
         cluster.beat(name)
-        cluster.clock.tick(70.0)
+        cluster.clock.advance(70.0)
         cluster.beat(name)
         cluster.scheduler.run_round()
         cluster.store()
@@ -89,14 +89,14 @@
     assert submit_and_place(cluster, 1)
     # The worker receives no responses for longer than its lease, but its heartbeats still arrive.
     for epoch in (2, 3, 4):
-        cluster.clock.tick(15.0)
+        cluster.clock.advance(15.0)
         cluster.fleet.expire_leases(cluster.clock())
         cluster.beat("vm-1", tenure=epoch)
         assert not submit_and_place(cluster, 10 + epoch)
     assert cluster.fleet.machines["vm-1"].unresponsive, (
         "its heartbeats arrive, but it receives no responses, so it is replaced"
     )
-    cluster.clock.tick(2.0)
+    cluster.clock.advance(2.0)
     cluster.beat("vm-1", tenure=4)
     assert submit_and_place(cluster, 20)
 
@@ -105,7 +105,7 @@
     # A new leader has seen no newer heartbeat, so this one may be an old duplicate.
     cluster.beat("vm-1", token=3, tick=7)
     assert not submit_and_place(cluster, 1)
-    cluster.clock.tick(0.5)
+    cluster.clock.advance(0.5)
     cluster.beat("vm-1", token=5, tick=8)
     assert submit_and_place(cluster, 2)
 
@@ -115,14 +115,14 @@
     assert cluster.beat("vm-1", token=0, tick=1) == []
     cluster.scheduler.run_round()
     cluster.store()
-    cluster.clock.tick(0.5)
+    cluster.clock.advance(0.5)
     assert cluster.beat("vm-1", tick=2) == [("launch", f"{job.job_id}/0", 1)]
     # A new worker whose second heartbeat shows that it received no response gets no more tasks.
     cluster.submit(2, pieces=3)
     cluster.scheduler.run_round()
     cluster.beat("vm-2", token=0, tick=1)
     assert submit_and_place(cluster, 3)
-    cluster.clock.tick(5.0)
+    cluster.clock.advance(5.0)
     cluster.beat("vm-2", token=0, tick=2)
     assert not submit_and_place(cluster, 4)
 
@@ -130,7 +130,7 @@
 def test_delayed_heartbeat_of_earlier_epoch_releases_nothing(cluster: Cluster):
     job = start_job(cluster)
     cluster.beat("vm-1", tenure=2, tick=1)
-    cluster.clock.tick(1.0)
+    cluster.clock.advance(1.0)
     cluster.beat("vm-1", tenure=2, tick=2)
     cluster.scheduler.run_round()
     cluster.store()
--- a/tests/workers/test_lease_delegate.py
+++ b/tests/workers/test_lease_delegate.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from conftest import Clock, Cluster, FakeState
+from conftest import Cluster, FakeClock, ScriptedStore
 
 from hookwall.jobs.job_table import JobTable
 from hookwall.leadership.leadership import Leadership
@@ -18,16 +18,16 @@
 
 
 @pytest.fixture
-def follower(state: FakeState, clock: Clock) -> LeaseDelegate:
+def follower(store: ScriptedStore, clock: FakeClock) -> LeaseDelegate:
     async def load():
         return None
 
-    leadership = Leadership("n1", 3, [], state, clock, load, lambda role: None)
-    state.epoch = 7
-    state.keys[keys.LEADER_KEY] = ({"node": "n0"}, 7)
-    leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
-    clock.tick(LEADER_CONTACT_TIMEOUT_S + 1)
-    return LeaseDelegate("n1", leadership, state, JobTable(clock), lambda: True, clock)
+    leadership = Leadership("n1", 3, [], store, clock, load, lambda role: None)
+    store.revision = 7
+    store.keys[keys.LEADER_KEY] = ({"node": "n0"}, 7)
+    leadership.observe_leader_key(*store.keys[keys.LEADER_KEY])
+    clock.advance(LEADER_CONTACT_TIMEOUT_S + 1)
+    return LeaseDelegate("n1", leadership, store, JobTable(clock), lambda: True, clock)
 
 
 def heartbeat(token=7, tasks=(("run-000001/0", 1, "running"),), machine="vm-1") -> Heartbeat:
@@ -43,43 +43,45 @@
     )
 
 
-def test_worker_without_leader_is_answered_after_the_delegation_is_stored(follower: LeaseDelegate, state: FakeState):
+def test_worker_without_leader_is_answered_after_the_delegation_is_stored(
+    follower: LeaseDelegate, store: ScriptedStore
+):
     assert asyncio.run(follower.renew_lease(heartbeat())) == []
-    assert state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-1"]
+    assert store.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-1"]
 
 
 def test_renewal_requires_store_contact_lost_leader_tasks_and_valid_token(
-    follower: LeaseDelegate, state: FakeState, clock: Clock
+    follower: LeaseDelegate, store: ScriptedStore, clock: FakeClock
 ):
     assert asyncio.run(follower.renew_lease(heartbeat(token=8))) is None
     assert asyncio.run(follower.renew_lease(heartbeat(tasks=()))) is None
-    state.mode = "lost"
+    store.mode = "request_lost"
     assert asyncio.run(follower.renew_lease(heartbeat())) is None
-    state.mode = "ok"
+    store.mode = "ok"
     follower.leadership.leader_contact_at = clock()
     assert asyncio.run(follower.renew_lease(heartbeat())) is None
 
 
-def test_renewals_end_with_the_session_lease(follower: LeaseDelegate, clock: Clock):
+def test_renewals_end_with_the_session_lease(follower: LeaseDelegate, clock: FakeClock):
     asyncio.run(follower.renew_lease(heartbeat()))
     assert follower.covers("vm-1") and not follower.covers("vm-2")
-    clock.tick(SESSION_LEASE_S)
+    clock.advance(SESSION_LEASE_S)
     assert not follower.covers("vm-1")
 
 
-def test_write_with_unknown_outcome_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
+def test_write_with_unknown_outcome_ends_all_renewals(follower: LeaseDelegate, store: ScriptedStore):
     asyncio.run(follower.renew_lease(heartbeat()))
-    state.mode = "ghost"
+    store.mode = "response_lost"
     follower.requested.add("vm-2")
     asyncio.run(follower.store_delegation())
     assert not follower.covers("vm-1") and not follower.covers("vm-2")
 
 
-def test_new_leader_ends_all_renewals(follower: LeaseDelegate, state: FakeState):
+def test_new_leader_ends_all_renewals(follower: LeaseDelegate, store: ScriptedStore):
     asyncio.run(follower.renew_lease(heartbeat()))
-    state.epoch = 20
-    state.keys[keys.LEADER_KEY] = ({"node": "n2"}, 20)
-    follower.leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    store.revision = 20
+    store.keys[keys.LEADER_KEY] = ({"node": "n2"}, 20)
+    follower.leadership.observe_leader_key(*store.keys[keys.LEADER_KEY])
     assert not follower.covers("vm-1")
 
 
@@ -91,7 +93,7 @@
 
 
 def test_leader_cannot_store_decisions_made_without_knowledge_of_a_delegation(
-    follower: LeaseDelegate, state: FakeState, clock: Clock, cluster: Cluster
+    follower: LeaseDelegate, store: ScriptedStore, clock: FakeClock, cluster: Cluster
 ):
     """Otherwise a task could run twice: the leader counts the lease as expired, but a follower has renewed it."""
     cluster.beat("vm-1")
@@ -100,24 +102,24 @@
     cluster.store()
     cluster.beat("vm-1")
     asyncio.run(follower.renew_lease(heartbeat()))
-    clock.tick(13.0)
+    clock.advance(13.0)
     cluster.fleet.expire_leases(clock())
     assert not job.allocations and job.has_unsaved_changes
     delegation_keys = [keys.LEASE_DELEGATE_PREFIX + "n1"]
     with pytest.raises(PreconditionFailedError):
         asyncio.run(
-            state.commit(
+            store.commit(
                 [(keys.LEADER_KEY, 7), *cluster.fleet.delegated_leases.preconditions(delegation_keys)], [("x", 1)]
             )
         )
-    cluster.fleet.delegated_leases.apply_key(delegation_keys[0], *state.keys[delegation_keys[0]])
+    cluster.fleet.delegated_leases.apply_key(delegation_keys[0], *store.keys[delegation_keys[0]])
     job.stored_value = {**encode_plain(job.record()), "on": [["vm-1", 1, 1, "0"]]}
     cluster.table.revert_unsaved()
     cluster.fleet.expire_leases(clock())
     assert job.allocations[0].machine == "vm-1" and not job.has_unsaved_changes
 
 
-def test_lease_expiry_counts_from_the_end_of_the_delegation(cluster: Cluster, clock: Clock):
+def test_lease_expiry_counts_from_the_end_of_the_delegation(cluster: Cluster, clock: FakeClock):
     cluster.beat("vm-1")
     job = cluster.submit(1)
     cluster.scheduler.run_round()
@@ -125,14 +127,14 @@
     cluster.beat("vm-1")
     delegated = cluster.fleet.delegated_leases
     delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n1", {"machines": ["vm-1"]}, 30)
-    clock.tick(40.0)
+    clock.advance(40.0)
     cluster.fleet.expire_leases(clock())
     assert job.allocations
     delegated.apply_key(keys.LEASE_DELEGATE_PREFIX + "n1", None, 0)
-    clock.tick(12.0)
+    clock.advance(12.0)
     cluster.fleet.expire_leases(clock())
     assert job.allocations
-    clock.tick(1.0)
+    clock.advance(1.0)
     cluster.fleet.expire_leases(clock())
     assert not job.allocations
 
@@ -144,11 +146,11 @@
 
 
 def test_workers_are_redirected_to_a_leader_that_only_this_node_cannot_reach(
-    follower: LeaseDelegate, state: FakeState, clock: Clock
+    follower: LeaseDelegate, store: ScriptedStore, clock: FakeClock
 ):
-    state.epoch = 9
-    state.keys[keys.LEADER_KEY] = ({"node": "n0", "mode": "hold"}, 9)
-    follower.leadership.observe_leader_key(*state.keys[keys.LEADER_KEY])
+    store.revision = 9
+    store.keys[keys.LEADER_KEY] = ({"node": "n0", "mode": "hold"}, 9)
+    follower.leadership.observe_leader_key(*store.keys[keys.LEADER_KEY])
     # The lease is renewed first, so that the worker has time to contact the leader.
     assert follower.redirect_target(heartbeat()) is None
     assert asyncio.run(follower.renew_lease(heartbeat())) == []
@@ -157,12 +159,12 @@
     assert follower.redirect_target(heartbeat(token=9)) == "n0"
     assert not follower.covers("vm-1") and follower.covers("vm-2")
     asyncio.run(follower.store_delegation(shrink=True))
-    assert state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-2"]
+    assert store.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]["machines"] == ["vm-2"]
     # The worker finds no leader there, comes back, and is not redirected again immediately.
     assert follower.redirect_target(heartbeat(token=9)) is None
     assert asyncio.run(follower.renew_lease(heartbeat(token=9))) == []
     assert follower.redirect_target(heartbeat(token=9)) is None
-    clock.tick(1.0)
+    clock.advance(1.0)
     # A worker that arrives with the current leader's token has lost contact with that leader, so it is not redirected.
     assert asyncio.run(follower.renew_lease(heartbeat(token=9, machine="vm-3"))) == []
     assert follower.redirect_target(heartbeat(token=9, machine="vm-3")) is None
@@ -173,9 +175,9 @@
     assert follower.redirect_target(heartbeat(token=5)) is None
 
 
-def test_rejected_write_leaves_the_stored_delegation_valid(follower: LeaseDelegate, state: FakeState):
+def test_rejected_write_leaves_the_stored_delegation_valid(follower: LeaseDelegate, store: ScriptedStore):
     assert asyncio.run(follower.renew_lease(heartbeat())) == []
-    state.mode = "down"
+    store.mode = "down"
     follower.requested.add("vm-2")
     asyncio.run(follower.store_delegation())
     assert follower.covers("vm-1") and not follower.covers("vm-2")
@@ -183,7 +185,7 @@
 
 @pytest.mark.parametrize(("form", "min_names"), [("plain", 900), ("packed", 4000), ("numbered", 4000)])
 def test_delegation_of_thousands_of_machines_fits_into_one_key(
-    follower: LeaseDelegate, state: FakeState, form, min_names
+    follower: LeaseDelegate, store: ScriptedStore, form, min_names
 ):
     """The plain form, for programs of format 1, names only some machines.
 
@@ -195,13 +197,13 @@
     value = follower.encode(7, list(names)).value
     stored = decode_machines(value)
     assert min_names <= len(stored) and stored <= set(names)
-    assert json_bytes(value) <= state.max_plain_value_bytes() and ("numbered" in value) == (form == "numbered")
+    assert json_bytes(value) <= store.max_plain_value_bytes() and ("numbered" in value) == (form == "numbered")
 
 
-def test_two_thousand_machines_are_delegated_under_lowered_store_limits(follower: LeaseDelegate, state: FakeState):
+def test_two_thousand_machines_are_delegated_under_lowered_store_limits(follower: LeaseDelegate, store: ScriptedStore):
     follower.packed_names = follower.numbered_names = lambda: True
-    state.max_value_bytes = usable_value_bytes(2.0)
+    store.max_value_bytes = usable_value_bytes(2.0)
     names = {f"vm-{n:06d}" for n in random.Random(3).sample(range(8000), 2000)}
     follower.requested = set(names)
     asyncio.run(follower.store_delegation())
-    assert follower.delegated == names and decode_machines(state.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]) == names
+    assert follower.delegated == names and decode_machines(store.keys[keys.LEASE_DELEGATE_PREFIX + "n1"][0]) == names
--- a/tests/workers/test_successor_hints.py
+++ b/tests/workers/test_successor_hints.py
@@ -1,7 +1,7 @@
 """Delivery of cached-image hints to the next leader."""
 
 import cbor2
-from conftest import Clock, Cluster
+from conftest import Cluster, FakeClock
 
 from hookwall.config.platform import PlatformParameters
 from hookwall.leadership.peer_transport import MAX_FRAME_BYTES, encode_frame
@@ -17,7 +17,7 @@
 
 
 def test_hints_of_4000_machines_fit_into_messages_and_arrive_completely(
-    cluster: Cluster, params: PlatformParameters, clock: Clock
+    cluster: Cluster, params: PlatformParameters, clock: FakeClock
 ):
     """A message with all hints exceeded the size that peers accept, so every fifth heartbeat closed the connection."""
     fleet = fleet_with_cached_images(cluster, 4000, 10)
--- a/tests/workers/test_unrecorded_tasks.py
+++ b/tests/workers/test_unrecorded_tasks.py
@@ -29,7 +29,7 @@
         cluster.fleet.confirm_deletion(cluster.fleet.machines["vm-1"], "deleted")
     elif how == "the lease expired":
         for _ in range(7):
-            cluster.clock.tick(2.0)
+            cluster.clock.advance(2.0)
             cluster.beat("vm-2")
             cluster.fleet.expire_leases(cluster.clock())
 
--- a/tools/drain_measure.py
+++ b/tools/drain_measure.py
@@ -82,14 +82,19 @@
     async def submit_urgent_jobs(self, first: int) -> None:
         """Submit urgent jobs at a fixed interval, and measure how long each waits for its start."""
         for number in range(first, first + int(URGENT_DURATION_S / URGENT_INTERVAL_S)):
-            self.simulation.go(self._measure_urgent_job(number))
+            self.simulation.run_in_background(self._measure_urgent_job(number))
             await asyncio.sleep(URGENT_INTERVAL_S)
 
     async def _measure_urgent_job(self, number: int) -> None:
         simulation = self.simulation
-        ref, started_at = simulation.job(number, run_s=40.0, owner="blue", rank="urgent", cards=4.0), simulation.now()
-        await simulation.accepted(ref)
-        await simulation.until(lambda: simulation.jobs[ref].first_start is not None, 600.0, f"{ref} was not started")
+        ref, started_at = (
+            simulation.define_job(number, run_s=40.0, owner="blue", rank="urgent", cards=4.0),
+            simulation.now(),
+        )
+        await simulation.submit_until_accepted(ref)
+        await simulation.wait_until(
+            lambda: simulation.jobs[ref].first_start is not None, 600.0, f"{ref} was not started"
+        )
         self.urgent.add(simulation.jobs[ref].first_start - started_at)
 
 
@@ -99,7 +104,7 @@
     results: dict[str, Any] = {}
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.cloud.room = args.machines
+        simulation.cloud.available_machines = args.machines
         oracle, observer, operator = (
             BudgetOracle(simulation, budgets).watch(),
             DrainObserver(simulation),
@@ -108,22 +113,22 @@
         count = args.machines
         for n in range(1, count + 1):
             team = ("red", "blue")[n % 2]
-            ref = simulation.job(
+            ref = simulation.define_job(
                 n, run_s=RUN_S, owner=team, rank="low", cards=1.0 + n % 4, pieces=1 + n % 2, pinEveryS=10.0
             )
             simulation.jobs[ref].save_s = 2.0
-            await simulation.accepted(ref)
+            await simulation.submit_until_accepted(ref)
         await asyncio.sleep(WARM_UP_S)
         selection = ["--zone", "east", "--batch", str(args.batch)]
         started_at = simulation.now()
-        urgent = simulation.go(observer.submit_urgent_jobs(count + 1))
+        urgent = simulation.run_in_background(observer.submit_urgent_jobs(count + 1))
         if not args.no_drain:
             code, plan = await operator("plan", *selection, "--fewest")
             _, unbatched_plan = await operator("plan", "--zone", "east", "--batch", str(args.machines), "--fewest")
             assert code == 0
             started_at = simulation.now()
             await operator.start("measured", *selection)
-            await operator.ends("measured", END_TIMEOUT_S)
+            await operator.wait_for_phase("measured", END_TIMEOUT_S)
             periods = unbatched_plan["fewest_waves"] - 1  # the first wave waits for no budget period
             results.update(
                 took_s=round(simulation.now() - started_at, 1),
--- a/tools/fleet_load.py
+++ b/tools/fleet_load.py
@@ -352,9 +352,9 @@
 
 async def outage(controllers: list[Controller], services: FakeServices) -> None:
     """Make the key-value store unavailable for longer than a lease."""
-    services.state.outage(True)
+    services.state.set_outage(True)
     await asyncio.sleep(OUTAGE_S)
-    services.state.outage(False)
+    services.state.set_outage(False)
 
 
 async def upgrade(controllers: list[Controller], services: FakeServices) -> None:
