--- a/tests/drains/test_drain_controller.py
+++ b/tests/drains/test_drain_controller.py
@@ -36,12 +36,12 @@
         self.before_write: dict[str, object] = {}  # by key, a function that is called just before the key is written
         commit = state.commit
 
-        async def recording_commit(when, put=(), hold=None, timeout=1.5, delete=()):
+        async def recording_commit(when, put=(), session_lease=None, timeout=1.5, delete=()):
             for key, _ in put:
                 change = self.before_write.pop(key, None)
                 if change is not None:
                     change()
-            result = await commit(when, put, hold, timeout, delete)
+            result = await commit(when, put, session_lease, timeout, delete)
             self.written.extend(key for key, _ in put)
             return result
 
@@ -65,7 +65,8 @@
         operations_settings = operations(grey=1)
         node.drains.controller = DrainController(
             operations_settings.drain, node.settings.platform, node.fleet, node.scheduler, self.state, node.leadership,
-            self.clock, self.clock, drains_allowed=lambda: True, is_confirmed_deleted=node.scale_out.is_gone,
+            self.clock, self.clock, drains_allowed=lambda: True,
+            is_confirmed_deleted=node.scale_out.is_confirmed_deleted,
         )  # fmt: skip
         node.fleet.set_catalog(_catalog())
 
@@ -303,13 +304,13 @@
     for _ in range(2):
         leader.tick()
     job = leader.node.job_table.jobs["run-000000"]
-    assert job.job_id in scheduler.relocated and scheduler._starves(job, leader.clock())
-    scheduler._wait_for_room(
+    assert job.job_id in scheduler.relocated_jobs and scheduler._is_starving(job, leader.clock())
+    scheduler._queue_remainder(
         job, scheduler.resource_request(job, 1), scheduler.round_state(leader.clock()), 1, False, False, leader.clock()
     )
     assert scheduler.waiting[job.job_id].last_served_at < leader.clock() - STARVATION_S
     other = leader.node.job_table.jobs["run-000001"]
-    assert not scheduler._starves(other, leader.clock())
+    assert not scheduler._is_starving(other, leader.clock())
 
 
 def test_a_machine_with_tasks_is_neither_marked_empty_nor_deleted(leader: Leader):
